--- a/libs/cli/src/berylwalk/cli/_quarantined.py
+++ b/libs/cli/src/berylwalk/cli/_quarantined.py
@@ -12,7 +12,7 @@
 from berylwalk.quarantine import (
     RECORDS_PREFIX,
     Record,
-    identity_of_key,
+    identity_from_key,
     record_key,
 )
 
@@ -57,7 +57,7 @@
 
 def _line(item: KeyValue) -> str:
     try:
-        identity = identity_of_key(item.key)
+        identity = identity_from_key(item.key)
         record = decode(item.value, type=Record)
     except (DecodeError, ValueError) as error:
         return f"{item.key.decode('latin-1')}: not readable: {error}"
@@ -69,7 +69,7 @@
 async def _release(store: KeyValueClient, identity: str) -> ExitCode:
     try:
         key = record_key(bytes.fromhex(identity))
-        identity_of_key(key)
+        identity_from_key(key)
     except ValueError as error:
         raise CommandError(ExitCode.FAILED, [f"{identity}: {error}"]) from error
     item = await store.get(key)
--- a/libs/direct/src/berylwalk/direct/_admission.py
+++ b/libs/direct/src/berylwalk/direct/_admission.py
@@ -7,7 +7,7 @@
 from berylwalk.dispatch import Account, AllowanceState, Allowed, Denied, Route
 from berylwalk.forwarding import CallerRequest
 from berylwalk.platform import BadHeaders, CallFacts, read_call
-from berylwalk.quarantine import Identity, Standing, request_identity
+from berylwalk.quarantine import Identity, QuarantineStatus, request_identity
 
 TIMEOUT_MARGIN_S = 0.03
 """Time before the end of a caller's limit at which an answer is sent."""
@@ -132,10 +132,10 @@
         retry_after_s = RETRY_AFTER_UNREADY_S if access.status == 503 else None
         return Refusal(access.status, access.reason, retry_after_s, facts.request_id)
     admitted = _admitted(request, facts, access)
-    match context.quarantine.standing(admitted.identity, context.clock()):
-        case Standing.BLAMED:
+    match context.quarantine.status(admitted.identity, context.clock()):
+        case QuarantineStatus.BLAMED:
             return held_back(context, admitted)
-        case Standing.TRIAL:
+        case QuarantineStatus.TRIAL:
             admitted = replace(admitted, is_trial=True)
     if admitted.account is None:
         return admitted
--- a/libs/direct/src/berylwalk/direct/_daemon.py
+++ b/libs/direct/src/berylwalk/direct/_daemon.py
@@ -39,7 +39,7 @@
 )
 from berylwalk.forwarding import CallerConnection, CallerRequest, TargetPool
 from berylwalk.platform import REQUEST_ID_HEADER, KeyValueClient
-from berylwalk.quarantine import Change, Quarantine
+from berylwalk.quarantine import Quarantine, QuarantineChange
 from berylwalk.rollout import Judged, Rollouts
 
 KEY_TRUST_MARGIN_S = 0.5
@@ -77,7 +77,7 @@
         self._spending_note = SpendingNote(context, store, reach)
         self._speed_note = SpeedNote(context, store, reach)
         self._quarantine_note = QuarantineNote(context, store, reach)
-        context.quarantine.on_news = self._peering.tell_soon
+        context.quarantine.on_urgent_update = self._peering.tell_soon
         context.quarantine.on_change = self._note_quarantine_change
         context.rollouts.on_judged = self._note_judged
         reading = self._peering.reading
@@ -280,7 +280,7 @@
             if self._exchanges_by_connection.get(connection) is exchange:
                 del self._exchanges_by_connection[connection]
 
-    def _note_quarantine_change(self, change: Change) -> None:
+    def _note_quarantine_change(self, change: QuarantineChange) -> None:
         self._context.log.process(
             f"request-{change.kind}",
             identity=change.identity.hex(),
@@ -337,5 +337,5 @@
                 listener.sweep()
             self._context.pool.sweep()
             self._context.dispatcher.pump_all(self._context.clock())
-            self._context.quarantine.sweep(self._context.clock())
+            self._context.quarantine.expire(self._context.clock())
             self._context.log.flush()
--- a/libs/direct/src/berylwalk/direct/_exchange.py
+++ b/libs/direct/src/berylwalk/direct/_exchange.py
@@ -24,7 +24,7 @@
 )
 from berylwalk.forwarding import CallerConnection, CallerRequest
 from berylwalk.platform import refusal_headers
-from berylwalk.quarantine import Identity, Standing
+from berylwalk.quarantine import Identity, QuarantineStatus
 
 TakeTrial = Callable[[Identity], Awaitable[bool]]
 """Asks for the permit to send a request once under which targets ended."""
@@ -179,11 +179,11 @@
 
     def _is_held_back(self) -> bool:
         """Return whether it is known by now to end the targets that run it."""
-        return self._standing().is_held_back
+        return self._standing().is_blocked
 
-    def _standing(self) -> Standing:
+    def _standing(self) -> QuarantineStatus:
         context = self._context
-        return context.quarantine.standing(self._admitted.identity, context.clock())
+        return context.quarantine.status(self._admitted.identity, context.clock())
 
     async def _place(self, patience: Patience) -> Target | None:
         """Return a target at which the request is counted, or None."""
@@ -294,7 +294,7 @@
 
     def _runs_apart(self) -> bool:
         """Return whether its target may end under it, with all others there."""
-        return self._admitted.is_trial or self._standing() is Standing.SUSPECTED
+        return self._admitted.is_trial or self._standing() is QuarantineStatus.SUSPECTED
 
     def _complete(self, attempt: Attempt) -> None:
         if attempt.is_stream:
--- a/libs/direct/src/berylwalk/direct/_exchange_log.py
+++ b/libs/direct/src/berylwalk/direct/_exchange_log.py
@@ -146,7 +146,7 @@
             admitted.request_id,
             target=target.entry.target_id,
             identity=admitted.identity.hex(),
-            ended=self.context.quarantine.ended(admitted.identity),
+            ended=self.context.quarantine.crashed_incarnations(admitted.identity),
         )
 
     def tell_cleared(self, admitted: Admitted, target: Target) -> None:
@@ -165,7 +165,7 @@
         blame = self.context.quarantine.blames.get(identity)
         fields: dict[str, object] = {
             "identity": identity.hex(),
-            "ended": self.context.quarantine.ended(identity),
+            "ended": self.context.quarantine.crashed_incarnations(identity),
         }
         if blame is not None:
             fields["blamed_ms_ago"] = _ms(self.context.clock() - blame.since)
--- a/libs/direct/src/berylwalk/direct/_lesson.py
+++ b/libs/direct/src/berylwalk/direct/_lesson.py
@@ -41,7 +41,7 @@
         """Note that the target has answered: it had not ended when this began."""
         context = self._context
         life_id = target.entry.life_id
-        context.quarantine.note_alive(life_id, self._began_at, context.clock())
+        context.quarantine.record_alive(life_id, self._began_at, context.clock())
 
     def taken_s(self, since: float) -> float:
         """Return the time since a moment, in seconds; not that of a suspension."""
@@ -85,11 +85,11 @@
         quarantine, now = self._context.quarantine, self._context.clock()
         identity = self._admitted.identity
         if attempt.target_ended and self._was_in_use(target):
-            if quarantine.note_ended(identity, target.entry.life_id, now):
+            if quarantine.record_crash(identity, target.entry.life_id, now):
                 self._log.tell_target_ended(self._admitted, target)
         elif attempt.end in (AttemptEnd.ANSWERED, AttemptEnd.FAILED):
             self.note_alive(target)
-            if quarantine.note_answered(identity, now):
+            if quarantine.record_success(identity, now):
                 self._log.tell_cleared(self._admitted, target)
 
     def _was_in_use(self, target: Target) -> bool:
--- a/libs/direct/src/berylwalk/direct/_peer_messages.py
+++ b/libs/direct/src/berylwalk/direct/_peer_messages.py
@@ -7,7 +7,7 @@
 
 from berylwalk.direct._statements import StatementNews
 from berylwalk.dispatch import Peer
-from berylwalk.quarantine import QuarantineNews
+from berylwalk.quarantine import QuarantineUpdate
 from berylwalk.rollout import RolloutNews
 
 Loads = dict[str, tuple[int, int]]
@@ -91,7 +91,7 @@
         answer to one that asked.
     reads : list of (int, str)
         What the sender sent where since its last message.
-    quarantine : QuarantineNews
+    quarantine : QuarantineUpdate
         What is new of requests under which targets ended.
     statements : list of StatementNews
         What targets said to the sender.
@@ -102,7 +102,7 @@
     asks: str | None = None
     recent: dict[str, list[float]] | None = None
     reads: Reads = field(default_factory=list)
-    quarantine: QuarantineNews = field(default_factory=QuarantineNews)
+    quarantine: QuarantineUpdate = field(default_factory=QuarantineUpdate)
     statements: list[StatementNews] = field(default_factory=list)
 
 
@@ -122,7 +122,7 @@
         passes it on to all there.
     reads : list of (int, str)
         What they sent where since the relay's last message.
-    quarantine : QuarantineNews
+    quarantine : QuarantineUpdate
         What is new of requests under which targets ended.
     statements : list of StatementNews
         What targets said to routers there.
@@ -133,7 +133,7 @@
     loads: Loads
     is_passed_on: bool = False
     reads: Reads = field(default_factory=list)
-    quarantine: QuarantineNews = field(default_factory=QuarantineNews)
+    quarantine: QuarantineUpdate = field(default_factory=QuarantineUpdate)
     statements: list[StatementNews] = field(default_factory=list)
 
 
--- a/libs/direct/src/berylwalk/direct/_peering.py
+++ b/libs/direct/src/berylwalk/direct/_peering.py
@@ -36,7 +36,7 @@
 from berylwalk.direct._store_reach import StoreReach
 from berylwalk.dispatch import PEERS_OF_ONE_MESH, Knowledge, Peer, Read, Target
 from berylwalk.platform import KeyValueClient
-from berylwalk.quarantine import QuarantineNews
+from berylwalk.quarantine import QuarantineUpdate
 from berylwalk.reading import ReadingAsk, ReadingTell
 
 TELL_S = 0.05
@@ -179,7 +179,7 @@
                 self._tell_domains(far_domains, now)
             else:
                 self._reads_to_relay.clear()
-                self._context.quarantine.far.clear()
+                self._context.quarantine.relay_outbox.clear()
 
     def _tell_domains(self, far_domains: set[str], now: float) -> None:
         data = msgpack.encode(self._domain_message(now))
@@ -221,7 +221,9 @@
         asks = self._peer_to_ask(now)
         reads = context.dispatcher.prefix_reads.take_news()
         self._reads_to_relay.extend(reads)
-        quarantine = context.quarantine.news(context.quarantine.near, context.clock())
+        quarantine = context.quarantine.next_update(
+            context.quarantine.direct_outbox, context.clock()
+        )
         rollouts = [replace(each, age_s=0.0) for each in context.rollouts.news(now)]
         statements = own_statements(context)
         said = [each.belief for each in statements]
@@ -273,7 +275,9 @@
             [self._own_news(now), *news],
             context.targets.loads_with(heard),
             reads=self._take_reads_to_relay(),
-            quarantine=context.quarantine.news(context.quarantine.far, context.clock()),
+            quarantine=context.quarantine.next_update(
+                context.quarantine.relay_outbox, context.clock()
+            ),
             statements=self._statements_to_relay.merged(own_statements(context), now),
         )
 
@@ -400,9 +404,9 @@
         self._context.rollouts.hear(life_of(peer), news.rollouts, now)
         return True
 
-    def _hear_of_suspects(self, news: QuarantineNews, *, is_near: bool) -> None:
+    def _hear_of_suspects(self, news: QuarantineUpdate, *, is_near: bool) -> None:
         context = self._context
-        context.quarantine.hear(news, context.clock(), is_near=is_near)
+        context.quarantine.merge(news, context.clock(), is_direct=is_near)
 
     def _forget(self, peer: Peer) -> None:
         """Forget a peer whose life has ended."""
--- a/libs/direct/src/berylwalk/direct/_quarantine_note.py
+++ b/libs/direct/src/berylwalk/direct/_quarantine_note.py
@@ -24,13 +24,13 @@
     Unavailable,
 )
 from berylwalk.quarantine import (
-    ENDS_TO_BLAME,
+    CRASHES_TO_BLAME,
     RECORDS_PREFIX,
-    TRIAL_AFTER_S,
+    TRIAL_DELAYS_S,
     Identity,
+    QuarantineStatus,
     Record,
-    Standing,
-    identity_of_key,
+    identity_from_key,
     record_key,
 )
 
@@ -119,7 +119,7 @@
         if isinstance(item, Unavailable):
             return False
         if item is None:
-            if context.quarantine.noted.get(identity):
+            if context.quarantine.stored_crashes.get(identity):
                 self._release(identity)
                 return True
             known = _Known(self._record_of(identity), 0)
@@ -127,13 +127,16 @@
             known = self._take(identity, item)
             if known is None:
                 return False
-        if context.quarantine.standing(identity, context.clock()) is not Standing.TRIAL:
+        if (
+            context.quarantine.status(identity, context.clock())
+            is not QuarantineStatus.TRIAL
+        ):
             return False
         trials = known.record.trials + 1
         record = structs.replace(known.record, trials=trials)
         if not await self._write(identity, record, known.revision):
             return False
-        context.quarantine.note_trial(identity, trials, context.clock())
+        context.quarantine.record_trial(identity, trials, context.clock())
         context.log.process("trial-permitted", identity=identity.hex(), trials=trials)
         return True
 
@@ -155,8 +158,8 @@
         wanting = [
             identity
             for identity in (*quarantine.blames, *quarantine.suspected)
-            if quarantine.noted.get(identity, 0)
-            < min(ENDS_TO_BLAME, len(quarantine.ended(identity)))
+            if quarantine.stored_crashes.get(identity, 0)
+            < min(CRASHES_TO_BLAME, len(quarantine.crashed_incarnations(identity)))
         ]
         self._due_since = {
             identity: self._due_since.get(identity, now) for identity in wanting
@@ -175,7 +178,7 @@
 
     def _record_of(self, identity: Identity) -> Record:
         known = self._known.get(identity)
-        ended = set(self._context.quarantine.ended(identity))
+        ended = set(self._context.quarantine.crashed_incarnations(identity))
         if known is None:
             return Record(sorted(ended), noted_s=round(self._wall_clock()))
         return structs.replace(known.record, ended=sorted(ended))
@@ -190,7 +193,7 @@
         match result:
             case Swapped():
                 self._known[identity] = _Known(record, result.mod_revision)
-                self._context.quarantine.note_recorded(identity, len(record.ended))
+                self._context.quarantine.record_stored(identity, len(record.ended))
                 return True
             case Conflict(current=None):
                 # Deleted since it was read.
@@ -239,7 +242,7 @@
         gone means that the request is let through.
         """
         for identity in list(self._known):
-            if not self._context.quarantine.ended(identity):
+            if not self._context.quarantine.crashed_incarnations(identity):
                 await self._delete(identity)
 
     async def _delete(self, identity: Identity) -> bool:
@@ -270,25 +273,27 @@
                 key=item.key.decode("latin-1"),
                 detail=repr(error),
             )
-            spent = Record([], trials=len(TRIAL_AFTER_S))
+            spent = Record([], trials=len(TRIAL_DELAYS_S))
             self._known[identity] = _Known(spent, item.mod_revision)
             return None
         known = self._known[identity] = _Known(record, item.mod_revision)
         quarantine = self._context.quarantine
-        quarantine.learn(identity, record.ended, record.trials, self._context.clock())
-        quarantine.note_recorded(identity, len(record.ended))
+        quarantine.merge_stored(
+            identity, record.ended, record.trials, self._context.clock()
+        )
+        quarantine.record_stored(identity, len(record.ended))
         return known
 
     def _release(self, identity: Identity) -> None:
         """Let a request through whose record is gone."""
         self._known.pop(identity, None)
         context = self._context
-        if context.quarantine.note_answered(identity, context.clock()):
+        if context.quarantine.record_success(identity, context.clock()):
             context.log.process("request-released", identity=identity.hex())
 
     def _identity_of(self, item: KeyValue) -> Identity | None:
         try:
-            return identity_of_key(item.key)
+            return identity_from_key(item.key)
         except ValueError as error:
             self._context.log.process(
                 "quarantine-record-invalid",
--- a/libs/direct/src/berylwalk/direct/_sending.py
+++ b/libs/direct/src/berylwalk/direct/_sending.py
@@ -142,8 +142,8 @@
             return False
         # While it waited, others may have ended under it.
         quarantine, now = self._context.quarantine, self._context.clock()
-        standing = quarantine.standing(self._admitted.identity, now)
-        if standing.is_held_back and not self._admitted.is_trial:
+        standing = quarantine.status(self._admitted.identity, now)
+        if standing.is_blocked and not self._admitted.is_trial:
             return False
         # While the connection was opened, the target may have said that it leaves, or
         # asked for rest.
--- a/libs/direct/tests/test_direct_quarantine_records.py
+++ b/libs/direct/tests/test_direct_quarantine_records.py
@@ -6,7 +6,12 @@
 from anyio import sleep
 
 from berylwalk.direct import _quarantine_note as note_module
-from berylwalk.quarantine import BodyHash, Quarantine, Standing, request_identity
+from berylwalk.quarantine import (
+    BodyHash,
+    Quarantine,
+    QuarantineStatus,
+    request_identity,
+)
 from berylwalk.quarantine import _quarantine as quarantine_module
 from direct_fleet import answers
 
@@ -46,7 +51,7 @@
 @pytest.fixture
 def soon(monkeypatch):
     """Have trials, looks and writes come at once, and records last."""
-    monkeypatch.setattr(quarantine_module, "TRIAL_AFTER_S", (0.0, 0.0))
+    monkeypatch.setattr(quarantine_module, "TRIAL_DELAYS_S", (0.0, 0.0))
     monkeypatch.setattr(note_module, "TURN_S", 0.02)
     monkeypatch.setattr(note_module, "LOOK_S", 0.0)
     monkeypatch.setattr(note_module, "FORGOTTEN_AFTER_S", float("inf"))
@@ -72,7 +77,7 @@
         async with running(answers("ok")) as fleet:
             store = fleet.platform.store
             for number, life_id in enumerate(LIVES):
-                quarantine_of(fleet).note_ended(identity(), life_id, float(number))
+                quarantine_of(fleet).record_crash(identity(), life_id, float(number))
 
             def is_written():
                 item = store.get(key())
@@ -103,7 +108,7 @@
         async with running(answers("ok"), prepare=prepare) as fleet:
             store = fleet.platform.store
             for life_id in LIVES:
-                quarantine_of(fleet).note_ended(identity(), life_id, 0.0)
+                quarantine_of(fleet).record_crash(identity(), life_id, 0.0)
 
             def record():
                 item = store.get(key())
@@ -173,7 +178,7 @@
 
     async def test_deleted_record_lets_it_through(self, running, soon, monkeypatch):
         """At all routers, within a look."""
-        monkeypatch.setattr(quarantine_module, "TRIAL_AFTER_S", (60.0, 600.0))
+        monkeypatch.setattr(quarantine_module, "TRIAL_DELAYS_S", (60.0, 600.0))
         async with running(answers("ok"), prepare=noted()) as fleet:
             await fleet.until(lambda: identity() in quarantine_of(fleet).blames)
             fleet.platform.store.delete(key())
@@ -195,11 +200,13 @@
         """
         router, other = Quarantine(), Quarantine()
         for each in (router, other):
-            each.note_ended(identity(), "life", 20.0)
-        assert not router.note_alive("life", sent_at=1.0, now=31.0)
-        other.hear(router.news(router.near, 31.0), 31.0, is_near=True)
-        assert other.ended(identity()) == ["life"]
-        assert other.standing(identity(), 31.0) is Standing.FREE
+            each.record_crash(identity(), "life", 20.0)
+        assert not router.record_alive("life", sent_at=1.0, now=31.0)
+        other.merge(
+            router.next_update(router.direct_outbox, 31.0), 31.0, is_direct=True
+        )
+        assert other.crashed_incarnations(identity()) == ["life"]
+        assert other.status(identity(), 31.0) is QuarantineStatus.FREE
 
     async def test_router_counts_suspension(self, running):
         """By a clock that goes on then, at the moment of sending."""
@@ -212,10 +219,10 @@
             async def slow(request, writer):
                 nonlocal offset_s
                 offset_s = 30.0
-                context.quarantine.note_ended(identity(), "i-0", clock() + 20.0)
+                context.quarantine.record_crash(identity(), "i-0", clock() + 20.0)
                 await answers("late")(request, writer)
 
             fleet.targets[0].script = slow
             reply = await fleet.call("/idempotent/y", body=b"harmless")
             assert reply.status == 200
-            assert context.quarantine.ended(identity()) == ["i-0"]
+            assert context.quarantine.crashed_incarnations(identity()) == ["i-0"]
--- a/libs/direct/tests/virtual_quarantine.py
+++ b/libs/direct/tests/virtual_quarantine.py
@@ -27,7 +27,7 @@
     TargetTable,
 )
 from berylwalk.platform import Unavailable, UnavailableReason
-from berylwalk.quarantine import Quarantine, Standing
+from berylwalk.quarantine import Quarantine, QuarantineStatus
 from berylwalk.rollout import ExposureRules, Rollouts
 from berylwalk.standins.memory import InMemoryKeyValue
 from virtual_play import DOMAINS, PlayedFleet
@@ -144,7 +144,7 @@
         self.peering = Peering(self.context, store, reach)
         self.peering._transport = SimpleNamespace(sendto=self._send)
         self.note = QuarantineNote(self.context, store, reach, wall_clock=self.clock)
-        self.quarantine.on_news = self.peering.tell_soon
+        self.quarantine.on_urgent_update = self.peering.tell_soon
         self.quarantine.on_change = lambda change: self.note.wake()
 
     def _log(self, event, **fields):
@@ -167,14 +167,14 @@
     async def serve(self, identity, takes_s):
         """Send a request as an exchange does; return its status."""
         sent_as, identity = identity, self.play.plants.known_as(identity)
-        standing = self.quarantine.standing(identity, self.clock())
-        if standing is Standing.BLAMED:
+        standing = self.quarantine.status(identity, self.clock())
+        if standing is QuarantineStatus.BLAMED:
             return "held-back"
-        is_trial = standing is Standing.TRIAL
+        is_trial = standing is QuarantineStatus.TRIAL
         if is_trial and not await self.note.take_trial(identity):
             return "held-back"
         for _ in range(self.play.attempts):
-            apart = is_trial or standing is Standing.SUSPECTED
+            apart = is_trial or standing is QuarantineStatus.SUSPECTED
             engine = self.play.choose(identity if apart else b"")
             if engine is None:
                 return "no-place"
@@ -182,12 +182,12 @@
             self.play.note_sent(sent_as, self.name)
             outcome = await engine.run(sent_as, takes_s)
             if outcome == "answered":
-                self.quarantine.note_alive(life_id, sent_at, self.clock())
-                self.quarantine.note_answered(identity, self.clock())
+                self.quarantine.record_alive(life_id, sent_at, self.clock())
+                self.quarantine.record_success(identity, self.clock())
                 return "answered"
             self.play.plants.note_ended(self, identity, engine, life_id)
-            standing = self.quarantine.standing(identity, self.clock())
-            if standing.is_held_back:
+            standing = self.quarantine.status(identity, self.clock())
+            if standing.is_blocked:
                 break
         return "broken"
 
@@ -221,7 +221,7 @@
 
     def note_ended(self, router, identity, engine, life_id):
         """Note that the connection of a request was closed."""
-        router.quarantine.note_ended(identity, life_id, router.clock())
+        router.quarantine.record_crash(identity, life_id, router.clock())
 
 
 @dataclass
--- a/libs/quarantine/src/berylwalk/quarantine/__init__.py
+++ b/libs/quarantine/src/berylwalk/quarantine/__init__.py
@@ -1,48 +1,52 @@
 """Requests that end the targets that run them: evidence, judgement, bounds."""
 
+from berylwalk.quarantine._attribution import (
+    CRASHES_TO_BLAME,
+    Attribution,
+    attribute_crashes,
+)
 from berylwalk.quarantine._identity import (
     BodyHash,
     Identity,
-    account_part,
+    account_prefix,
     request_identity,
 )
-from berylwalk.quarantine._judgement import ENDS_TO_BLAME, Judgement, judge
-from berylwalk.quarantine._messages import QuarantineNews, SuspectNews
+from berylwalk.quarantine._messages import QuarantineUpdate, SuspectUpdate
 from berylwalk.quarantine._outbox import Outbox
 from berylwalk.quarantine._quarantine import (
-    TRIAL_AFTER_S,
+    TRIAL_DELAYS_S,
     Blame,
-    Change,
     ChangeKind,
     Quarantine,
-    Standing,
+    QuarantineChange,
+    QuarantineStatus,
 )
 from berylwalk.quarantine._records import (
     RECORDS_PREFIX,
     Record,
-    identity_of_key,
+    identity_from_key,
     record_key,
 )
 
 __all__ = [
-    "ENDS_TO_BLAME",
+    "CRASHES_TO_BLAME",
     "RECORDS_PREFIX",
-    "TRIAL_AFTER_S",
+    "TRIAL_DELAYS_S",
+    "Attribution",
     "Blame",
     "BodyHash",
-    "Change",
     "ChangeKind",
     "Identity",
-    "Judgement",
     "Outbox",
     "Quarantine",
-    "QuarantineNews",
+    "QuarantineChange",
+    "QuarantineStatus",
+    "QuarantineUpdate",
     "Record",
-    "Standing",
-    "SuspectNews",
-    "account_part",
-    "identity_of_key",
-    "judge",
+    "SuspectUpdate",
+    "account_prefix",
+    "attribute_crashes",
+    "identity_from_key",
     "record_key",
     "request_identity",
 ]
--- a/libs/quarantine/src/berylwalk/quarantine/_judgement.py
+++ b/libs/quarantine/src/berylwalk/quarantine/_attribution.py
@@ -5,7 +5,7 @@
 
 from berylwalk.quarantine._identity import Identity
 
-ENDS_TO_BLAME = 3
+CRASHES_TO_BLAME = 3
 """Ends that no other request explains, from which a request is to blame. Of what is
 harmless, one in ten thousand meets three ends before it is answered where each target
 ends every twenty seconds and an answer takes a second."""
@@ -14,7 +14,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Judgement:
+class Attribution:
     """What follows from the ends that are known.
 
     Parameters
@@ -32,10 +32,12 @@
     contested: Set[Identity]
 
 
-NOBODY = Judgement({}, frozenset(), frozenset())
+NOBODY = Attribution({}, frozenset(), frozenset())
 
 
-def judge(lives_by_identity: Mapping[Identity, Collection[str]]) -> Judgement:
+def attribute_crashes(
+    lives_by_identity: Mapping[Identity, Collection[str]],
+) -> Attribution:
     """Return who is to blame.
 
     A target that ends takes all along that it runs, so that what is harmless is found
@@ -54,13 +56,13 @@
         for identity, lives in lives_by_identity.items()
         if len(lives) >= ENDS_TO_SUSPECT
     }
-    if max(map(len, several.values()), default=0) < ENDS_TO_BLAME:
-        return Judgement({}, several.keys(), frozenset())
+    if max(map(len, several.values()), default=0) < CRASHES_TO_BLAME:
+        return Attribution({}, several.keys(), frozenset())
     left_by_identity = {identity: set(lives) for identity, lives in several.items()}
     blamed: dict[Identity, frozenset[str]] = {}
     while left_by_identity:
         most = max(map(len, left_by_identity.values()))
-        if most < ENDS_TO_BLAME:
+        if most < CRASHES_TO_BLAME:
             break
         worst = [each for each, lives in left_by_identity.items() if len(lives) == most]
         explained: set[str] = set()
@@ -74,7 +76,7 @@
         for identity, lives in left_by_identity.items()
         if len(lives) >= ENDS_TO_SUSPECT
     }
-    return Judgement(blamed, suspected, _contested(blamed, several))
+    return Attribution(blamed, suspected, _contested(blamed, several))
 
 
 def _contested(
--- a/libs/quarantine/src/berylwalk/quarantine/_evidence.py
+++ b/libs/quarantine/src/berylwalk/quarantine/_evidence.py
@@ -9,7 +9,7 @@
 from collections.abc import Iterable
 from dataclasses import dataclass, field
 
-from berylwalk.quarantine._identity import Identity, account_part
+from berylwalk.quarantine._identity import Identity, account_prefix
 
 MOST_OF_ACCOUNT = 256
 """Requests of one account that are remembered: a few ends of full targets."""
@@ -97,7 +97,7 @@
         """Return when a life was last seen to end; None if it was not."""
         return self._ended_at_by_life.get(life_id)
 
-    def note_alive(self, life_id: str, alive_at: float) -> bool:
+    def record_alive(self, life_id: str, alive_at: float) -> bool:
         """Take that a life had not ended by some time; returns whether ends are gone.
 
         It may have ended after it.
@@ -136,7 +136,7 @@
                 del self._ended_at_by_life[life_id]
         return dropped
 
-    def ended(self, identity: Identity) -> dict[str, float]:
+    def crashed_incarnations(self, identity: Identity) -> dict[str, float]:
         """Return the lives that ended under a request, with the times of their ends."""
         suspect = self._suspects.get(identity)
         return {} if suspect is None else suspect.ended
@@ -153,9 +153,9 @@
     def _suspect(self, identity: Identity) -> _Suspect:
         suspect = self._suspects.get(identity)
         if suspect is None:
-            self._make_room(account_part(identity))
+            self._make_room(account_prefix(identity))
             suspect = self._suspects[identity] = _Suspect()
-            self._numbers_by_account[account_part(identity)] += 1
+            self._numbers_by_account[account_prefix(identity)] += 1
         return suspect
 
     def _make_room(self, account: bytes) -> None:
@@ -166,9 +166,9 @@
             self._drop_least(largest)
 
     def _drop_least(self, account: bytes) -> None:
-        own = (each for each in self._suspects if account_part(each) == account)
+        own = (each for each in self._suspects if account_prefix(each) == account)
         self._drop(min(own, key=lambda each: self._suspects[each].weight))
 
     def _drop(self, identity: Identity) -> None:
         del self._suspects[identity]
-        self._numbers_by_account[account_part(identity)] -= 1
+        self._numbers_by_account[account_prefix(identity)] -= 1
--- a/libs/quarantine/src/berylwalk/quarantine/_identity.py
+++ b/libs/quarantine/src/berylwalk/quarantine/_identity.py
@@ -58,6 +58,6 @@
     return caller.digest() + content.digest()
 
 
-def account_part(identity: Identity) -> bytes:
+def account_prefix(identity: Identity) -> bytes:
     """Return the part of an identity that all requests of an account share."""
     return identity[:ACCOUNT_BYTES]
--- a/libs/quarantine/src/berylwalk/quarantine/_messages.py
+++ b/libs/quarantine/src/berylwalk/quarantine/_messages.py
@@ -18,7 +18,7 @@
 AgeField = Annotated[float, Meta(ge=0, le=1e6)]
 
 
-class SuspectNews(Struct, array_like=True):
+class SuspectUpdate(Struct, array_like=True):
     """What is known of one request.
 
     Parameters
@@ -37,22 +37,22 @@
     identity: IdentityField
     ages_s: dict[LifeField, AgeField] = field(default_factory=dict)
     cleared: list[LifeField] = field(default_factory=list)
-    noted: Annotated[int, Meta(ge=0, le=1000)] = 0
+    stored_crashes: Annotated[int, Meta(ge=0, le=1000)] = 0
 
 
-class QuarantineNews(Struct, array_like=True):
+class QuarantineUpdate(Struct, array_like=True):
     """What is new of suspects.
 
     Parameters
     ----------
-    suspects : list of SuspectNews
+    suspects : list of SuspectUpdate
         Requests under which targets ended.
     alive_ages_s : dict
         For lives of targets that were taken to have ended: how long ago they surely
         had not, in seconds.
     """
 
-    suspects: list[SuspectNews] = field(default_factory=list)
+    suspects: list[SuspectUpdate] = field(default_factory=list)
     alive_ages_s: dict[LifeField, AgeField] = field(default_factory=dict)
 
     def __bool__(self) -> bool:
--- a/libs/quarantine/src/berylwalk/quarantine/_quarantine.py
+++ b/libs/quarantine/src/berylwalk/quarantine/_quarantine.py
@@ -10,18 +10,18 @@
 from dataclasses import dataclass
 from enum import StrEnum
 
+from berylwalk.quarantine._attribution import NOBODY, Attribution, attribute_crashes
 from berylwalk.quarantine._evidence import Evidence
 from berylwalk.quarantine._identity import Identity
-from berylwalk.quarantine._judgement import NOBODY, Judgement, judge
 from berylwalk.quarantine._messages import (
     MOST_LIVES_TOLD,
     MOST_TOLD,
-    QuarantineNews,
-    SuspectNews,
+    QuarantineUpdate,
+    SuspectUpdate,
 )
 from berylwalk.quarantine._outbox import Outbox
 
-TRIAL_AFTER_S = (60.0, 600.0)
+TRIAL_DELAYS_S = (60.0, 600.0)
 """Time from the blame, and from the trial before, to each trial, in seconds: a fleet
 that was mended is noticed within a minute, and one that was not loses two targets.
 Three sends may be made in all; the third is left to those that are on their way."""
@@ -38,7 +38,7 @@
 """Time between two looks for what is too old to count."""
 
 
-class Standing(StrEnum):
+class QuarantineStatus(StrEnum):
     """How a request is treated."""
 
     FREE = "free"
@@ -50,9 +50,9 @@
     """It is not sent without a permit for one trial."""
 
     @property
-    def is_held_back(self) -> bool:
+    def is_blocked(self) -> bool:
         """Whether it must not be sent as others are."""
-        return self in (Standing.BLAMED, Standing.TRIAL)
+        return self in (QuarantineStatus.BLAMED, QuarantineStatus.TRIAL)
 
 
 class ChangeKind(StrEnum):
@@ -63,7 +63,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Change:
+class QuarantineChange:
     """A change of what is believed of a request.
 
     Parameters
@@ -112,75 +112,75 @@
     noted : dict
         Number of ends that the store is known to have, by request.
     on_change : callable
-        Called with each `Change`.
+        Called with each `QuarantineChange`.
     on_news : callable
         Called when there is something to tell at once.
     """
 
     def __init__(self) -> None:
         self._evidence = Evidence()
-        self._judgement: Judgement = NOBODY
+        self._attribution: Attribution = NOBODY
         self._told_again_at = float("-inf")
         self._swept_at = float("-inf")
         self.blames: dict[Identity, Blame] = {}
-        self.noted: dict[Identity, int] = {}
-        self.on_change: Callable[[Change], None] = lambda _: None
-        self.on_news: Callable[[], None] = lambda: None
-        self.near = Outbox()
-        self.far = Outbox()
+        self.stored_crashes: dict[Identity, int] = {}
+        self.on_change: Callable[[QuarantineChange], None] = lambda _: None
+        self.on_urgent_update: Callable[[], None] = lambda: None
+        self.direct_outbox = Outbox()
+        self.relay_outbox = Outbox()
 
     def __len__(self) -> int:
         return len(self._evidence)
 
     # What is asked.
 
-    def standing(self, identity: Identity, now: float) -> Standing:
+    def status(self, identity: Identity, now: float) -> QuarantineStatus:
         """Return how a request is treated."""
         blame = self.blames.get(identity)
         if blame is not None:
             due_at = blame.next_trial_at
             is_due = due_at is not None and now >= due_at
-            return Standing.TRIAL if is_due else Standing.BLAMED
-        if identity in self._judgement.suspected:
-            return Standing.SUSPECTED
-        return Standing.FREE
+            return QuarantineStatus.TRIAL if is_due else QuarantineStatus.BLAMED
+        if identity in self._attribution.suspected:
+            return QuarantineStatus.SUSPECTED
+        return QuarantineStatus.FREE
 
     def retry_after_s(self, identity: Identity, now: float) -> float:
         """Return when a request that is held back may be tried again, in seconds."""
         blame = self.blames.get(identity)
         if blame is None or blame.next_trial_at is None:
-            return TRIAL_AFTER_S[-1]
+            return TRIAL_DELAYS_S[-1]
         return max(TOLD_AGAIN_S, blame.next_trial_at - now)
 
-    def ended(self, identity: Identity) -> list[str]:
+    def crashed_incarnations(self, identity: Identity) -> list[str]:
         """Return the lives of targets that ended under a request."""
-        return sorted(self._evidence.ended(identity))
+        return sorted(self._evidence.crashed_incarnations(identity))
 
     @property
     def suspected(self) -> Iterable[Identity]:
         """The requests that may be to blame, and are not."""
-        return self._judgement.suspected
+        return self._attribution.suspected
 
     # What is observed here.
 
-    def note_ended(self, identity: Identity, life_id: str, now: float) -> bool:
+    def record_crash(self, identity: Identity, life_id: str, now: float) -> bool:
         """Take that a target ended while it ran a request; True if it is news."""
         is_new = self._evidence.add(identity, life_id, now)
         if is_new:
             self._tell(identity)
-            self._judge(now)
+            self._update_attribution(now)
         return is_new
 
-    def note_answered(self, identity: Identity, now: float) -> bool:
+    def record_success(self, identity: Identity, now: float) -> bool:
         """Take that a target ran a request and went on; True if that clears it."""
-        lives = list(self._evidence.ended(identity))
+        lives = list(self._evidence.crashed_incarnations(identity))
         if not lives or not self._evidence.clear(identity, lives, now):
             return False
         self._tell(identity)
-        self._judge(now)
+        self._update_attribution(now)
         return True
 
-    def note_alive(self, life_id: str, sent_at: float, now: float) -> bool:
+    def record_alive(self, life_id: str, sent_at: float, now: float) -> bool:
         """Take that a target answered a request; True if it was taken for ended.
 
         Parameters
@@ -196,32 +196,32 @@
         ended_at = self._evidence.ended_at(life_id)
         if ended_at is None or sent_at <= ended_at:
             return False
-        self._evidence.note_alive(life_id, sent_at)
-        self.near.add_alive(life_id)
-        self.far.add_alive(life_id)
-        self._judge(now)
-        self.on_news()
+        self._evidence.record_alive(life_id, sent_at)
+        self.direct_outbox.add_alive(life_id)
+        self.relay_outbox.add_alive(life_id)
+        self._update_attribution(now)
+        self.on_urgent_update()
         return True
 
-    def sweep(self, now: float) -> None:
+    def expire(self, now: float) -> None:
         """Forget what is too old, now and then."""
         if now - self._swept_at < SWEEP_S:
             return
         self._swept_at = now
-        for identity in list(self.noted):
-            if not self._evidence.ended(identity):
-                del self.noted[identity]
+        for identity in list(self.stored_crashes):
+            if not self._evidence.crashed_incarnations(identity):
+                del self.stored_crashes[identity]
         if self._evidence.forget_old(now):
-            self._judge(now)
+            self._update_attribution(now)
 
     # What others tell.
 
-    def hear(self, news: QuarantineNews, now: float, *, is_near: bool) -> bool:
+    def merge(self, news: QuarantineUpdate, now: float, *, is_direct: bool) -> bool:
         """Take what another router told; returns whether any of it was new.
 
         Parameters
         ----------
-        news : QuarantineNews
+        news : QuarantineUpdate
             What it told.
         now : float
             Time in seconds.
@@ -231,37 +231,39 @@
         alive = [
             life_id
             for life_id, age_s in news.alive_ages_s.items()
-            if self._evidence.note_alive(life_id, now - age_s)
+            if self._evidence.record_alive(life_id, now - age_s)
         ]
-        suspects = [each for each in news.suspects if self._hear_suspect(each, now)]
-        if is_near:
+        suspects = [each for each in news.suspects if self._merge_suspect(each, now)]
+        if is_direct:
             for life_id in alive:
-                self.far.add_alive(life_id)
+                self.relay_outbox.add_alive(life_id)
             for suspect in suspects:
-                self.far.add(suspect.identity)
+                self.relay_outbox.add(suspect.identity)
         is_new = bool(alive or suspects)
         if is_new:
-            self._judge(now)
+            self._update_attribution(now)
         return is_new
 
-    def learn(
+    def merge_stored(
         self, identity: Identity, ended: Iterable[str], trials: int, now: float
     ) -> None:
         """Take what the store keeps of a request."""
         for life_id in ended:
             self._evidence.add(identity, life_id, now)
-        self._judge(now)
+        self._update_attribution(now)
         blame = self.blames.get(identity)
         if blame is not None and trials > blame.trials:
             _set_trials(blame, trials, now)
 
-    def note_recorded(self, identity: Identity, ends: int) -> None:
+    def record_stored(self, identity: Identity, ends: int) -> None:
         """Take that the store has so many ends under a request."""
-        if self._evidence.ended(identity) and ends > self.noted.get(identity, 0):
-            self.noted[identity] = ends
+        if self._evidence.crashed_incarnations(
+            identity
+        ) and ends > self.stored_crashes.get(identity, 0):
+            self.stored_crashes[identity] = ends
             self._tell(identity)
 
-    def note_trial(self, identity: Identity, trials: int, now: float) -> None:
+    def record_trial(self, identity: Identity, trials: int, now: float) -> None:
         """Take that a request was given so many trials."""
         blame = self.blames.get(identity)
         if blame is not None:
@@ -269,15 +271,15 @@
 
     # What is told.
 
-    def news(self, outbox: Outbox, now: float) -> QuarantineNews:
+    def next_update(self, outbox: Outbox, now: float) -> QuarantineUpdate:
         """Return what is to be told now; each thing is told a few times."""
         if now - self._told_again_at >= TOLD_AGAIN_S:
             self._told_again_at = now
             for identity in self.blames:
-                self.near.add_once(identity)
-                self.far.add_once(identity)
-        return QuarantineNews(
-            [self._news_of(each, now) for each in outbox.take(MOST_TOLD)],
+                self.direct_outbox.add_once(identity)
+                self.relay_outbox.add_once(identity)
+        return QuarantineUpdate(
+            [self._update_for(each, now) for each in outbox.take(MOST_TOLD)],
             {
                 life_id: _age_s(self._evidence.alive_at(life_id), now)
                 for life_id in outbox.take_alive(MOST_TOLD)
@@ -285,43 +287,49 @@
         )
 
     def _tell(self, identity: Identity) -> None:
-        self.near.add(identity)
-        self.far.add(identity)
-        self.on_news()
+        self.direct_outbox.add(identity)
+        self.relay_outbox.add(identity)
+        self.on_urgent_update()
 
-    def _news_of(self, identity: Identity, now: float) -> SuspectNews:
-        ended = list(self._evidence.ended(identity).items())[-MOST_LIVES_TOLD:]
-        return SuspectNews(
+    def _update_for(self, identity: Identity, now: float) -> SuspectUpdate:
+        ended = list(self._evidence.crashed_incarnations(identity).items())[
+            -MOST_LIVES_TOLD:
+        ]
+        return SuspectUpdate(
             identity,
             {life_id: _age_s(at, now) for life_id, at in ended},
             self._evidence.cleared(identity)[-MOST_LIVES_TOLD:],
-            self.noted.get(identity, 0),
+            self.stored_crashes.get(identity, 0),
         )
 
-    def _hear_suspect(self, suspect: SuspectNews, now: float) -> bool:
+    def _merge_suspect(self, suspect: SuspectUpdate, now: float) -> bool:
         is_new = False
         if suspect.cleared:
             is_new = self._evidence.clear(suspect.identity, suspect.cleared, now)
         for life_id, age_s in suspect.ages_s.items():
             is_new |= self._evidence.add(suspect.identity, life_id, now - age_s)
-        if suspect.noted > self.noted.get(suspect.identity, 0):
-            self.noted[suspect.identity] = suspect.noted
+        if suspect.stored_crashes > self.stored_crashes.get(suspect.identity, 0):
+            self.stored_crashes[suspect.identity] = suspect.stored_crashes
             is_new = True
         return is_new
 
-    def _judge(self, now: float) -> None:
-        self._judgement = judge(self._evidence.ended_by_identity())
+    def _update_attribution(self, now: float) -> None:
+        self._attribution = attribute_crashes(self._evidence.ended_by_identity())
         for identity in list(self.blames):
-            if identity not in self._judgement.blamed:
+            if identity not in self._attribution.blamed:
                 del self.blames[identity]
-                self.on_change(Change(ChangeKind.NO_LONGER_BLAMED, identity, ()))
-        for identity, ended in self._judgement.blamed.items():
+                self.on_change(
+                    QuarantineChange(ChangeKind.NO_LONGER_BLAMED, identity, ())
+                )
+        for identity, ended in self._attribution.blamed.items():
             if identity not in self.blames:
                 blame = self.blames[identity] = Blame(now)
                 _set_trials(blame, 0, now)
-                if identity in self._judgement.contested:
+                if identity in self._attribution.contested:
                     blame.next_trial_at = now + CONTESTED_TRIAL_AFTER_S
-                self.on_change(Change(ChangeKind.BLAMED, identity, sorted(ended)))
+                self.on_change(
+                    QuarantineChange(ChangeKind.BLAMED, identity, sorted(ended))
+                )
 
 
 def _age_s(time: float, now: float) -> float:
@@ -330,5 +338,5 @@
 
 def _set_trials(blame: Blame, trials: int, now: float) -> None:
     blame.trials = trials
-    has_more = trials < len(TRIAL_AFTER_S)
-    blame.next_trial_at = now + TRIAL_AFTER_S[trials] if has_more else None
+    has_more = trials < len(TRIAL_DELAYS_S)
+    blame.next_trial_at = now + TRIAL_DELAYS_S[trials] if has_more else None
--- a/libs/quarantine/src/berylwalk/quarantine/_records.py
+++ b/libs/quarantine/src/berylwalk/quarantine/_records.py
@@ -33,7 +33,7 @@
     return RECORDS_PREFIX + identity.hex().encode()
 
 
-def identity_of_key(key: bytes) -> Identity:
+def identity_from_key(key: bytes) -> Identity:
     """Return the request of a record.
 
     Raises
--- a/libs/quarantine/tests/test_quarantine_evidence.py
+++ b/libs/quarantine/tests/test_quarantine_evidence.py
@@ -3,7 +3,7 @@
 from itertools import permutations
 
 from berylwalk.quarantine import _evidence as evidence_module
-from berylwalk.quarantine import account_part
+from berylwalk.quarantine import account_prefix
 from berylwalk.quarantine._evidence import (
     KEPT_S,
     MOST_IN_ALL,
@@ -31,7 +31,7 @@
         for number in range(3 * MOST_OF_ACCOUNT):
             evidence.add(of_account(2, number), "other", float(number))
         assert len(evidence) == MOST_OF_ACCOUNT + 1
-        assert evidence.ended(REQUEST)
+        assert evidence.crashed_incarnations(REQUEST)
 
     def test_who_has_most_ends_stays(self):
         """A flood of the same account does not hide it."""
@@ -40,7 +40,7 @@
         evidence.add(REQUEST, "b", 0.0)
         for number in range(10, 3 * MOST_OF_ACCOUNT):
             evidence.add(of_account(1, number), "other", 1.0)
-        assert set(evidence.ended(REQUEST)) == {"a", "b"}
+        assert set(evidence.crashed_incarnations(REQUEST)) == {"a", "b"}
 
     def test_all_accounts_together(self):
         """The one with most gives way."""
@@ -56,14 +56,14 @@
         evidence = Evidence()
         for number in range(3 * MOST_LIVES):
             evidence.add(REQUEST, f"life-{number}", float(number))
-        assert len(evidence.ended(REQUEST)) == MOST_LIVES
-        assert f"life-{3 * MOST_LIVES - 1}" in evidence.ended(REQUEST)
+        assert len(evidence.crashed_incarnations(REQUEST)) == MOST_LIVES
+        assert f"life-{3 * MOST_LIVES - 1}" in evidence.crashed_incarnations(REQUEST)
 
     def test_lives_that_go_on(self):
         """They are bounded too."""
         evidence = Evidence()
         for number in range(1000):
-            evidence.note_alive(f"life-{number}", float(number))
+            evidence.record_alive(f"life-{number}", float(number))
         assert len(evidence._alive_at_by_life) == evidence_module.MOST_ALIVE
 
     def test_old_ends_are_forgotten(self):
@@ -73,7 +73,7 @@
         assert not evidence.forget_old(KEPT_S)
         assert evidence.forget_old(KEPT_S + 1)
         assert len(evidence) == 0
-        assert evidence._numbers_by_account[account_part(REQUEST)] == 0
+        assert evidence._numbers_by_account[account_prefix(REQUEST)] == 0
 
 
 class TestOrder:
@@ -84,20 +84,20 @@
         evidence = Evidence()
         evidence.clear(REQUEST, ["life"], 1.0)
         assert not evidence.add(REQUEST, "life", 0.5)
-        assert evidence.ended(REQUEST) == {}
+        assert evidence.crashed_incarnations(REQUEST) == {}
 
     def test_end_and_sign_of_life(self):
         """Only ends before the sign of life are none."""
         told = [
             lambda evidence: evidence.add(REQUEST, "life", 1.0),
-            lambda evidence: evidence.note_alive("life", 2.0),
+            lambda evidence: evidence.record_alive("life", 2.0),
             lambda evidence: evidence.add(REQUEST, "life", 3.0),
         ]
         for order in permutations(told):
             evidence = Evidence()
             for tell in order:
                 tell(evidence)
-            assert evidence.ended(REQUEST) == {"life": 3.0}
+            assert evidence.crashed_incarnations(REQUEST) == {"life": 3.0}
 
     def test_doubled_news_change_nothing(self):
         """Nor do they count as new."""
--- a/libs/quarantine/tests/test_quarantine_identity.py
+++ b/libs/quarantine/tests/test_quarantine_identity.py
@@ -1,6 +1,6 @@
 """When two requests are the same."""
 
-from berylwalk.quarantine import BodyHash, account_part, request_identity
+from berylwalk.quarantine import BodyHash, account_prefix, request_identity
 
 
 def digest(*parts):
@@ -46,5 +46,5 @@
 
     def test_account_shows(self):
         """All of an account share a part, and no other account does."""
-        assert account_part(identity()) == account_part(identity(body=b"other"))
-        assert account_part(identity()) != account_part(identity(account="b"))
+        assert account_prefix(identity()) == account_prefix(identity(body=b"other"))
+        assert account_prefix(identity()) != account_prefix(identity(account="b"))
