--- a/libs/cli/src/berylwalk/cli/_rollouts.py
+++ b/libs/cli/src/berylwalk/cli/_rollouts.py
@@ -9,7 +9,7 @@
 
 from berylwalk.cli._exit_codes import CommandError, ExitCode
 from berylwalk.platform import KeyValue, KeyValueClient, Unavailable
-from berylwalk.rollout import RECORDS_PREFIX, Record, service_of_record_key
+from berylwalk.rollout import RECORDS_PREFIX, Record, service_from_record_key
 
 
 def print_rollouts(arguments: Namespace) -> ExitCode:
@@ -45,7 +45,7 @@
 
 
 def _line(item: KeyValue) -> str:
-    service = service_of_record_key(item.key)
+    service = service_from_record_key(item.key)
     try:
         record = decode(item.value, type=Record)
     except (DecodeError, ValueError) as error:
--- a/libs/direct/src/berylwalk/direct/_configuration_feed.py
+++ b/libs/direct/src/berylwalk/direct/_configuration_feed.py
@@ -115,7 +115,7 @@
             if item.key == CONFIGURATION_KEY:
                 self._take(item, known_at)
         self._take_orders([item for item in items if is_rollout_order(item.key)])
-        self._context.rollouts.versions.note_orders_known(self.mirror.revision)
+        self._context.rollouts.versions.record_orders_known(self.mirror.revision)
 
     def _take_changes(self, events: list[WatchEvent], known_at: float) -> None:
         changed = {event.key_value.key for event in events}
--- a/libs/direct/src/berylwalk/direct/_daemon.py
+++ b/libs/direct/src/berylwalk/direct/_daemon.py
@@ -40,7 +40,7 @@
 from berylwalk.forwarding import CallerConnection, CallerRequest, TargetPool
 from berylwalk.platform import REQUEST_ID_HEADER, KeyValueClient
 from berylwalk.quarantine import Quarantine, QuarantineChange
-from berylwalk.rollout import Judged, Rollouts
+from berylwalk.rollout import Rollouts, VersionRejection
 
 KEY_TRUST_MARGIN_S = 0.5
 """Time before the bound on revoked keys at which they are no longer trusted."""
@@ -79,7 +79,7 @@
         self._quarantine_note = QuarantineNote(context, store, reach)
         context.quarantine.on_urgent_update = self._peering.tell_soon
         context.quarantine.on_change = self._note_quarantine_change
-        context.rollouts.on_judged = self._note_judged
+        context.rollouts.on_rejected = self._note_judged
         reading = self._peering.reading
         role = ReadingRole(
             leans=reading.leans, reads_for_others=reading.reads_for_others
@@ -93,8 +93,8 @@
         )
         context.on_placed = self._peering.tell_placed
         context.on_statement_news = self._peering.tell_soon
-        context.rollouts.on_news = self._peering.tell_soon
-        context.rollouts.on_orders = self._rollout_note.wake
+        context.rollouts.on_urgent_update = self._peering.tell_soon
+        context.rollouts.on_orders_changed = self._rollout_note.wake
         self._exchanges_by_connection: dict[CallerConnection, Exchange] = {}
         self._tasks: TaskGroup | None = None
         self._stopping_since: float | None = None
@@ -137,8 +137,8 @@
 
         peers = PeerTable(settings.name, settings.failure_domain)
         rollouts = Rollouts(settings.exposure, router=uuid4().hex)
-        rollouts.routers_known = peers.known
-        rollouts.at_other_versions = targets.in_flight_elsewhere
+        rollouts.router_count = peers.known
+        rollouts.in_flight_at_other_versions = targets.in_flight_elsewhere
         address = settings.store_address
         store = KeyValueClient.from_config(
             [f"http://{address.host}:{address.port}"], timeout_s=CALL_TIMEOUT_S
@@ -288,14 +288,14 @@
         )
         self._quarantine_note.wake()
 
-    def _note_judged(self, judged: Judged) -> None:
+    def _note_judged(self, judged: VersionRejection) -> None:
         self._context.log.process(
             "rollout-judged-bad",
             service=judged.order.service,
             version=judged.order.version,
             verdict=str(judged.verdict),
             route=judged.verdict.route,
-            heard=judged.heard,
+            heard=judged.from_peer,
         )
         self._rollout_note.wake()
 
--- a/libs/direct/src/berylwalk/direct/_exchange.py
+++ b/libs/direct/src/berylwalk/direct/_exchange.py
@@ -259,9 +259,9 @@
         What is sent again goes to versions that are proved.
         """
         rollouts, service = self._context.rollouts, self._admitted.service
-        if self._excluded or not rollouts.is_watched(service):
+        if self._excluded or not rollouts.is_in_progress(service):
             return None
-        rollouts.note_sent(service)
+        rollouts.count_send(service)
         route = self._admitted.route.name
         if not rollouts.take_canary(service, route, now):
             return None
@@ -270,10 +270,10 @@
         lives = [
             each.entry.life_id for each in targets if each.entry.version == version
         ]
-        group = rollouts.group(service, lives, len(targets) - len(lives), now)
+        group = rollouts.canary_targets(service, lives, len(targets) - len(lives), now)
         target = self._context.dispatcher.place_among(ticket, group, now)
         if target is None:
-            rollouts.give_back_canary(service, route)
+            rollouts.refund_canary(service, route)
         return target
 
     def _ticket(self, patience: Patience, on_place: Callable[[Target], None]) -> Ticket:
--- a/libs/direct/src/berylwalk/direct/_peer_messages.py
+++ b/libs/direct/src/berylwalk/direct/_peer_messages.py
@@ -8,7 +8,7 @@
 from berylwalk.direct._statements import StatementNews
 from berylwalk.dispatch import Peer
 from berylwalk.quarantine import QuarantineUpdate
-from berylwalk.rollout import RolloutNews
+from berylwalk.rollout import RolloutUpdate
 
 Loads = dict[str, tuple[int, int]]
 """Requests in flight and waiting prompt tokens by the life of a target."""
@@ -47,7 +47,7 @@
         Likewise the most urgent rank that was seen, and the units that it asked.
     store_well_s : float
         For how long the store has been well for it, in seconds.
-    rollouts : list of RolloutNews
+    rollouts : list of RolloutUpdate
         What it knows of roll-outs that are under way.
     """
 
@@ -61,7 +61,7 @@
     spent: dict[str, int]
     asked: dict[str, tuple[int, int]] = field(default_factory=dict)
     store_well_s: float = 0.0
-    rollouts: list[RolloutNews] = field(default_factory=list)
+    rollouts: list[RolloutUpdate] = field(default_factory=list)
 
     def to_peer(self) -> Peer:
         """Return the router as an entry of the table of peers."""
--- a/libs/direct/src/berylwalk/direct/_peering.py
+++ b/libs/direct/src/berylwalk/direct/_peering.py
@@ -224,7 +224,7 @@
         quarantine = context.quarantine.next_update(
             context.quarantine.direct_outbox, context.clock()
         )
-        rollouts = [replace(each, age_s=0.0) for each in context.rollouts.news(now)]
+        rollouts = [replace(each, age_s=0.0) for each in context.rollouts.updates(now)]
         statements = own_statements(context)
         said = [each.belief for each in statements]
         beliefs = (loads, spent, rollouts, said)
@@ -260,7 +260,7 @@
             {name: round(units) for name, units in spent.items()},
             {name: (rank, round(units)) for name, (rank, units) in asked.items()},
             round(self._reach.well_s(now), 1),
-            context.rollouts.news(now),
+            context.rollouts.updates(now),
         )
 
     def _domain_message(self, now: float) -> DomainMessage:
@@ -401,7 +401,7 @@
             now=now,
         )
         self._context.allowances.urgent_demand.hear(life_of(peer), news.asked, now)
-        self._context.rollouts.hear(life_of(peer), news.rollouts, now)
+        self._context.rollouts.merge(life_of(peer), news.rollouts, now)
         return True
 
     def _hear_of_suspects(self, news: QuarantineUpdate, *, is_near: bool) -> None:
--- a/libs/direct/src/berylwalk/direct/_rollout_note.py
+++ b/libs/direct/src/berylwalk/direct/_rollout_note.py
@@ -36,7 +36,7 @@
     Progress,
     Record,
     record_key,
-    service_of_record_key,
+    service_from_record_key,
 )
 
 RECORD_BOUND_S = 2.4
@@ -125,7 +125,7 @@
     def _wants_records(self) -> bool:
         """Return whether an order is under way, or its end is still to be told."""
         return any(
-            progress.is_open or self._wants_status(progress)
+            progress.is_active or self._wants_status(progress)
             for progress in self._context.rollouts.progresses
         )
 
@@ -177,13 +177,13 @@
             if event.kind is EventKind.PUT:
                 self._take(event.key_value)
             else:
-                service = service_of_record_key(event.key_value.key)
+                service = service_from_record_key(event.key_value.key)
                 self._revisions_by_service.pop(service, None)
         self.wake()
 
     def _take(self, item: KeyValue) -> None:
         """Take a record; one that can't be read is written anew."""
-        service = service_of_record_key(item.key)
+        service = service_from_record_key(item.key)
         known = self._revisions_by_service.get(service, 0)
         self._revisions_by_service[service] = max(known, item.mod_revision)
         try:
@@ -196,7 +196,7 @@
 
     def _adopt(self, service: str, record: Record, age_s: float | None) -> None:
         context = self._context
-        if not context.rollouts.take_record(service, record, context.clock(), age_s):
+        if not context.rollouts.merge_record(service, record, context.clock(), age_s):
             return
         context.log.process(
             "rollout-phase",
@@ -236,11 +236,11 @@
         rollouts = self._context.rollouts
         order = progress.order
         if progress.record is None:
-            former = rollouts.record(order.service)
+            former = rollouts.last_record(order.service)
             if former is not None and former.order_revision > order.revision:
                 # A newer order has been read by others.
                 return None
-            return Record.begun(order, former, self._wall_clock())
+            return Record.start(order, former, self._wall_clock())
         peers = self._context.peers
         heard = [
             life_of(peer)
@@ -249,12 +249,12 @@
         ]
         all_are_heard = len(heard) == len(peers.by_name)
         step = rollouts.next_phase(
-            progress, heard, all_are_heard=all_are_heard, now=now
+            progress, heard, all_peers_alive=all_are_heard, now=now
         )
         if step is None:
             return None
         phase, reason = step
-        return progress.record.moved(
+        return progress.record.with_phase(
             phase, reason, rollouts.versions.known(order.service)
         )
 
@@ -271,7 +271,7 @@
             case Swapped():
                 self._revisions_by_service[service] = result.mod_revision
                 self._adopt(service, record, None)
-                self._context.rollouts.on_news()
+                self._context.rollouts.on_urgent_update()
             case Conflict(current=None):
                 self._revisions_by_service.pop(service, None)
             case Conflict():
@@ -283,7 +283,7 @@
 
     def _wants_status(self, progress: Progress) -> bool:
         record = progress.record
-        return record is not None and progress.told_number < record.number
+        return record is not None and progress.reported_number < record.number
 
     async def _tell_operators(self, progress: Progress) -> None:
         """Write the status that follows from the record, unless it is there."""
@@ -296,7 +296,7 @@
         if item is not None and is_rollout_status(
             item.value, record.phase, record.version
         ):
-            progress.told_number = record.number
+            progress.reported_number = record.number
             return
         value = encode_rollout_status(record.phase, record.version)
         revision = 0 if item is None else item.mod_revision
@@ -304,7 +304,7 @@
             "write-rollout-status", self._store.compare_and_swap(key, value, revision)
         )
         if isinstance(result, Swapped):
-            progress.told_number = record.number
+            progress.reported_number = record.number
             self._context.log.process(
                 "rollout-told",
                 service=service,
--- a/libs/direct/src/berylwalk/direct/_sending.py
+++ b/libs/direct/src/berylwalk/direct/_sending.py
@@ -131,7 +131,7 @@
         """Note the send for the judgement of versions, while one is not proved."""
         context, admitted = self._context, self._admitted
         self._version_watch = None
-        if context.rollouts.is_watched(admitted.service):
+        if context.rollouts.is_in_progress(admitted.service):
             self._version_watch = VersionWatch(context, admitted, target, start)
 
     def _may_still_send(self, target: Target) -> bool:
--- a/libs/direct/src/berylwalk/direct/_target_feed.py
+++ b/libs/direct/src/berylwalk/direct/_target_feed.py
@@ -152,7 +152,7 @@
         entry = decode_target(item)
         if isinstance(entry, TargetEntry):
             versions = self._context.rollouts.versions
-            versions.note_version(entry.service, entry.version, item.mod_revision)
+            versions.record_version(entry.service, entry.version, item.mod_revision)
         if isinstance(entry, TargetEntry) and self._lacks_start(entry):
             problem = EntryProblem.WRONG_FIELD
             entry = UnusableEntry(entry.target_id, problem, NO_START)
--- a/libs/direct/src/berylwalk/direct/_version_watch.py
+++ b/libs/direct/src/berylwalk/direct/_version_watch.py
@@ -48,7 +48,7 @@
         self._target = target
         progress = context.rollouts.progress(admitted.service)
         version = progress.order.version
-        self._row = context.rollouts.row_of(
+        self._row = context.rollouts.answer_key(
             admitted.service,
             target.entry.version,
             target.entry.life_id,
@@ -96,10 +96,10 @@
             return
         if attempt.target_ended:
             life_id = self._target.entry.life_id
-            rollouts.note_end_of_target(service, life_id, is_new=self._is_new)
+            rollouts.record_crash(service, life_id, is_new=self._is_new)
             return
         if not self._is_new:
-            rollouts.note_taken(service, taken_s)
+            rollouts.record_duration(service, taken_s)
         self._note(kind)
 
     def look(self, attempt: Attempt, taken_s: float) -> None:
@@ -121,7 +121,7 @@
             return
         self._is_noted = True
         context, service = self._context, self._admitted.service
-        context.rollouts.note_answer(service, self._row, kind, context.clock())
+        context.rollouts.record_answer(service, self._row, kind, context.clock())
 
     def _kind(
         self, attempt: Attempt, taken_s: float, tokens_per_event: int
--- a/libs/direct/tests/test_direct_rollout_exposure.py
+++ b/libs/direct/tests/test_direct_rollout_exposure.py
@@ -119,7 +119,7 @@
                 context = second._context
                 await fleet.until(lambda: len(context.targets.by_id) == 5)
                 await fleet.until(lambda: context.configuration.current is not None)
-                await fleet.until(lambda: context.rollouts.record("s") is not None)
+                await fleet.until(lambda: context.rollouts.last_record("s") is not None)
                 addresses = [address, context.settings.caller_address]
                 statuses = await call_routers(fleet, addresses, calls=CALLERS * 10)
         assert statuses == [200] * len(statuses)
--- a/libs/direct/tests/test_direct_rollout_fleet.py
+++ b/libs/direct/tests/test_direct_rollout_fleet.py
@@ -125,17 +125,17 @@
     def make_rollouts(self, life):
         """Return a state that knows of no other router."""
         rollouts = Rollouts(ExposureRules(share=0.3, slack=200), router=life)
-        rollouts.routers_known = lambda: 1
+        rollouts.router_count = lambda: 1
         return rollouts
 
 
 class SeesOneRoute(Rollouts):
     """Notes the answers of one route only."""
 
-    def note_answer(self, service, row, kind, now):
+    def record_answer(self, service, row, kind, now):
         """Count an answer, if it is of that route."""
         if row.route == "r1":
-            super().note_answer(service, row, kind, now)
+            super().record_answer(service, row, kind, now)
 
 
 class EvidenceOfOneRoute(Plants):
@@ -149,7 +149,7 @@
 class LeavesTooSoon(Rollouts):
     """Says that it has left the old version as soon as the shift begins."""
 
-    def has_left(self, progress, now):
+    def has_drained(self, progress, now):
         """Return what is not known."""
         return progress.phase is Phase.SHIFTING
 
--- a/libs/direct/tests/virtual_rollout.py
+++ b/libs/direct/tests/virtual_rollout.py
@@ -269,8 +269,8 @@
         self.targets = TargetTable()
         self.rollouts = play.plants.make_rollouts(f"{name}/{life}")
         peers = PeerTable(name, domain)
-        self.rollouts.routers_known = peers.known
-        self.rollouts.at_other_versions = self.targets.in_flight_elsewhere
+        self.rollouts.router_count = peers.known
+        self.rollouts.in_flight_at_other_versions = self.targets.in_flight_elsewhere
         self.context = SimpleNamespace(
             settings=SimpleNamespace(
                 name=name,
@@ -318,9 +318,9 @@
             role=role,
             wall_clock=self.clock,
         )
-        self.rollouts.on_news = self.peering.tell_soon
-        self.rollouts.on_orders = self.note.wake
-        self.rollouts.on_judged = lambda judged: self.note.wake()
+        self.rollouts.on_urgent_update = self.peering.tell_soon
+        self.rollouts.on_orders_changed = self.note.wake
+        self.rollouts.on_rejected = lambda judged: self.note.wake()
 
     def _log(self, event, **fields):
         self.lines.append((round(self.clock(), 3), event, fields))
@@ -349,14 +349,14 @@
         """Return the target that a request goes to, and whether it is a trial."""
         now, rollouts = self.clock(), self.rollouts
         targets = self.targets.of_service(SERVICE)
-        if rollouts.is_watched(SERVICE):
-            rollouts.note_sent(SERVICE)
+        if rollouts.is_in_progress(SERVICE):
+            rollouts.count_send(SERVICE)
             if rollouts.take_canary(SERVICE, route, now):
                 version = rollouts.progress(SERVICE).order.version
                 new = [each for each in targets if each.entry.version == version]
                 lives = [each.entry.life_id for each in new]
                 others = len(targets) - len(new)
-                group = rollouts.group(SERVICE, lives, others, now)
+                group = rollouts.canary_targets(SERVICE, lives, others, now)
                 among = [
                     each
                     for each in new
@@ -364,7 +364,7 @@
                 ]
                 if among:
                     return min(among, key=lambda each: each.total_in_flight)
-                rollouts.give_back_canary(SERVICE, route)
+                rollouts.refund_canary(SERVICE, route)
         draw = self.play.random.random()
         allowed = [
             each
@@ -384,7 +384,7 @@
             return None
         rollouts, work, sent_at = self.rollouts, Work(), self.clock()
         version, life_id = target.entry.version, target.entry.life_id
-        row = rollouts.row_of(SERVICE, version, life_id, route, sent_at)
+        row = rollouts.answer_key(SERVICE, version, life_id, route, sent_at)
         target.note_sent(work, sent_at)
         engine = self.play.engines_by_id[target.entry.target_id]
         noted = []
@@ -392,7 +392,7 @@
         def note(kind):
             if row is not None and not noted:
                 noted.append(kind)
-                rollouts.note_answer(SERVICE, row, kind, self.clock())
+                rollouts.record_answer(SERVICE, row, kind, self.clock())
 
         try:
             kind = await engine.run(
@@ -402,10 +402,10 @@
             target.note_left(work, had_first_event=True)
         if not engine.is_up:
             target.note_unreachable(self.clock())
-            rollouts.note_end_of_target(SERVICE, life_id, is_new=version == NEW)
+            rollouts.record_crash(SERVICE, life_id, is_new=version == NEW)
             return kind
         if version != NEW:
-            rollouts.note_taken(SERVICE, self.clock() - sent_at)
+            rollouts.record_duration(SERVICE, self.clock() - sent_at)
         note(kind)
         return kind
 
--- a/libs/rollout/src/berylwalk/rollout/__init__.py
+++ b/libs/rollout/src/berylwalk/rollout/__init__.py
@@ -1,47 +1,54 @@
 """How much a new version of a service gets until it has shown that it is good."""
 
 from berylwalk.rollout._budget import CanaryBudget, ExposureRules
-from berylwalk.rollout._evidence import AnswerKind, Ends, Evidence, OldRow, Row, Tally
+from berylwalk.rollout._evidence import (
+    AnswerKind,
+    CrashCounts,
+    Evidence,
+    NewVersionKey,
+    OldVersionKey,
+    Tally,
+)
 from berylwalk.rollout._judgement import Verdict, judge
-from berylwalk.rollout._messages import RolloutNews
+from berylwalk.rollout._messages import RolloutUpdate
 from berylwalk.rollout._orders import Order, OrderProblem, UnusableOrder
-from berylwalk.rollout._phases import Situation, next_phase, shift_at_s
+from berylwalk.rollout._phases import PhaseInputs, next_phase, ramp_start_s
 from berylwalk.rollout._progress import Progress
 from berylwalk.rollout._records import (
     RECORDS_PREFIX,
     Phase,
     Record,
     record_key,
-    service_of_record_key,
+    service_from_record_key,
 )
-from berylwalk.rollout._rollouts import Judged, Rollouts
-from berylwalk.rollout._versions import VersionBook
+from berylwalk.rollout._rollouts import Rollouts, VersionRejection
+from berylwalk.rollout._versions import VersionRegistry
 
 __all__ = [
     "RECORDS_PREFIX",
     "AnswerKind",
     "CanaryBudget",
-    "Ends",
+    "CrashCounts",
     "Evidence",
     "ExposureRules",
-    "Judged",
-    "OldRow",
+    "NewVersionKey",
+    "OldVersionKey",
     "Order",
     "OrderProblem",
     "Phase",
+    "PhaseInputs",
     "Progress",
     "Record",
-    "RolloutNews",
+    "RolloutUpdate",
     "Rollouts",
-    "Row",
-    "Situation",
     "Tally",
     "UnusableOrder",
     "Verdict",
-    "VersionBook",
+    "VersionRegistry",
+    "VersionRejection",
     "judge",
     "next_phase",
+    "ramp_start_s",
     "record_key",
-    "service_of_record_key",
-    "shift_at_s",
+    "service_from_record_key",
 ]
--- a/libs/rollout/src/berylwalk/rollout/_budget.py
+++ b/libs/rollout/src/berylwalk/rollout/_budget.py
@@ -54,7 +54,7 @@
         """Sends that may be made now."""
         return self._left
 
-    def note_sent(self) -> None:
+    def count_send(self) -> None:
         """Count a send to the service, whatever version it goes to."""
         self._sent += 1
         self._left += SPENT_SHARE * self._rules.share
@@ -81,7 +81,7 @@
         self._taken += 1
         return True
 
-    def give_back(self) -> None:
+    def refund(self) -> None:
         """Give one back that was not made."""
         self._left += 1.0
         self._taken -= 1
--- a/libs/rollout/src/berylwalk/rollout/_evidence.py
+++ b/libs/rollout/src/berylwalk/rollout/_evidence.py
@@ -45,11 +45,11 @@
         """Return the sum of two."""
         return Tally(*(mine + theirs for mine, theirs in zip(self, other, strict=True)))
 
-    def at_least(self, other: "Tally") -> "Tally":
+    def max_with(self, other: "Tally") -> "Tally":
         """Return the larger of each number: what only grows is never told too high."""
         return Tally(*map(max, self, other))
 
-    def counted(self, kind: AnswerKind) -> "Tally":
+    def with_answer(self, kind: AnswerKind) -> "Tally":
         """Return it with one answer more."""
         return Tally(
             self.answers + 1,
@@ -58,7 +58,7 @@
         )
 
 
-class Row(NamedTuple):
+class NewVersionKey(NamedTuple):
     """What answers of the new version are told apart by.
 
     Parameters
@@ -76,7 +76,7 @@
     route: str
 
 
-class OldRow(NamedTuple):
+class OldVersionKey(NamedTuple):
     """What answers of the other versions are told apart by.
 
     Parameters
@@ -91,20 +91,20 @@
     route: str
 
 
-Sums = dict[Row, Tally]
-OldSums = dict[OldRow, Tally]
+NewTallies = dict[NewVersionKey, Tally]
+OldTallies = dict[OldVersionKey, Tally]
 
 
 @dataclass(slots=True)
-class RouterSums:
+class RouterTallies:
     """What one life of a router saw.
 
     Attributes
     ----------
     new : dict
-        Answers of the new version, by `Row`.
+        Answers of the new version, by `NewVersionKey`.
     old : dict
-        Answers of all others, by `OldRow`.
+        Answers of all others, by `OldVersionKey`.
     ended_new, ended_old : set of str
         Lives of targets of the new version, and of others, that ended under requests.
     told_ended_old : int
@@ -113,15 +113,15 @@
         When an answer was last counted there, by row, in seconds.
     """
 
-    new: Sums = field(default_factory=dict)
-    old: OldSums = field(default_factory=dict)
-    ended_new: set[str] = field(default_factory=set)
-    ended_old: set[str] = field(default_factory=set)
-    told_ended_old: int = 0
-    changed_at: dict[Row | OldRow, float] = field(default_factory=dict)
+    new: NewTallies = field(default_factory=dict)
+    old: OldTallies = field(default_factory=dict)
+    crashed_new: set[str] = field(default_factory=set)
+    crashed_old: set[str] = field(default_factory=set)
+    reported_crashed_old: int = 0
+    changed_at: dict[NewVersionKey | OldVersionKey, float] = field(default_factory=dict)
 
 
-class Ends(NamedTuple):
+class CrashCounts(NamedTuple):
     """Targets that ended under requests.
 
     Parameters
@@ -138,10 +138,12 @@
     """What all routers saw of the versions in one order."""
 
     def __init__(self) -> None:
-        self._sums_by_router: dict[str, RouterSums] = {}
+        self._sums_by_router: dict[str, RouterTallies] = {}
         self._rows = 0
 
-    def note_new(self, router: str, row: Row, kind: AnswerKind, now: float) -> None:
+    def record_new(
+        self, router: str, row: NewVersionKey, kind: AnswerKind, now: float
+    ) -> None:
         """Count an answer of the new version."""
         self._of(router).changed_at[row] = now
         sums = self._of(router).new
@@ -149,16 +151,21 @@
             if self._rows >= MOST_ROWS:
                 return
             self._rows += 1
-        sums[row] = sums.get(row, Tally()).counted(kind)
+        sums[row] = sums.get(row, Tally()).with_answer(kind)
 
-    def note_old(self, router: str, row: OldRow, kind: AnswerKind, now: float) -> None:
+    def record_old(
+        self, router: str, row: OldVersionKey, kind: AnswerKind, now: float
+    ) -> None:
         """Count an answer of another version."""
         self._of(router).changed_at[row] = now
         sums = self._of(router).old
-        sums[row] = sums.get(row, Tally()).counted(kind)
+        sums[row] = sums.get(row, Tally()).with_answer(kind)
 
-    def hear(
-        self, router: str, new: Mapping[Row, Tally], old: Mapping[OldRow, Tally]
+    def merge(
+        self,
+        router: str,
+        new: Mapping[NewVersionKey, Tally],
+        old: Mapping[OldVersionKey, Tally],
     ) -> bool:
         """Take what a router says that it saw; returns whether that is worse."""
         sums = self._of(router)
@@ -168,50 +175,52 @@
                 if self._rows >= MOST_ROWS:
                     continue
                 self._rows += 1
-            sums.new[row] = sums.new.get(row, Tally()).at_least(tally)
+            sums.new[row] = sums.new.get(row, Tally()).max_with(tally)
         for row, tally in old.items():
-            sums.old[row] = sums.old.get(row, Tally()).at_least(tally)
+            sums.old[row] = sums.old.get(row, Tally()).max_with(tally)
         return sum(tally.bad for tally in sums.new.values()) > bad_before
 
-    def note_ended(self, router: str, life_id: str, *, is_new: bool) -> None:
+    def record_crash(self, router: str, life_id: str, *, is_new: bool) -> None:
         """Count that a target ended while it ran a request."""
         sums = self._of(router)
-        (sums.ended_new if is_new else sums.ended_old).add(life_id)
+        (sums.crashed_new if is_new else sums.crashed_old).add(life_id)
 
-    def hear_ends(self, router: str, new: Iterable[str], old: int) -> bool:
+    def merge_crashes(self, router: str, new: Iterable[str], old: int) -> bool:
         """Take which ends of targets a router saw; returns whether any is news."""
         sums = self._of(router)
-        is_new = not sums.ended_new.issuperset(new)
-        sums.ended_new.update(new)
-        sums.told_ended_old = max(sums.told_ended_old, old)
+        is_new = not sums.crashed_new.issuperset(new)
+        sums.crashed_new.update(new)
+        sums.reported_crashed_old = max(sums.reported_crashed_old, old)
         return is_new
 
-    def ends(self) -> Ends:
+    def crash_counts(self) -> CrashCounts:
         """Return how many targets ended; of the others the most that one router saw."""
         all_sums = self._sums_by_router.values()
-        new = set().union(*(sums.ended_new for sums in all_sums))
-        old = [max(len(sums.ended_old), sums.told_ended_old) for sums in all_sums]
-        return Ends(len(new), max(old, default=0))
+        new = set().union(*(sums.crashed_new for sums in all_sums))
+        old = [
+            max(len(sums.crashed_old), sums.reported_crashed_old) for sums in all_sums
+        ]
+        return CrashCounts(len(new), max(old, default=0))
 
-    def of_router(self, router: str) -> RouterSums:
+    def of_router(self, router: str) -> RouterTallies:
         """Return what one life of a router saw."""
         return self._of(router)
 
-    def new(self) -> Sums:
+    def new(self) -> NewTallies:
         """Return the answers of the new version that any router saw."""
-        total: Sums = {}
+        total: NewTallies = {}
         for sums in self._sums_by_router.values():
             for row, tally in sums.new.items():
                 total[row] = total.get(row, Tally()).plus(tally)
         return total
 
-    def old(self) -> OldSums:
+    def old(self) -> OldTallies:
         """Return the answers of all other versions that any router saw."""
-        total: OldSums = {}
+        total: OldTallies = {}
         for sums in self._sums_by_router.values():
             for row, tally in sums.old.items():
                 total[row] = total.get(row, Tally()).plus(tally)
         return total
 
-    def _of(self, router: str) -> RouterSums:
-        return self._sums_by_router.setdefault(router, RouterSums())
+    def _of(self, router: str) -> RouterTallies:
+        return self._sums_by_router.setdefault(router, RouterTallies())
--- a/libs/rollout/src/berylwalk/rollout/_judgement.py
+++ b/libs/rollout/src/berylwalk/rollout/_judgement.py
@@ -11,7 +11,7 @@
 from dataclasses import dataclass
 from math import log, sqrt
 
-from berylwalk.rollout._evidence import Ends, OldRow, Row, Tally
+from berylwalk.rollout._evidence import CrashCounts, NewVersionKey, OldVersionKey, Tally
 
 ERROR_RATE = 0.005
 """Rate at which a good version is taken for a bad one at most."""
@@ -39,7 +39,7 @@
 """Targets of the new version that end under requests from which it may be bad."""
 ENDS_FACTOR = 3
 """How many times as many of them end as of the others, if it is."""
-NO_ENDS = Ends()
+NO_CRASHES = CrashCounts()
 CONVINCING = -1.0
 """Logarithm of how much better a bad version explains the answers, on each usual route,
 up to which a version may be in service alone: some seven good answers in a row."""
@@ -77,14 +77,14 @@
     log_ratio: float = 0.0
 
     @property
-    def is_enough(self) -> bool:
+    def has_enough_answers(self) -> bool:
         """Whether it was seen often enough to be taken for good."""
         return not self.is_bad and self.answers >= ENOUGH_ANSWERS
 
     @property
-    def is_convincing(self) -> bool:
+    def is_clearly_good(self) -> bool:
         """Whether what was seen speaks for a good version."""
-        return self.is_enough and self.log_ratio <= CONVINCING
+        return self.has_enough_answers and self.log_ratio <= CONVINCING
 
     def __str__(self) -> str:
         place = f" on {self.route}" if self.route else ""
@@ -93,7 +93,9 @@
 
 
 def judge(
-    new: Mapping[Row, Tally], old: Mapping[OldRow, Tally], ends: Ends = NO_ENDS
+    new: Mapping[NewVersionKey, Tally],
+    old: Mapping[OldVersionKey, Tally],
+    crash_counts: CrashCounts = NO_CRASHES,
 ) -> Verdict:
     """Judge a version.
 
@@ -137,7 +139,10 @@
                     log_ratio=log_ratio,
                 )
     seen = _sum(new.values())
-    are_ending = ends.new >= ENDS_OF_BAD and ends.new > ENDS_FACTOR * ends.old
+    are_ending = (
+        crash_counts.new >= ENDS_OF_BAD
+        and crash_counts.new > ENDS_FACTOR * crash_counts.old
+    )
     return Verdict(
         is_bad=are_ending,
         answers=seen.answers,
@@ -147,7 +152,7 @@
     )
 
 
-def _usual_routes(old: Mapping[OldRow, Tally]) -> set[str]:
+def _usual_routes(old: Mapping[OldVersionKey, Tally]) -> set[str]:
     """Return the routes that the others serve often; rare ones bring few answers."""
     answers_by_route: dict[str, int] = {}
     for row, tally in old.items():
@@ -157,7 +162,9 @@
     return {route for route, answers in answers_by_route.items() if answers >= least}
 
 
-def without_worst_targets(new: Mapping[Row, Tally]) -> dict[Row, Tally]:
+def without_worst_targets(
+    new: Mapping[NewVersionKey, Tally],
+) -> dict[NewVersionKey, Tally]:
     """Return the answers without those of the worst targets."""
     bad_by_target: dict[str, Tally] = {}
     for row, tally in new.items():
@@ -169,7 +176,7 @@
 
 
 def expected_bad_share(
-    old: Mapping[OldRow, Tally], answers_by_epoch: Mapping[int, int], route: str
+    old: Mapping[OldVersionKey, Tally], answers_by_epoch: Mapping[int, int], route: str
 ) -> float:
     """Return the share of bad answers that a good version has at most.
 
@@ -204,7 +211,7 @@
 
 
 def _recent_shares(
-    old: Mapping[OldRow, Tally], epochs: Iterable[int]
+    old: Mapping[OldVersionKey, Tally], epochs: Iterable[int]
 ) -> dict[int, float]:
     """Return the share of bad answers in and shortly before each epoch, on all routes.
 
@@ -232,7 +239,7 @@
     return seen.bad * log(worse / expected) + good * log((1 - worse) / (1 - expected))
 
 
-def _answers_by_epoch(rows: Mapping[Row, Tally]) -> dict[int, int]:
+def _answers_by_epoch(rows: Mapping[NewVersionKey, Tally]) -> dict[int, int]:
     answers: dict[int, int] = {}
     for row, tally in rows.items():
         answers[row.epoch] = answers.get(row.epoch, 0) + tally.answers
--- a/libs/rollout/src/berylwalk/rollout/_messages.py
+++ b/libs/rollout/src/berylwalk/rollout/_messages.py
@@ -4,7 +4,12 @@
 
 from msgspec import Meta, Struct, field
 
-from berylwalk.rollout._evidence import OldRow, RouterSums, Row, Tally
+from berylwalk.rollout._evidence import (
+    NewVersionKey,
+    OldVersionKey,
+    RouterTallies,
+    Tally,
+)
 
 TOLD_WHOLE = 40
 """Sums up to which all are told in each message."""
@@ -17,11 +22,11 @@
 """Ended lives in one message at most: a few of them decide."""
 Count = Annotated[int, Meta(ge=0)]
 Name = Annotated[str, Meta(max_length=200)]
-RowNews = tuple[Count, Name, Name, Count, Count, Count]
-OldRowNews = tuple[Count, Name, Count, Count, Count]
+NewTallyRow = tuple[Count, Name, Name, Count, Count, Count]
+OldTallyRow = tuple[Count, Name, Count, Count, Count]
 
 
-class RolloutNews(Struct, array_like=True):
+class RolloutUpdate(Struct, array_like=True):
     """What one router knows of one order.
 
     Parameters
@@ -41,9 +46,9 @@
     has_left : bool
         Whether it sends nothing to the old version and has nothing there.
     new : list of tuples
-        What it saw of the new version: a `Row` and its `Tally`.
+        What it saw of the new version: a `NewVersionKey` and its `Tally`.
     old : list of tuples
-        What it saw of the others: an `OldRow` and its `Tally`.
+        What it saw of the others: an `OldVersionKey` and its `Tally`.
     told_number : int
         Number of the last phase of which operators were told; -1 for none.
     ended_new : list of str
@@ -57,24 +62,28 @@
     age_s: Annotated[float, Meta(ge=0)]
     number: int = -1
     phase: Name = ""
-    is_stopped: bool = False
-    has_left: bool = False
-    new: list[RowNews] = field(default_factory=list)
-    old: list[OldRowNews] = field(default_factory=list)
-    told_number: int = -1
-    ended_new: Annotated[list[Name], Meta(max_length=64)] = field(default_factory=list)
-    ended_old: Count = 0
+    is_rejected: bool = False
+    has_drained: bool = False
+    new: list[NewTallyRow] = field(default_factory=list)
+    old: list[OldTallyRow] = field(default_factory=list)
+    reported_number: int = -1
+    crashed_new: Annotated[list[Name], Meta(max_length=64)] = field(
+        default_factory=list
+    )
+    crashed_old: Count = 0
 
-    def new_sums(self) -> dict[Row, Tally]:
+    def new_tallies(self) -> dict[NewVersionKey, Tally]:
         """Return what it saw of the new version."""
-        return {Row(*row[:3]): Tally(*row[3:]) for row in self.new}
+        return {NewVersionKey(*row[:3]): Tally(*row[3:]) for row in self.new}
 
-    def old_sums(self) -> dict[OldRow, Tally]:
+    def old_tallies(self) -> dict[OldVersionKey, Tally]:
         """Return what it saw of the others."""
-        return {OldRow(*row[:2]): Tally(*row[2:]) for row in self.old}
+        return {OldVersionKey(*row[:2]): Tally(*row[2:]) for row in self.old}
 
 
-def rows_of(sums: RouterSums, now: float) -> tuple[list[RowNews], list[OldRowNews]]:
+def rows_of(
+    sums: RouterTallies, now: float
+) -> tuple[list[NewTallyRow], list[OldTallyRow]]:
     """Return sums as they are told: all, or of many those that changed lately.
 
     The others are told again in turn, for messages are lost and routers start.
@@ -82,7 +91,7 @@
     turn = int(now / TURN_S) % TURNS
     are_few = len(sums.new) + len(sums.old) <= TOLD_WHOLE
 
-    def is_due(number: int, row: Row | OldRow) -> bool:
+    def is_due(number: int, row: NewVersionKey | OldVersionKey) -> bool:
         is_recent = now - sums.changed_at[row] <= RECENT_S
         return are_few or is_recent or number % TURNS == turn
 
--- a/libs/rollout/src/berylwalk/rollout/_phases.py
+++ b/libs/rollout/src/berylwalk/rollout/_phases.py
@@ -18,7 +18,7 @@
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class Situation:
+class PhaseInputs:
     """What decides on the next phase.
 
     Parameters
@@ -49,12 +49,12 @@
     verdict: Verdict
     phase_for_s: float = 0.0
     longest_answer_s: float = 0.0
-    has_been_stopped: bool = False
-    all_have_left: bool = False
-    all_are_heard: bool = True
+    is_rejected: bool = False
+    all_drained: bool = False
+    all_peers_alive: bool = True
 
 
-def shift_at_s(period_s: float, longest_answer_s: float) -> float:
+def ramp_start_s(period_s: float, longest_answer_s: float) -> float:
     """Return the time from the order to the ramp before the shift, in seconds.
 
     Parameters
@@ -69,36 +69,36 @@
     return period_s - min(max(drain_s, least_s), most_s)
 
 
-def next_phase(situation: Situation) -> tuple[Phase, str] | None:
+def next_phase(situation: PhaseInputs) -> tuple[Phase, str] | None:
     """Return the next phase and why it is entered; None while there is none."""
     if situation.phase.is_final:
         return None
     if situation.verdict.is_bad:
         return Phase.REVERTED, str(situation.verdict)
-    if situation.has_been_stopped:
+    if situation.is_rejected:
         return Phase.REVERTED, "judged bad by another router"
     if situation.phase is Phase.CANARY:
         return _after_canary(situation)
     if situation.phase is Phase.RAMP:
         return _after_ramp(situation)
     is_late = situation.age_s >= situation.period_s - GIVEN_UP_S
-    if situation.all_have_left and (situation.all_are_heard or is_late):
+    if situation.all_drained and (situation.all_peers_alive or is_late):
         return Phase.COMPLETED, "all routers have left the old version"
     return None
 
 
-def _after_canary(situation: Situation) -> tuple[Phase, str] | None:
+def _after_canary(situation: PhaseInputs) -> tuple[Phase, str] | None:
     if situation.age_s >= situation.period_s:
         return Phase.REVERTED, f"out of time: {situation.verdict}"
-    begins_at_s = shift_at_s(situation.period_s, situation.longest_answer_s)
-    if situation.age_s >= begins_at_s and situation.verdict.is_enough:
+    begins_at_s = ramp_start_s(situation.period_s, situation.longest_answer_s)
+    if situation.age_s >= begins_at_s and situation.verdict.has_enough_answers:
         return Phase.RAMP, str(situation.verdict)
     return None
 
 
-def _after_ramp(situation: Situation) -> tuple[Phase, str] | None:
+def _after_ramp(situation: PhaseInputs) -> tuple[Phase, str] | None:
     if situation.age_s >= situation.period_s:
         return Phase.REVERTED, f"out of time: {situation.verdict}"
-    if situation.phase_for_s >= RAMP_S and situation.verdict.is_convincing:
+    if situation.phase_for_s >= RAMP_S and situation.verdict.is_clearly_good:
         return Phase.SHIFTING, str(situation.verdict)
     return None
--- a/libs/rollout/src/berylwalk/rollout/_progress.py
+++ b/libs/rollout/src/berylwalk/rollout/_progress.py
@@ -5,7 +5,7 @@
 from berylwalk.rollout._budget import CanaryBudget
 from berylwalk.rollout._evidence import Evidence
 from berylwalk.rollout._judgement import Verdict, judge
-from berylwalk.rollout._messages import RolloutNews
+from berylwalk.rollout._messages import RolloutUpdate
 from berylwalk.rollout._orders import Order
 from berylwalk.rollout._records import Phase, Record
 
@@ -55,11 +55,11 @@
     evidence: Evidence = field(default_factory=Evidence)
     record: Record | None = None
     phase_since: float = float("inf")
-    is_stopped: bool = False
+    is_rejected: bool = False
     longest_answer_s: float = 0.0
     canaries_by_route: dict[str, int] = field(default_factory=dict)
-    told_number: int = -1
-    news_by_router: dict[str, RolloutNews] = field(default_factory=dict)
+    reported_number: int = -1
+    news_by_router: dict[str, RolloutUpdate] = field(default_factory=dict)
 
     @property
     def phase(self) -> Phase | None:
@@ -67,7 +67,7 @@
         return None if self.record is None else self.record.phase
 
     @property
-    def is_open(self) -> bool:
+    def is_active(self) -> bool:
         """Whether it has not come to its end."""
         return self.record is None or not self.record.phase.is_final
 
@@ -87,4 +87,4 @@
     def verdict(self) -> Verdict:
         """Return what is thought of the version."""
         evidence = self.evidence
-        return judge(evidence.new(), evidence.old(), evidence.ends())
+        return judge(evidence.new(), evidence.old(), evidence.crash_counts())
--- a/libs/rollout/src/berylwalk/rollout/_records.py
+++ b/libs/rollout/src/berylwalk/rollout/_records.py
@@ -64,7 +64,7 @@
     reason: str = ""
 
     @classmethod
-    def begun(cls, order: Order, former: "Record | None", now_s: float) -> Self:
+    def start(cls, order: Order, former: "Record | None", now_s: float) -> Self:
         """Return the first record of an order; an unfinished former one is reverted.
 
         Parameters
@@ -89,7 +89,9 @@
             reason="ordered",
         )
 
-    def moved(self, phase: Phase, reason: str, old_versions: Iterable[str]) -> "Record":
+    def with_phase(
+        self, phase: Phase, reason: str, old_versions: Iterable[str]
+    ) -> "Record":
         """Return the record in another phase.
 
         Parameters
@@ -120,7 +122,7 @@
     return RECORDS_PREFIX + service.encode()
 
 
-def service_of_record_key(key: bytes) -> str:
+def service_from_record_key(key: bytes) -> str:
     """Return the service whose record a key holds."""
     return key[len(RECORDS_PREFIX) :].decode(errors="replace")
 
--- a/libs/rollout/src/berylwalk/rollout/_rollouts.py
+++ b/libs/rollout/src/berylwalk/rollout/_rollouts.py
@@ -5,14 +5,19 @@
 
 from berylwalk.affinity import parts_hash
 from berylwalk.rollout._budget import SPENT_SHARE, CanaryBudget, ExposureRules
-from berylwalk.rollout._evidence import AnswerKind, OldRow, RouterSums, Row
+from berylwalk.rollout._evidence import (
+    AnswerKind,
+    NewVersionKey,
+    OldVersionKey,
+    RouterTallies,
+)
 from berylwalk.rollout._judgement import Verdict
-from berylwalk.rollout._messages import MOST_ENDS_TOLD, RolloutNews, rows_of
+from berylwalk.rollout._messages import MOST_ENDS_TOLD, RolloutUpdate, rows_of
 from berylwalk.rollout._orders import Order
-from berylwalk.rollout._phases import Situation, next_phase
+from berylwalk.rollout._phases import PhaseInputs, next_phase
 from berylwalk.rollout._progress import SHIFT_EPOCH, Progress
 from berylwalk.rollout._records import Phase, Record
-from berylwalk.rollout._versions import VersionBook
+from berylwalk.rollout._versions import VersionRegistry
 
 LONGEST_AGE_S = 2.5
 """Age of a record from which a router sends nothing to a version that is not proved: it
@@ -29,7 +34,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Judged:
+class VersionRejection:
     """A router stops sending to a version by itself.
 
     Parameters
@@ -38,13 +43,13 @@
         Which roll-out.
     verdict : Verdict
         What is thought of it.
-    heard : bool
+    from_peer : bool
         Whether another router said so.
     """
 
     order: Order
     verdict: Verdict
-    heard: bool
+    from_peer: bool
 
 
 class Rollouts:
@@ -67,7 +72,7 @@
         Returns how many own requests are at targets of a service that have another
         version than one.
     on_judged : callable
-        Called with each `Judged`.
+        Called with each `VersionRejection`.
     on_news : callable
         Called when there is something to tell at once.
     on_orders : callable
@@ -75,13 +80,15 @@
     """
 
     def __init__(self, rules: ExposureRules, *, router: str = "") -> None:
-        self.versions = VersionBook()
-        self.routers_known: Callable[[], int] = lambda: 1
+        self.versions = VersionRegistry()
+        self.router_count: Callable[[], int] = lambda: 1
         self.record_age_s: Callable[[], float] = lambda: 0.0
-        self.at_other_versions: Callable[[str, str], int] = lambda service, version: 0
-        self.on_judged: Callable[[Judged], None] = lambda _: None
-        self.on_news: Callable[[], None] = lambda: None
-        self.on_orders: Callable[[], None] = lambda: None
+        self.in_flight_at_other_versions: Callable[[str, str], int] = (
+            lambda service, version: 0
+        )
+        self.on_rejected: Callable[[VersionRejection], None] = lambda _: None
+        self.on_urgent_update: Callable[[], None] = lambda: None
+        self.on_orders_changed: Callable[[], None] = lambda: None
         self._rules = rules
         self._router = router
         self._progress_by_service: dict[str, Progress] = {}
@@ -102,17 +109,17 @@
             if known is not None and known.order == order:
                 continue
             changed = True
-            budget = CanaryBudget(self._rules, self.routers_known())
+            budget = CanaryBudget(self._rules, self.router_count())
             progress = Progress(order, now, now, budget)
             self._progress_by_service[service] = progress
             former = self._records_by_service.get(service)
             if former is not None:
                 self._adopt(progress, former, now)
         if changed:
-            self.on_orders()
+            self.on_orders_changed()
         return changed
 
-    def take_record(
+    def merge_record(
         self, service: str, record: Record, now: float, age_s: float | None = None
     ) -> bool:
         """Take a record; returns whether it is news.
@@ -147,13 +154,13 @@
             if record.phase is Phase.RAMP:
                 left_s = progress.order.period_s - progress.age_s(now)
                 progress.budget.begin_ramp(now - progress.known_since, left_s)
-            self.on_news()
+            self.on_urgent_update()
 
     def progress(self, service: str) -> Progress | None:
         """Return what is known of a service's order; None if there is none."""
         return self._progress_by_service.get(service)
 
-    def record(self, service: str) -> Record | None:
+    def last_record(self, service: str) -> Record | None:
         """Return the last record of a service, also of an earlier order."""
         return self._records_by_service.get(service)
 
@@ -162,10 +169,10 @@
         """All orders."""
         return list(self._progress_by_service.values())
 
-    def is_watched(self, service: str) -> bool:
+    def is_in_progress(self, service: str) -> bool:
         """Return whether answers of a service's versions are to be noted."""
         progress = self._progress_by_service.get(service)
-        return progress is not None and progress.is_open
+        return progress is not None and progress.is_active
 
     # What is asked for each request.
 
@@ -195,12 +202,12 @@
         if not is_ordered and record is not None and version in record.barred:
             return False
         if progress is None:
-            return version not in self.versions.waiting(service)
+            return version not in self.versions.pending(service)
         share = self._share(progress, now)
         if is_ordered:
             return draw < share
         if progress.phase is Phase.COMPLETED:
-            return version not in self.versions.waiting(service)
+            return version not in self.versions.pending(service)
         return draw >= share
 
     def _share(self, progress: Progress, now: float) -> float:
@@ -208,7 +215,7 @@
         match progress.phase:
             case Phase.COMPLETED:
                 return 1.0
-            case Phase.SHIFTING if not progress.is_stopped:
+            case Phase.SHIFTING if not progress.is_rejected:
                 return 1.0
             case None:
                 # The old targets stop when it is completed: without any it was.
@@ -216,16 +223,16 @@
                 return 0.0 if others - {progress.order.version} else 1.0
         return 0.0
 
-    def note_sent(self, service: str) -> None:
+    def count_send(self, service: str) -> None:
         """Count a first send to a service."""
         progress = self._progress_by_service.get(service)
-        if progress is not None and progress.is_open:
-            progress.budget.note_sent()
+        if progress is not None and progress.is_active:
+            progress.budget.count_send()
 
     def take_canary(self, service: str, route: str, now: float) -> bool:
         """Return whether a request is to try the new version; it is counted then."""
         progress = self._progress_by_service.get(service)
-        if progress is None or progress.is_stopped:
+        if progress is None or progress.is_rejected:
             return False
         if self.record_age_s() > LONGEST_AGE_S:
             return False
@@ -245,15 +252,15 @@
         counts[route] += 1
         return True
 
-    def give_back_canary(self, service: str, route: str) -> None:
+    def refund_canary(self, service: str, route: str) -> None:
         """Give back a canary request that found no place."""
         progress = self._progress_by_service.get(service)
         if progress is not None:
-            progress.budget.give_back()
+            progress.budget.refund()
             if progress.phase is Phase.CANARY:
                 progress.canaries_by_route[route] -= 1
 
-    def group(
+    def canary_targets(
         self, service: str, lives: Sequence[str], others: int, now: float
     ) -> set[str]:
         """Return the targets of the new version that are tried now.
@@ -283,9 +290,9 @@
 
     # What is seen.
 
-    def row_of(
+    def answer_key(
         self, service: str, version: str, life_id: str, route: str, now: float
-    ) -> Row | OldRow | None:
+    ) -> NewVersionKey | OldVersionKey | None:
         """Return what an answer is told apart by; asked when its request is sent.
 
         None if no order of the service is under way.
@@ -300,15 +307,19 @@
             Time in seconds.
         """
         progress = self._progress_by_service.get(service)
-        if progress is None or not progress.is_open:
+        if progress is None or not progress.is_active:
             return None
         epoch = progress.epoch(now)
         if version == progress.order.version:
-            return Row(epoch, life_id, route)
-        return OldRow(epoch, route)
+            return NewVersionKey(epoch, life_id, route)
+        return OldVersionKey(epoch, route)
 
-    def note_answer(
-        self, service: str, row: Row | OldRow, kind: AnswerKind, now: float
+    def record_answer(
+        self,
+        service: str,
+        row: NewVersionKey | OldVersionKey,
+        kind: AnswerKind,
+        now: float,
     ) -> None:
         """Count an answer.
 
@@ -324,90 +335,90 @@
             Time in seconds.
         """
         progress = self._progress_by_service.get(service)
-        if progress is None or not progress.is_open:
+        if progress is None or not progress.is_active:
             return
-        if isinstance(row, OldRow):
-            progress.evidence.note_old(self._router, row, kind, now)
+        if isinstance(row, OldVersionKey):
+            progress.evidence.record_old(self._router, row, kind, now)
             return
         if kind is AnswerKind.SLOW and row.epoch >= SHIFT_EPOCH:
             # There is nothing left to tell a slow version from a burst by.
             kind = AnswerKind.GOOD
-        progress.evidence.note_new(self._router, row, kind, now)
+        progress.evidence.record_new(self._router, row, kind, now)
         if kind is not AnswerKind.GOOD:
-            self.on_news()
-            self._judge(progress)
+            self.on_urgent_update()
+            self._evaluate(progress)
 
-    def note_end_of_target(self, service: str, life_id: str, *, is_new: bool) -> None:
+    def record_crash(self, service: str, life_id: str, *, is_new: bool) -> None:
         """Take that a target ended while it ran a request."""
         progress = self._progress_by_service.get(service)
-        if progress is not None and progress.is_open:
-            progress.evidence.note_ended(self._router, life_id, is_new=is_new)
-            self._judge(progress)
+        if progress is not None and progress.is_active:
+            progress.evidence.record_crash(self._router, life_id, is_new=is_new)
+            self._evaluate(progress)
 
-    def note_taken(self, service: str, taken_s: float) -> None:
+    def record_duration(self, service: str, taken_s: float) -> None:
         """Take how long an answer of the old version took."""
         progress = self._progress_by_service.get(service)
         if progress is not None:
             progress.longest_answer_s = max(progress.longest_answer_s, taken_s)
 
-    def _judge(self, progress: Progress) -> None:
-        if progress.is_stopped:
+    def _evaluate(self, progress: Progress) -> None:
+        if progress.is_rejected:
             return
         verdict = progress.verdict()
         if verdict.is_bad:
-            progress.is_stopped = True
-            self.on_judged(Judged(progress.order, verdict, heard=False))
-            self.on_news()
+            progress.is_rejected = True
+            self.on_rejected(VersionRejection(progress.order, verdict, from_peer=False))
+            self.on_urgent_update()
 
     # What routers tell each other.
 
-    def news(self, now: float) -> list[RolloutNews]:
+    def updates(self, now: float) -> list[RolloutUpdate]:
         """Return what is to be told."""
         return [
-            self._news_of(progress, now)
+            self._update_for(progress, now)
             for progress in self._progress_by_service.values()
-            if progress.is_open or now - progress.phase_since < TOLD_AFTER_END_S
+            if progress.is_active or now - progress.phase_since < TOLD_AFTER_END_S
         ]
 
-    def _news_of(self, progress: Progress, now: float) -> RolloutNews:
+    def _update_for(self, progress: Progress, now: float) -> RolloutUpdate:
         record = progress.record
-        sums = RouterSums()
-        if progress.is_open:
+        sums = RouterTallies()
+        if progress.is_active:
             sums = progress.evidence.of_router(self._router)
         new, old = rows_of(sums, now)
-        ended_new, ended_old = sorted(sums.ended_new), len(sums.ended_old)
-        return RolloutNews(
+        crashed_new, crashed_old = sorted(sums.crashed_new), len(sums.crashed_old)
+        return RolloutUpdate(
             progress.order.service,
             progress.order.revision,
             round(progress.age_s(now), 1),
             -1 if record is None else record.number,
             "" if record is None else record.phase,
-            progress.is_stopped,
-            self.has_left(progress, now),
+            progress.is_rejected,
+            self.has_drained(progress, now),
             new,
             old,
-            progress.told_number,
-            ended_new[:MOST_ENDS_TOLD],
-            ended_old,
+            progress.reported_number,
+            crashed_new[:MOST_ENDS_TOLD],
+            crashed_old,
         )
 
-    def has_left(self, progress: Progress, now: float) -> bool:
+    def has_drained(self, progress: Progress, now: float) -> bool:
         """Return whether nothing is sent to the old version, and nothing is there."""
         if progress.phase not in (Phase.SHIFTING, Phase.COMPLETED):
             return False
         if self._share(progress, now) < 1.0:
             return False
         order = progress.order
-        return self.at_other_versions(order.service, order.version) == 0
+        return self.in_flight_at_other_versions(order.service, order.version) == 0
 
-    def hear(self, router: str, news: Iterable[RolloutNews], now: float) -> None:
+    def merge(self, router: str, news: Iterable[RolloutUpdate], now: float) -> None:
         """Take what another router told.
 
         Parameters
         ----------
         router : str
             Identifies its life.
-        news : iterable of RolloutNews
+        news : iterable of RolloutUpdate
             What it told.
         now : float
             Time in seconds.
@@ -418,20 +429,26 @@
                 continue
             progress.since = min(progress.since, now - each.age_s)
             progress.news_by_router[router] = each
-            progress.told_number = max(progress.told_number, each.told_number)
-            self._hear_phase(progress, each, now)
+            progress.reported_number = max(
+                progress.reported_number, each.reported_number
+            )
+            self._merge_phase(progress, each, now)
             evidence = progress.evidence
-            is_worse = evidence.hear(router, each.new_sums(), each.old_sums())
-            is_worse |= evidence.hear_ends(router, each.ended_new, each.ended_old)
-            if each.is_stopped and not progress.is_stopped:
-                progress.is_stopped = True
+            is_worse = evidence.merge(router, each.new_tallies(), each.old_tallies())
+            is_worse |= evidence.merge_crashes(
+                router, each.crashed_new, each.crashed_old
+            )
+            if each.is_rejected and not progress.is_rejected:
+                progress.is_rejected = True
                 verdict = progress.verdict()
-                self.on_judged(Judged(progress.order, verdict, heard=True))
-                self.on_news()
+                self.on_rejected(
+                    VersionRejection(progress.order, verdict, from_peer=True)
+                )
+                self.on_urgent_update()
             elif is_worse:
-                self._judge(progress)
+                self._evaluate(progress)
 
-    def _hear_phase(self, progress: Progress, news: RolloutNews, now: float) -> None:
+    def _merge_phase(self, progress: Progress, news: RolloutUpdate, now: float) -> None:
         """Take a phase that another router knows: the store has it already."""
         record = progress.record
         known = -1 if record is None else record.number
@@ -449,7 +466,7 @@
             reason="told by another router",
         )
         if heard.phase.is_final:
-            heard = heard.moved(
+            heard = heard.with_phase(
                 heard.phase,
                 heard.reason,
                 self.versions.known(news.service),
@@ -463,9 +480,9 @@
     def next_phase(
         self,
         progress: Progress,
-        heard: Iterable[str],
+        alive_peers: Iterable[str],
         *,
-        all_are_heard: bool,
+        all_peers_alive: bool,
         now: float,
     ) -> tuple[Phase, str] | None:
         """Return the next phase of an order and why; None while there is none.
@@ -474,26 +491,26 @@
         ----------
         progress : Progress
             Of the order; its record has to be known.
-        heard : iterable of str
+        alive_peers : iterable of str
             Lives of the other routers that are heard.
         all_are_heard : bool
             Whether these are all that are listed.
         now : float
             Time in seconds.
         """
-        news = [progress.news_by_router.get(router) for router in heard]
-        have_left = all(each is not None and each.has_left for each in news)
+        news = [progress.news_by_router.get(router) for router in alive_peers]
+        have_left = all(each is not None and each.has_drained for each in news)
         return next_phase(
-            Situation(
+            PhaseInputs(
                 phase=progress.record.phase,
                 age_s=progress.age_s(now),
                 period_s=progress.order.period_s,
                 phase_for_s=now - progress.phase_since,
                 verdict=progress.verdict(),
                 longest_answer_s=progress.longest_answer_s,
-                has_been_stopped=progress.is_stopped,
-                all_have_left=have_left and self.has_left(progress, now),
-                all_are_heard=all_are_heard,
+                is_rejected=progress.is_rejected,
+                all_drained=have_left and self.has_drained(progress, now),
+                all_peers_alive=all_peers_alive,
             )
         )
 
--- a/libs/rollout/tests/test_rollout_judgement.py
+++ b/libs/rollout/tests/test_rollout_judgement.py
@@ -2,7 +2,7 @@
 
 from random import Random
 
-from berylwalk.rollout import Ends, OldRow, Row, Tally, judge
+from berylwalk.rollout import CrashCounts, NewVersionKey, OldVersionKey, Tally, judge
 
 TRIALS = 300
 ANSWERS = 150
@@ -22,10 +22,10 @@
     new, old = {}, {}
     for number in range(ANSWERS):
         epoch = number // 30
-        row = Row(epoch, f"t{epoch}{number % 3}", f"r{number % 2}")
+        row = NewVersionKey(epoch, f"t{epoch}{number % 3}", f"r{number % 2}")
         share = new_share if route in ("", row.route) else old_share
         new[row] = new.get(row, Tally()).plus(tally(random, 1, share))
-        old_row = OldRow(epoch, row.route)
+        old_row = OldVersionKey(epoch, row.route)
         old[old_row] = old.get(old_row, Tally()).plus(tally(random, 10, old_share))
         yield new, old
 
@@ -74,28 +74,30 @@
     def test_one_grey_target_of_several(self):
         """It is left out, whatever it answers."""
         new = {
-            Row(0, "grey", "r"): Tally(40, 40, 0),
-            Row(0, "well", "r"): Tally(40, 0, 0),
+            NewVersionKey(0, "grey", "r"): Tally(40, 40, 0),
+            NewVersionKey(0, "well", "r"): Tally(40, 0, 0),
         }
-        old = {OldRow(0, "r"): Tally(400, 4, 0)}
+        old = {OldVersionKey(0, "r"): Tally(400, 4, 0)}
         assert not judge(new, old).is_bad
 
     def test_first_target_alone_says_nothing(self):
         """Others come with the next epoch."""
-        new = {Row(0, "t", "r"): Tally(40, 40, 0)}
+        new = {NewVersionKey(0, "t", "r"): Tally(40, 40, 0)}
         assert not judge(new, {}).is_bad
 
     def test_two_bad_targets(self):
         """Then it is the version."""
-        rows = {Row(0, f"t{each}", "r"): Tally(20, 10, 0) for each in range(2)}
-        assert judge(rows, {OldRow(0, "r"): Tally(400, 4, 0)}).is_bad
+        rows = {
+            NewVersionKey(0, f"t{each}", "r"): Tally(20, 10, 0) for each in range(2)
+        }
+        assert judge(rows, {OldVersionKey(0, "r"): Tally(400, 4, 0)}).is_bad
 
     def test_targets_that_end_under_requests(self):
         """Three of them are the version, if the others don't end as well."""
-        new = {Row(0, "t", "r"): Tally(20, 0, 0)}
-        assert not judge(new, {}, Ends(new=2, old=0)).is_bad
-        assert judge(new, {}, Ends(new=3, old=0)).is_bad
-        assert not judge(new, {}, Ends(new=3, old=2)).is_bad
+        new = {NewVersionKey(0, "t", "r"): Tally(20, 0, 0)}
+        assert not judge(new, {}, CrashCounts(new=2, old=0)).is_bad
+        assert judge(new, {}, CrashCounts(new=3, old=0)).is_bad
+        assert not judge(new, {}, CrashCounts(new=3, old=2)).is_bad
 
 
 class TestSameSeconds:
@@ -104,12 +106,12 @@
     def test_burst_in_the_only_epoch_that_the_new_one_saw(self):
         """Though the old one's share is low over the whole time."""
         new = {
-            Row(5, "a", "r"): Tally(40, 0, 12),
-            Row(5, "b", "r"): Tally(40, 0, 12),
+            NewVersionKey(5, "a", "r"): Tally(40, 0, 12),
+            NewVersionKey(5, "b", "r"): Tally(40, 0, 12),
         }
         old = {
-            OldRow(1, "r"): Tally(2000, 0, 20),
-            OldRow(5, "r"): Tally(200, 0, 60),
+            OldVersionKey(1, "r"): Tally(2000, 0, 20),
+            OldVersionKey(5, "r"): Tally(200, 0, 60),
         }
         assert not judge(new, old).is_bad
-        assert judge(new, {OldRow(1, "r"): Tally(2000, 0, 20)}).is_bad
+        assert judge(new, {OldVersionKey(1, "r"): Tally(2000, 0, 20)}).is_bad
--- a/libs/rollout/tests/test_rollout_phases.py
+++ b/libs/rollout/tests/test_rollout_phases.py
@@ -5,12 +5,12 @@
 from berylwalk.rollout import (
     Order,
     Phase,
+    PhaseInputs,
     Record,
-    Situation,
     Verdict,
-    VersionBook,
+    VersionRegistry,
     next_phase,
-    shift_at_s,
+    ramp_start_s,
 )
 
 GOOD = Verdict(is_bad=False, answers=100, bad=1, expected_share=0.02, log_ratio=-10.0)
@@ -22,7 +22,7 @@
 def step(phase, verdict=GOOD, *, age_s=6.0, **changes):
     """Return the next phase of an order of twelve seconds."""
     values = {"phase_for_s": 5.0, "longest_answer_s": 3.0, **changes}
-    situation = Situation(
+    situation = PhaseInputs(
         phase=phase, age_s=age_s, period_s=12.0, verdict=verdict, **values
     )
     found = next_phase(situation)
@@ -36,8 +36,8 @@
         """Between a half and three quarters of the period."""
         assert step(Phase.CANARY, age_s=5.7) is None
         assert step(Phase.CANARY, age_s=6.3) is Phase.RAMP
-        assert shift_at_s(12.0, 0.1) == pytest.approx(8.7)
-        assert shift_at_s(12.0, 30.0) == 6.0
+        assert ramp_start_s(12.0, 0.1) == pytest.approx(8.7)
+        assert ramp_start_s(12.0, 30.0) == 6.0
 
     def test_few_answers_are_not_enough(self):
         """Out of time it is reverted."""
@@ -48,7 +48,7 @@
     def test_bad_version_is_reverted_in_any_phase(self, phase):
         """Also if only another router says so."""
         assert step(phase, BAD, age_s=1.0) is Phase.REVERTED
-        assert step(phase, has_been_stopped=True) is Phase.REVERTED
+        assert step(phase, is_rejected=True) is Phase.REVERTED
 
     @pytest.mark.parametrize("phase", [Phase.COMPLETED, Phase.REVERTED])
     def test_nothing_follows_the_end(self, phase):
@@ -65,7 +65,7 @@
     def test_completed_when_nobody_is_left_at_the_old_version(self):
         """Routers that aren't heard are waited for until shortly before the end."""
         assert step(Phase.SHIFTING) is None
-        assert step(Phase.SHIFTING, all_have_left=True) is Phase.COMPLETED
+        assert step(Phase.SHIFTING, all_drained=True) is Phase.COMPLETED
         unheard = {"all_have_left": True, "all_are_heard": False}
         assert step(Phase.SHIFTING, **unheard) is None
         assert step(Phase.SHIFTING, age_s=11.5, **unheard) is Phase.COMPLETED
@@ -81,24 +81,24 @@
 
     def test_reverted_version_gets_nothing_until_it_is_ordered_again(self):
         """Also while another one is rolled out."""
-        first = Record.begun(self.order(), None, 0.0)
-        reverted = first.moved(Phase.REVERTED, "bad", ["v1", "v2"])
+        first = Record.start(self.order(), None, 0.0)
+        reverted = first.with_phase(Phase.REVERTED, "bad", ["v1", "v2"])
         assert reverted.barred == ["v2"]
-        other = Record.begun(self.order("v3", 9), reverted, 0.0)
+        other = Record.start(self.order("v3", 9), reverted, 0.0)
         assert other.barred == ["v2"]
-        again = Record.begun(self.order("v2", 12), other, 0.0)
+        again = Record.start(self.order("v2", 12), other, 0.0)
         assert again.barred == ["v3"]
 
     def test_left_versions_get_nothing(self):
         """Their entries may lapse later than they stop."""
-        record = Record.begun(self.order(), None, 0.0)
-        record = record.moved(Phase.COMPLETED, "good", ["v1", "v2"])
+        record = Record.start(self.order(), None, 0.0)
+        record = record.with_phase(Phase.COMPLETED, "good", ["v1", "v2"])
         assert record.barred == ["v1"]
 
     def test_numbers_only_rise(self):
         """Over orders too."""
-        first = Record.begun(self.order(), None, 0.0)
-        second = Record.begun(self.order("v3", 9), first, 0.0)
+        first = Record.start(self.order(), None, 0.0)
+        second = Record.start(self.order("v3", 9), first, 0.0)
         assert first.number < second.number
 
 
@@ -107,18 +107,18 @@
 
     def test_version_that_appears_beside_another_waits(self):
         """Until the orders are known up to its entry."""
-        book = VersionBook()
-        book.note_version("s", "v1", 10)
-        book.note_orders_known(20)
-        book.note_version("s", "v2", 30)
-        assert list(book.waiting("s")) == ["v2"]
-        book.note_orders_known(30)
-        assert list(book.waiting("s")) == []
+        book = VersionRegistry()
+        book.record_version("s", "v1", 10)
+        book.record_orders_known(20)
+        book.record_version("s", "v2", 30)
+        assert list(book.pending("s")) == ["v2"]
+        book.record_orders_known(30)
+        assert list(book.pending("s")) == []
 
     def test_only_version_does_not_wait(self):
         """Nor do all of them, as at a start."""
-        book = VersionBook()
-        book.note_version("s", "v1", 10)
-        assert list(book.waiting("s")) == []
-        book.note_version("s", "v2", 11)
-        assert list(book.waiting("s")) == []
+        book = VersionRegistry()
+        book.record_version("s", "v1", 10)
+        assert list(book.pending("s")) == []
+        book.record_version("s", "v2", 11)
+        assert list(book.pending("s")) == []
