--- a/libs/direct/src/berylwalk/direct/_configuration_feed.py
+++ b/libs/direct/src/berylwalk/direct/_configuration_feed.py
@@ -83,7 +83,7 @@
             list_gap_s=self._list_gap_s,
             lean_s=self._lean_s,
             is_probe=True,
-            is_steady=True,
+            rarely_changes=True,
         )
         self.mirror = MirroredPrefix(
             store,
--- a/libs/direct/src/berylwalk/direct/_membership.py
+++ b/libs/direct/src/berylwalk/direct/_membership.py
@@ -12,7 +12,7 @@
 from berylwalk.direct._store_reach import StoreReach
 from berylwalk.dispatch import Peer
 from berylwalk.platform import KeyValue, KeyValueClient, Lost, Unavailable
-from berylwalk.reading import OrderedItems
+from berylwalk.reading import PrefixState
 
 MEMBERS_PREFIX = b"berylwalk/routers/"
 LEASE_S = 6.0
@@ -57,7 +57,7 @@
         self._life = life
         self._on_ended = on_ended
         self._lease_id: int | None = None
-        self._ordered = OrderedItems()
+        self._ordered = PrefixState()
         self._findings = EntryFindings(context, "member-invalid")
 
     async def leave(self) -> None:
@@ -130,7 +130,7 @@
                 continue
             failures = 0
             # A cheap list may be older than the one before.
-            if self._ordered.take_list(listing):
+            if self._ordered.apply_listing(listing):
                 self._take(self._ordered.items)
             is_alone = self._context.peers.known() == 1
             gap_s = FIRST_LIST_S if is_first and is_alone else LIST_S
--- a/libs/direct/src/berylwalk/direct/_mirrored_prefix.py
+++ b/libs/direct/src/berylwalk/direct/_mirrored_prefix.py
@@ -13,7 +13,7 @@
     UnavailableReason,
     WatchEvent,
 )
-from berylwalk.reading import OrderedItems, Word
+from berylwalk.reading import PrefixDelta, PrefixState
 
 LONGEST_HOLD_S = 8.0
 """Longest time that the store holds a watch back: each answer is paid for."""
@@ -99,8 +99,8 @@
         store whose answer is lost then still fits into the bound.
     is_probe : bool
         Whether its lists find out when the store is back after an outage.
-    is_steady : bool
-        As in `OrderedItems`.
+    rarely_changes : bool
+        As in `PrefixState`.
     """
 
     prefix: bytes
@@ -110,7 +110,7 @@
     list_gap_s: Callable[[], float | None]
     lean_s: float = 0.0
     is_probe: bool = False
-    is_steady: bool = False
+    rarely_changes: bool = False
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
@@ -173,7 +173,7 @@
         self._on_changes = on_changes
         self._on_known = on_known
         self._role = role
-        self._ordered = OrderedItems(is_steady=rules.is_steady)
+        self._ordered = PrefixState(rarely_changes=rules.rarely_changes)
         self._is_listed = False
         self._wanted = Event()
 
@@ -201,25 +201,25 @@
         """Whether the word of others would be enough in place of a call."""
         return self._is_listed and self.age_s() < self._rules.lean_s
 
-    def word(self, since: int) -> Word | None:
+    def word(self, since: int) -> PrefixDelta | None:
         """Return what is known, for a router that knows all up to a revision."""
         if not self._is_listed:
             return None
-        return self._ordered.word(self.name, since, self._clock())
+        return self._ordered.delta(self.name, since, self._clock())
 
-    def take_word(self, word: Word, asked_at: float) -> bool:
+    def take_word(self, word: PrefixDelta, asked_at: float) -> bool:
         """Take what another router knows; returns whether that is all that it knows.
 
         Parameters
         ----------
-        word : Word
+        word : PrefixDelta
             What it told.
         asked_at : float
             When it was asked.
         """
         if not self._is_listed:
             return False
-        news = self._ordered.take_word(word, asked_at)
+        news = self._ordered.apply_delta(word, asked_at)
         if news is None:
             self._wanted.set()
             return False
@@ -256,7 +256,7 @@
                 continue
             failures = 0
             self._wanted = Event()
-            if self._ordered.take_list(listing, known_at=asked_at):
+            if self._ordered.apply_listing(listing, known_at=asked_at):
                 self._on_list(self._ordered.items, listing.revision, asked_at)
             self._is_listed = True
             await self._until_due()
@@ -315,7 +315,7 @@
             # An answer without changes was held back for the whole time.
             is_calm = not changes.events and not changes.unreadable
             known_at = asked_at + (held_s if is_calm else 0.0)
-            news = self._ordered.take_changes(changes, known_at=known_at)
+            news = self._ordered.apply_changes(changes, known_at=known_at)
             self._tell(news)
             gathered_s = rules.gather_s if news else 0.0
             if gathered_s:
--- a/libs/direct/src/berylwalk/direct/_peering.py
+++ b/libs/direct/src/berylwalk/direct/_peering.py
@@ -37,7 +37,7 @@
 from berylwalk.dispatch import PEERS_OF_ONE_MESH, Knowledge, Peer, Read, Target
 from berylwalk.platform import KeyValueClient
 from berylwalk.quarantine import QuarantineUpdate
-from berylwalk.reading import ReadingAsk, ReadingTell
+from berylwalk.reading import StoreSyncReply, StoreSyncRequest
 
 TELL_S = 0.05
 """Time between two messages: half of a typical time to a first event."""
@@ -100,7 +100,11 @@
         self._placed: Loads = {}
         self._urgent = Event()
         self._decoder = msgpack.Decoder(
-            PeerMessage | DomainMessage | ReadingAsk | ReadingTell | LoadMessage
+            PeerMessage
+            | DomainMessage
+            | StoreSyncRequest
+            | StoreSyncReply
+            | LoadMessage
         )
 
     async def start(self) -> None:
@@ -331,10 +335,10 @@
         self._context.note_suspension()
         now = self._context.clock()
         match message:
-            case ReadingAsk():
+            case StoreSyncRequest():
                 self.reading.hear_ask(message)
                 return
-            case ReadingTell():
+            case StoreSyncReply():
                 self.reading.hear_tell(message)
                 return
             case LoadMessage():
--- a/libs/direct/src/berylwalk/direct/_rollout_note.py
+++ b/libs/direct/src/berylwalk/direct/_rollout_note.py
@@ -149,7 +149,7 @@
             bound_s=RECORD_BOUND_S,
             list_gap_s=lambda: LIST_S,
             lean_s=RECORD_LEAN_S,
-            is_steady=True,
+            rarely_changes=True,
         )
         return MirroredPrefix(
             self._store,
--- a/libs/direct/src/berylwalk/direct/_shared_reading.py
+++ b/libs/direct/src/berylwalk/direct/_shared_reading.py
@@ -22,7 +22,7 @@
 from berylwalk.direct._mirrored_prefix import MirroredPrefix
 from berylwalk.direct._store_reach import StoreReach
 from berylwalk.dispatch import Peer
-from berylwalk.reading import PendingAsks, ReadingAsk, ReadingTell
+from berylwalk.reading import PendingSyncs, StoreSyncReply, StoreSyncRequest
 
 LONGEST_AGE_S = 1e6
 """Logged for what was never known."""
@@ -66,7 +66,7 @@
         self._context = context
         self._reach = reach
         self._send = send
-        self._pending = PendingAsks()
+        self._pending = PendingSyncs()
         self._mirrors_by_name: dict[str, MirroredPrefix] = {}
         self._far_turns = count()
         self._way: Way | None = None
@@ -129,10 +129,10 @@
         far_domains = sorted(peers.far_domains())
         if not far_domains or not self._reach.trusts_others():
             return []
-        self._pending.keep_only(set(peers.by_name))
+        self._pending.retain(set(peers.by_name))
         reader = None if peers.is_relay(now) else peers.first_near(now)
         asked = [] if reader is None else [reader]
-        answers = reader is not None and not self._pending.is_owing(reader.name)
+        answers = reader is not None and not self._pending.has_unanswered(reader.name)
         if not answers and not self._is_fresh():
             asked += self._far_reader(far_domains, now)
         return asked
@@ -148,23 +148,23 @@
 
     def _ask(self, peer: Peer) -> None:
         settings = self._context.settings
-        ask = ReadingAsk(
+        ask = StoreSyncRequest(
             settings.name,
             settings.caller_address.host,
             settings.peer_port,
-            self._pending.ask(peer.name, self._context.clock()),
+            self._pending.start(peer.name, self._context.clock()),
             {name: each.revision for name, each in self._mirrors_by_name.items()},
         )
         self._send(msgpack.encode(ask), [peer])
 
-    def hear_ask(self, ask: ReadingAsk) -> None:
+    def hear_ask(self, ask: StoreSyncRequest) -> None:
         """Answer with what is known here."""
         words = [
             self._mirrors_by_name[name].word(since)
             for name, since in ask.revisions.items()
             if name in self._mirrors_by_name
         ]
-        tell = ReadingTell(
+        tell = StoreSyncReply(
             self._context.settings.name,
             ask.number,
             [word for word in words if word is not None],
@@ -172,13 +172,13 @@
         asker = Peer(ask.sender, ask.host, ask.port, "")
         self._send(msgpack.encode(tell), [asker])
 
-    def hear_tell(self, tell: ReadingTell) -> None:
+    def hear_tell(self, tell: StoreSyncReply) -> None:
         """Take what another router knows."""
-        asked_at = self._pending.answer(tell.number, tell.sender)
+        asked_at = self._pending.resolve(tell.number, tell.sender)
         if asked_at is None or not self._reach.trusts_others():
             return
         self._told_by = tell.sender
-        for word in tell.words:
+        for word in tell.deltas:
             mirror = self._mirrors_by_name.get(word.name)
             if mirror is None:
                 continue
--- a/libs/direct/tests/test_direct_shared_reading.py
+++ b/libs/direct/tests/test_direct_shared_reading.py
@@ -13,7 +13,7 @@
 import pytest
 from anyio import create_task_group
 
-from berylwalk.reading import OrderedItems, Word
+from berylwalk.reading import PrefixDelta, PrefixState
 from virtual_fleet import DOMAINS_BY_NAME, Network, play_fleet
 from virtual_store import ANSWER_S, configuration_value, target_value, until
 from written_truths import Truths
@@ -255,49 +255,49 @@
 
 def no_age(monkeypatch):
     """Tell all as if the store had said it just now."""
-    word = OrderedItems.word
+    word = PrefixState.delta
 
     def fresh(items, name, since, now):
         told = word(items, name, since, now)
         told.age_s = 0.0
         return told
 
-    monkeypatch.setattr(OrderedItems, "word", fresh)
+    monkeypatch.setattr(PrefixState, "delta", fresh)
 
 
 def age_of_arrival(monkeypatch):
     """Date a word by its arrival in place of the question."""
-    take = OrderedItems.take_word
+    take = PrefixState.apply_delta
 
     def dated_late(items, word, asked_at):
         from asyncio import get_running_loop
 
         return take(items, word, get_running_loop().time())
 
-    monkeypatch.setattr(OrderedItems, "take_word", dated_late)
+    monkeypatch.setattr(PrefixState, "apply_delta", dated_late)
 
 
 def revision_ignored(monkeypatch):
     """Take every word for all that there is to know."""
-    take = OrderedItems.take_word
+    take = PrefixState.apply_delta
 
     def whole(items, word, asked_at):
-        told = Word(word.name, word.revision, word.age_s, 0, 0, word.items)
+        told = PrefixDelta(word.name, word.revision, word.age_s, 0, 0, word.items)
         return take(items, told, asked_at)
 
-    monkeypatch.setattr(OrderedItems, "take_word", whole)
+    monkeypatch.setattr(PrefixState, "apply_delta", whole)
 
 
 def removed_kept(monkeypatch):
     """Leave removed items out of what is told."""
-    word = OrderedItems.word
+    word = PrefixState.delta
 
     def without_removed(items, name, since, now):
         told = word(items, name, since, now)
         told.items = [item for item in told.items if item.value is not None]
         return told
 
-    monkeypatch.setattr(OrderedItems, "word", without_removed)
+    monkeypatch.setattr(PrefixState, "delta", without_removed)
 
 
 def trust_for_ever(monkeypatch):
--- a/libs/direct/tests/virtual_fleet.py
+++ b/libs/direct/tests/virtual_fleet.py
@@ -15,7 +15,7 @@
 from berylwalk.direct._target_feed import TargetFeed
 from berylwalk.dispatch import Peer, PeerTable
 from berylwalk.platform import KeyValueClient
-from berylwalk.reading import ReadingAsk, ReadingTell
+from berylwalk.reading import StoreSyncReply, StoreSyncRequest
 from virtual_feeds import Feeds, in_virtual_time
 from virtual_store import VirtualStore
 
@@ -78,7 +78,7 @@
         settings.name = name
         settings.caller_address = SimpleNamespace(host=name)
         settings.peer_port = 1
-        self.decoder = msgpack.Decoder(ReadingAsk | ReadingTell)
+        self.decoder = msgpack.Decoder(StoreSyncRequest | StoreSyncReply)
 
     async def run(self):
         """Run the feeds, the asking and the messages between routers for ever."""
@@ -139,7 +139,7 @@
     def hear(self, data):
         """Take a message of another router."""
         message = self.decoder.decode(data)
-        if isinstance(message, ReadingAsk):
+        if isinstance(message, StoreSyncRequest):
             self.reading.hear_ask(message)
         else:
             self.reading.hear_tell(message)
--- a/libs/reading/src/berylwalk/reading/__init__.py
+++ b/libs/reading/src/berylwalk/reading/__init__.py
@@ -1,14 +1,19 @@
 """One reading of the store for many routers: what is known, asked and told."""
 
-from berylwalk.reading._asking import PendingAsks
-from berylwalk.reading._messages import ReadingAsk, ReadingTell, Word, WordItem
-from berylwalk.reading._ordered_items import OrderedItems
+from berylwalk.reading._messages import (
+    DeltaItem,
+    PrefixDelta,
+    StoreSyncReply,
+    StoreSyncRequest,
+)
+from berylwalk.reading._pending import PendingSyncs
+from berylwalk.reading._prefix_state import PrefixState
 
 __all__ = [
-    "OrderedItems",
-    "PendingAsks",
-    "ReadingAsk",
-    "ReadingTell",
-    "Word",
-    "WordItem",
+    "DeltaItem",
+    "PendingSyncs",
+    "PrefixDelta",
+    "PrefixState",
+    "StoreSyncReply",
+    "StoreSyncRequest",
 ]
--- a/libs/reading/src/berylwalk/reading/_messages.py
+++ b/libs/reading/src/berylwalk/reading/_messages.py
@@ -13,7 +13,7 @@
 """A time that has passed, in seconds."""
 
 
-class WordItem(Struct, array_like=True):
+class DeltaItem(Struct, array_like=True):
     """One changed item.
 
     Parameters
@@ -31,7 +31,7 @@
     value: bytes | None
 
 
-class Word(Struct, array_like=True):
+class PrefixDelta(Struct, array_like=True):
     """What a router knows of the items under one prefix.
 
     Parameters
@@ -57,13 +57,13 @@
     name: str
     revision: int
     age_s: Age
-    changed_at: int
-    after: int
-    items: list[WordItem]
+    last_change_revision: int
+    base_revision: int
+    items: list[DeltaItem]
     digest: int = 0
 
 
-class ReadingAsk(Struct, array_like=True, tag=3):
+class StoreSyncRequest(Struct, array_like=True, tag=3):
     """Asks a router what it knows of the store.
 
     Parameters
@@ -83,7 +83,7 @@
     revisions: dict[str, int]
 
 
-class ReadingTell(Struct, array_like=True, tag=4):
+class StoreSyncReply(Struct, array_like=True, tag=4):
     """Answers with what is known here.
 
     Parameters
@@ -98,4 +98,4 @@
 
     sender: str
     number: int
-    words: list[Word]
+    deltas: list[PrefixDelta]
--- a/libs/reading/src/berylwalk/reading/_asking.py
+++ b/libs/reading/src/berylwalk/reading/_pending.py
@@ -13,7 +13,7 @@
 """Questions that are remembered; answers to older ones are passed over."""
 
 
-class PendingAsks:
+class PendingSyncs:
     """Numbers questions and remembers when they were sent, and to whom.
 
     Attributes
@@ -27,7 +27,7 @@
         self._asked_by_number: OrderedDict[int, tuple[float, str]] = OrderedDict()
         self.unanswered_by_name: dict[str, int] = {}
 
-    def ask(self, name: str, now: float) -> int:
+    def start(self, name: str, now: float) -> int:
         """Return the number of a question that is sent to a router now."""
         number = next(self._numbers)
         self._asked_by_number[number] = (now, name)
@@ -36,7 +36,7 @@
             self._asked_by_number.popitem(last=False)
         return number
 
-    def answer(self, number: int, name: str) -> float | None:
+    def resolve(self, number: int, name: str) -> float | None:
         """Return when a question was sent; None if it was not, or not to this router.
 
         Each question is answered once.
@@ -48,11 +48,11 @@
         self.unanswered_by_name.pop(name, None)
         return asked_at
 
-    def is_owing(self, name: str) -> bool:
+    def has_unanswered(self, name: str) -> bool:
         """Return whether the last question to a router is not answered."""
         return self.unanswered_by_name.get(name, 0) > 0
 
-    def keep_only(self, names: set[str]) -> None:
+    def retain(self, names: set[str]) -> None:
         """Forget how often others than these left a question unanswered."""
         for name in set(self.unanswered_by_name) - names:
             del self.unanswered_by_name[name]
--- a/libs/reading/tests/test_reading_model.py
+++ b/libs/reading/tests/test_reading_model.py
@@ -10,7 +10,7 @@
 from itertools import count
 
 from berylwalk.platform import Changes, EventKind, KeyValue, Listing, WatchEvent
-from berylwalk.reading import OrderedItems, PendingAsks
+from berylwalk.reading import PendingSyncs, PrefixState
 
 KEY = b"k"
 ROUTERS = ("r0", "r1", "r2")
@@ -43,11 +43,11 @@
         self.losses_left = 1
         self.asks_left = MOST_ASKS
         self.reads_left = 1
-        self.items = {name: OrderedItems() for name in ROUTERS}
-        self.pending = {name: PendingAsks() for name in ROUTERS}
+        self.items = {name: PrefixState() for name in ROUTERS}
+        self.pending = {name: PendingSyncs() for name in ROUTERS}
         self.messages = []
         for items in self.items.values():
-            items.take_list(Listing((KeyValue(KEY, b"v1", 1),), 1), known_at=0.0)
+            items.apply_listing(Listing((KeyValue(KEY, b"v1", 1),), 1), known_at=0.0)
 
     def copy(self):
         """Return a state that goes on by itself; messages are never changed."""
@@ -62,7 +62,12 @@
     def key(self):
         """Return what tells this state from others."""
         known = tuple(
-            (each.revision, each.known_at, each.changed_at, self.value_at(each))
+            (
+                each.revision,
+                each.known_at,
+                each.last_change_revision,
+                self.value_at(each),
+            )
             for each in self.items.values()
         )
         return (
@@ -127,7 +132,7 @@
     def ask(self, asker, asked):
         """Let a router ask another one."""
         self.asks_left -= 1
-        number = self.pending[asker].ask(asked, self.now)
+        number = self.pending[asker].start(asked, self.now)
         since = self.items[asker].revision
         self.messages.append(("ask", asked, asker, number, since))
 
@@ -137,16 +142,16 @@
         items = self.items[receiver]
         if kind == "answer":
             changes, asked_at = rest
-            items.take_changes(changes, known_at=asked_at)
+            items.apply_changes(changes, known_at=asked_at)
         elif kind == "ask":
             asker, ask_number, since = rest
-            word = items.word("k", since, self.now)
+            word = items.delta("k", since, self.now)
             self.messages.append(("tell", asker, receiver, ask_number, word))
         else:
             sender, ask_number, word = rest
-            asked_at = self.pending[receiver].answer(ask_number, sender)
+            asked_at = self.pending[receiver].resolve(ask_number, sender)
             if asked_at is not None:
-                items.take_word(word, asked_at)
+                items.apply_delta(word, asked_at)
 
     def lose(self, number):
         """Let a message be lost."""
@@ -197,12 +202,12 @@
 
     def test_explorer_sees_a_word_without_age(self, monkeypatch):
         """A fault of the kind that it is there for."""
-        word = OrderedItems.word
+        word = PrefixState.delta
 
         def fresh(items, name, since, now):
             told = word(items, name, since, now)
             told.age_s = 0.0
             return told
 
-        monkeypatch.setattr(OrderedItems, "word", fresh)
+        monkeypatch.setattr(PrefixState, "delta", fresh)
         assert explore()[1]
--- a/libs/reading/tests/test_reading_ordered_items.py
+++ b/libs/reading/tests/test_reading_ordered_items.py
@@ -3,7 +3,7 @@
 import pytest
 
 from berylwalk.platform import Changes, EventKind, KeyValue, Listing, WatchEvent
-from berylwalk.reading import OrderedItems
+from berylwalk.reading import PrefixState
 
 
 def put(key, revision):
@@ -27,8 +27,8 @@
 @pytest.fixture
 def ordered():
     """Return items of which two are known as of revision 10."""
-    items = OrderedItems()
-    items.take_list(listing(10, a=4, b=9))
+    items = PrefixState()
+    items.apply_listing(listing(10, a=4, b=9))
     return items
 
 
@@ -42,14 +42,14 @@
 
     def test_older_list_changes_nothing(self, ordered):
         """It was answered before what a watch told."""
-        ordered.take_changes(Changes((delete(b"a", 11), put(b"b", 12)), 12))
-        assert not ordered.take_list(listing(11, b=9))
+        ordered.apply_changes(Changes((delete(b"a", 11), put(b"b", 12)), 12))
+        assert not ordered.apply_listing(listing(11, b=9))
         assert revisions(ordered) == {"b": 12}
 
     def test_older_events_are_no_news(self, ordered):
         """A list has told of them; later ones in the same answer are news."""
-        ordered.take_list(listing(20, b=18))
-        news = ordered.take_changes(
+        ordered.apply_listing(listing(20, b=18))
+        news = ordered.apply_changes(
             Changes((put(b"a", 11), delete(b"a", 15), put(b"c", 21)), 21)
         )
         assert [event.key_value.key for event in news] == [b"c"]
@@ -57,14 +57,14 @@
 
     def test_later_page_of_a_list_is_newer_than_its_revision(self, ordered):
         """The watch tells the change again, and one before it."""
-        ordered.take_list(listing(20, a=4, b=25))
-        news = ordered.take_changes(Changes((put(b"b", 22), put(b"b", 25)), 26))
+        ordered.apply_listing(listing(20, a=4, b=25))
+        news = ordered.apply_changes(Changes((put(b"b", 22), put(b"b", 25)), 26))
         assert news == []
         assert revisions(ordered) == {"a": 4, "b": 25}
 
     def test_removal_and_return(self, ordered):
         """Both are news, each once."""
         events = (delete(b"a", 11), put(b"a", 12))
-        assert len(ordered.take_changes(Changes(events, 12))) == 2
-        assert ordered.take_changes(Changes(events, 12)) == []
+        assert len(ordered.apply_changes(Changes(events, 12))) == 2
+        assert ordered.apply_changes(Changes(events, 12)) == []
         assert revisions(ordered) == {"a": 12, "b": 9}
