--- a/libs/quarantine/src/berylwalk/quarantine/__init__.py
+++ b/libs/quarantine/src/berylwalk/quarantine/__init__.py
@@ -1,4 +1,4 @@
-"""Requests that end the targets that run them: evidence, judgement, bounds."""
+"""Quarantine of requests that crash the targets which process them."""
 
 from berylwalk.quarantine._attribution import (
     CRASHES_TO_BLAME,
--- a/libs/quarantine/src/berylwalk/quarantine/_attribution.py
+++ b/libs/quarantine/src/berylwalk/quarantine/_attribution.py
@@ -1,4 +1,4 @@
-"""Who is to blame for targets that ended: the fewest requests that explain the ends."""
+"""Attributes crashes of targets to the smallest set of requests that explains them."""
 
 from collections.abc import Collection, Mapping, Set
 from dataclasses import dataclass
@@ -6,25 +6,23 @@
 from berylwalk.quarantine._identity import Identity
 
 CRASHES_TO_BLAME = 3
-"""Ends that no other request explains, from which a request is to blame. Of what is
-harmless, one in ten thousand meets three ends before it is answered where each target
-ends every twenty seconds and an answer takes a second."""
-ENDS_TO_SUSPECT = 2
-"""Ends from which a request runs apart from others: it may be the cause."""
+"""Crashes not explained by another request from which a request is blamed."""
+CRASHES_TO_SUSPECT = 2
+"""Crashes from which a request is isolated from others, as it may be the cause."""
 
 
 @dataclass(frozen=True, slots=True)
 class Attribution:
-    """What follows from the ends that are known.
+    """Requests that are held responsible for the known crashes.
 
     Parameters
     ----------
     blamed : dict
-        Lives that ended under each request that is to blame.
+        Incarnations of targets that crashed under each blamed request.
     suspected : set
-        Requests that may be the cause of some ends, and are not blamed.
+        Requests that may have caused some crashes, but are not blamed.
     contested : set
-        Those of the blamed whose ends others may have caused too.
+        Blamed requests whose crashes may have been caused by another request too.
     """
 
     blamed: dict[Identity, frozenset[str]]
@@ -32,72 +30,78 @@
     contested: Set[Identity]
 
 
-NOBODY = Attribution({}, frozenset(), frozenset())
+NO_ATTRIBUTION = Attribution({}, frozenset(), frozenset())
 
 
 def attribute_crashes(
-    lives_by_identity: Mapping[Identity, Collection[str]],
+    crashes_by_identity: Mapping[Identity, Collection[str]],
 ) -> Attribution:
-    """Return who is to blame.
+    """Return which requests are to blame for crashes.
 
-    A target that ends takes all along that it runs, so that what is harmless is found
-    under several ends too, where a request that ends targets is about. The request
-    under which most targets ended explains those ends; what is left of the others'
-    counts for the next. Requests that can't be told apart are blamed together: their
-    trials tell them apart.
+    A crash affects all requests that the target is processing, so that a harmless
+    request that runs beside a poison request gathers several crashes too. This is a
+    greedy set cover: the request with the most crashes explains them, and only the
+    crashes that are left count for the others. Requests with equally many crashes are
+    blamed together, and their trials distinguish them.
 
     Parameters
     ----------
-    lives_by_identity : mapping
-        Lives of targets that ended while they ran each request.
+    crashes_by_identity : mapping
+        Incarnations of targets that crashed while they processed each request.
     """
-    several = {
-        identity: lives
-        for identity, lives in lives_by_identity.items()
-        if len(lives) >= ENDS_TO_SUSPECT
+    repeated = {
+        identity: crashes
+        for identity, crashes in crashes_by_identity.items()
+        if len(crashes) >= CRASHES_TO_SUSPECT
+    }
+    if max(map(len, repeated.values()), default=0) < CRASHES_TO_BLAME:
+        return Attribution({}, repeated.keys(), frozenset())
+    unexplained_by_identity = {
+        identity: set(crashes) for identity, crashes in repeated.items()
     }
-    if max(map(len, several.values()), default=0) < CRASHES_TO_BLAME:
-        return Attribution({}, several.keys(), frozenset())
-    left_by_identity = {identity: set(lives) for identity, lives in several.items()}
     blamed: dict[Identity, frozenset[str]] = {}
-    while left_by_identity:
-        most = max(map(len, left_by_identity.values()))
+    while unexplained_by_identity:
+        most = max(map(len, unexplained_by_identity.values()))
         if most < CRASHES_TO_BLAME:
             break
-        worst = [each for each, lives in left_by_identity.items() if len(lives) == most]
+        worst = [
+            each
+            for each, crashes in unexplained_by_identity.items()
+            if len(crashes) == most
+        ]
         explained: set[str] = set()
         for identity in worst:
-            explained |= left_by_identity.pop(identity)
-            blamed[identity] = frozenset(lives_by_identity[identity])
-        for lives in left_by_identity.values():
-            lives -= explained
+            explained |= unexplained_by_identity.pop(identity)
+            blamed[identity] = frozenset(crashes_by_identity[identity])
+        for crashes in unexplained_by_identity.values():
+            crashes -= explained
     suspected = {
         identity
-        for identity, lives in left_by_identity.items()
-        if len(lives) >= ENDS_TO_SUSPECT
+        for identity, crashes in unexplained_by_identity.items()
+        if len(crashes) >= CRASHES_TO_SUSPECT
     }
-    return Attribution(blamed, suspected, _contested(blamed, several))
+    return Attribution(blamed, suspected, _contested(blamed, repeated))
 
 
 def _contested(
     blamed: Mapping[Identity, Set[str]],
-    several: Mapping[Identity, Collection[str]],
+    repeated: Mapping[Identity, Collection[str]],
 ) -> Set[Identity]:
-    """Return the blamed of whose ends another one has two or more too.
+    """Return the blamed requests that share two or more crashes with another request.
 
     Parameters
     ----------
     blamed : mapping
-        Ends under each of them.
-    several : mapping
-        The same of all under which several targets ended.
+        Crashes under each blamed request.
+    repeated : mapping
+        Crashes under each request that has several of them.
     """
-    others = [(identity, set(lives)) for identity, lives in several.items()]
+    others = [(identity, set(crashes)) for identity, crashes in repeated.items()]
     return {
         identity
-        for identity, lives in blamed.items()
+        for identity, crashes in blamed.items()
         if any(
-            other != identity and len(lives & others_lives) >= ENDS_TO_SUSPECT
-            for other, others_lives in others
+            other != identity and len(crashes & other_crashes) >= CRASHES_TO_SUSPECT
+            for other, other_crashes in others
         )
     }
--- a/libs/quarantine/src/berylwalk/quarantine/_evidence.py
+++ b/libs/quarantine/src/berylwalk/quarantine/_evidence.py
@@ -1,8 +1,7 @@
-"""Which requests targets were running when they ended, as all routers saw it.
+"""Crashes of targets by the requests that they were processing, as seen by all routers.
 
-All that is known only grows: ends under a request, ends of which it was cleared, and
-until when lives have surely gone on. So it comes out the same in whatever order, and
-however often, routers hear of it.
+All updates are commutative and idempotent, so that routers converge on the same state
+in whatever order, and however often, they receive them.
 """
 
 from collections import Counter, OrderedDict
@@ -11,164 +10,180 @@
 
 from berylwalk.quarantine._identity import Identity, account_prefix
 
-MOST_OF_ACCOUNT = 256
-"""Requests of one account that are remembered: a few ends of full targets."""
-MOST_IN_ALL = 4096
-"""The same of all accounts: about two megabytes."""
-MOST_LIVES = 16
-"""Ends that are remembered of one request, the newest; three blame it."""
-MOST_CLEARED = 16
-"""Ends of which one request is remembered to be cleared."""
-MOST_ALIVE = 256
-"""Lives that are remembered to have gone on."""
-KEPT_S = 3600.0
-"""Time for which an end counts, in seconds: a request may come again after minutes, and
-a harmless one is answered long before."""
+MAX_SUSPECTS_PER_ACCOUNT = 256
+MAX_SUSPECTS = 4096
+MAX_CRASHES_PER_SUSPECT = 16
+"""The newest crashes are kept."""
+MAX_CLEARED_PER_SUSPECT = 16
+MAX_ALIVE_INCARNATIONS = 256
+RETENTION_S = 3600.0
+"""Time for which a crash counts: a caller may retry its request minutes later."""
 
 
 @dataclass(slots=True)
 class _Suspect:
-    """Ends under one request, and those of which it was cleared, with their times."""
+    """Times of the crashes under one request, and of those it was cleared of."""
 
-    ended: dict[str, float] = field(default_factory=dict)
+    crashed: dict[str, float] = field(default_factory=dict)
     cleared: dict[str, float] = field(default_factory=dict)
 
     @property
-    def weight(self) -> tuple[int, float]:
-        """What counts for keeping it: the ends, then how new they are."""
-        return len(self.ended), max(self.ended.values(), default=float("-inf"))
-
-    def forget_before(self, time: float) -> bool:
-        """Drop what is older; returns whether that was an end."""
-        old = [life_id for life_id, at in self.ended.items() if at < time]
-        for life_id in old:
-            del self.ended[life_id]
-        for life_id in [each for each, at in self.cleared.items() if at < time]:
-            del self.cleared[life_id]
+    def priority(self) -> tuple[int, float]:
+        """Number of crashes and time of the newest one; the lowest is evicted first."""
+        return len(self.crashed), max(self.crashed.values(), default=float("-inf"))
+
+    def expire_before(self, time: float) -> bool:
+        """Drop older entries; returns whether a crash was among them."""
+        old = [
+            incarnation_id for incarnation_id, at in self.crashed.items() if at < time
+        ]
+        for incarnation_id in old:
+            del self.crashed[incarnation_id]
+        for incarnation_id in [each for each, at in self.cleared.items() if at < time]:
+            del self.cleared[incarnation_id]
         return bool(old)
 
 
 class Evidence:
-    """Ends of targets by the requests that they ran.
+    """Crashes of targets by the requests that they were processing.
 
-    What one account fills is bounded, and takes no place of another one: where there
-    is no room, the account that has most loses the request that is least suspect.
+    Memory is bounded for each account and in total. When the total is reached, the
+    account with the most requests loses the one with the fewest crashes, so that no
+    account can evict the requests of a smaller one.
     """
 
     def __init__(self) -> None:
         self._suspects: dict[Identity, _Suspect] = {}
-        self._numbers_by_account: Counter[bytes] = Counter()
-        self._ended_at_by_life: dict[str, float] = {}
-        self._alive_at_by_life: OrderedDict[str, float] = OrderedDict()
+        self._counts_by_account: Counter[bytes] = Counter()
+        self._crashed_at_by_incarnation: dict[str, float] = {}
+        self._alive_at_by_incarnation: OrderedDict[str, float] = OrderedDict()
 
     def __len__(self) -> int:
         return len(self._suspects)
 
-    def add(self, identity: Identity, life_id: str, ended_at: float) -> bool:
-        """Take an end under a request; returns whether it is new."""
-        if ended_at < self._alive_at_by_life.get(life_id, float("-inf")):
+    def add_crash(
+        self, identity: Identity, incarnation_id: str, crashed_at: float
+    ) -> bool:
+        """Add a crash under a request; returns whether it is new."""
+        if crashed_at < self._alive_at_by_incarnation.get(
+            incarnation_id, float("-inf")
+        ):
             return False
         suspect = self._suspect(identity)
-        if life_id in suspect.cleared:
+        if incarnation_id in suspect.cleared:
             return False
-        if life_id in suspect.ended:
-            suspect.ended[life_id] = max(ended_at, suspect.ended[life_id])
+        if incarnation_id in suspect.crashed:
+            suspect.crashed[incarnation_id] = max(
+                crashed_at, suspect.crashed[incarnation_id]
+            )
             return False
-        suspect.ended[life_id] = ended_at
-        if len(suspect.ended) > MOST_LIVES:
-            # Others may explain all the old ones: it must not be safe behind them.
-            del suspect.ended[min(suspect.ended, key=suspect.ended.__getitem__)]
-        newest_at = self._ended_at_by_life.get(life_id, ended_at)
-        self._ended_at_by_life[life_id] = max(newest_at, ended_at)
+        suspect.crashed[incarnation_id] = crashed_at
+        if len(suspect.crashed) > MAX_CRASHES_PER_SUSPECT:
+            # Old crashes may all be attributed to other requests: keep the new ones.
+            del suspect.crashed[min(suspect.crashed, key=suspect.crashed.__getitem__)]
+        newest_at = self._crashed_at_by_incarnation.get(incarnation_id, crashed_at)
+        self._crashed_at_by_incarnation[incarnation_id] = max(newest_at, crashed_at)
         return True
 
-    def clear(self, identity: Identity, life_ids: Iterable[str], now: float) -> bool:
-        """Take that a request did not cause some ends; returns whether that is new."""
+    def clear(
+        self, identity: Identity, incarnation_ids: Iterable[str], now: float
+    ) -> bool:
+        """Clear a request of some crashes; returns whether any of that is new."""
         suspect = self._suspect(identity)
-        new = [life_id for life_id in life_ids if life_id not in suspect.cleared]
-        for life_id in new:
-            suspect.ended.pop(life_id, None)
-            suspect.cleared[life_id] = now
-        for life_id in list(suspect.cleared)[:-MOST_CLEARED]:
-            del suspect.cleared[life_id]
+        new = [
+            incarnation_id
+            for incarnation_id in incarnation_ids
+            if incarnation_id not in suspect.cleared
+        ]
+        for incarnation_id in new:
+            suspect.crashed.pop(incarnation_id, None)
+            suspect.cleared[incarnation_id] = now
+        for incarnation_id in list(suspect.cleared)[:-MAX_CLEARED_PER_SUSPECT]:
+            del suspect.cleared[incarnation_id]
         return bool(new)
 
-    def ended_at(self, life_id: str) -> float | None:
-        """Return when a life was last seen to end; None if it was not."""
-        return self._ended_at_by_life.get(life_id)
+    def crashed_at(self, incarnation_id: str) -> float | None:
+        """Return the time of an incarnation's last known crash; None if there is none.
 
-    def record_alive(self, life_id: str, alive_at: float) -> bool:
-        """Take that a life had not ended by some time; returns whether ends are gone.
+        Several routers may date the same crash differently.
+        """
+        return self._crashed_at_by_incarnation.get(incarnation_id)
+
+    def record_alive(self, incarnation_id: str, alive_at: float) -> bool:
+        """Record that an incarnation was running at some time.
 
-        It may have ended after it.
+        Drops its crashes before that time, which were false. Returns whether there
+        were any.
         """
-        if alive_at <= self._alive_at_by_life.get(life_id, float("-inf")):
+        if alive_at <= self._alive_at_by_incarnation.get(incarnation_id, float("-inf")):
             return False
-        self._alive_at_by_life[life_id] = alive_at
-        self._alive_at_by_life.move_to_end(life_id)
-        while len(self._alive_at_by_life) > MOST_ALIVE:
-            self._alive_at_by_life.popitem(last=False)
-        if self._ended_at_by_life.get(life_id, float("inf")) < alive_at:
-            del self._ended_at_by_life[life_id]
+        self._alive_at_by_incarnation[incarnation_id] = alive_at
+        self._alive_at_by_incarnation.move_to_end(incarnation_id)
+        while len(self._alive_at_by_incarnation) > MAX_ALIVE_INCARNATIONS:
+            self._alive_at_by_incarnation.popitem(last=False)
+        if self._crashed_at_by_incarnation.get(incarnation_id, float("inf")) < alive_at:
+            del self._crashed_at_by_incarnation[incarnation_id]
         dropped = False
         for suspect in self._suspects.values():
-            if suspect.ended.get(life_id, float("inf")) < alive_at:
-                del suspect.ended[life_id]
+            if suspect.crashed.get(incarnation_id, float("inf")) < alive_at:
+                del suspect.crashed[incarnation_id]
                 dropped = True
         return dropped
 
-    def alive_at(self, life_id: str) -> float:
-        """Return until when a life has surely gone on."""
-        return self._alive_at_by_life.get(life_id, float("-inf"))
+    def last_alive_at(self, incarnation_id: str) -> float:
+        """Return when an incarnation was last known to be running."""
+        return self._alive_at_by_incarnation.get(incarnation_id, float("-inf"))
 
-    def forget_old(self, now: float) -> bool:
-        """Drop what is too old to count; returns whether an end was."""
+    def expire(self, now: float) -> bool:
+        """Drop entries older than `RETENTION_S`; returns whether a crash was."""
         dropped = False
         for identity, suspect in list(self._suspects.items()):
-            dropped |= suspect.forget_before(now - KEPT_S)
-            if not suspect.ended and not suspect.cleared:
+            dropped |= suspect.expire_before(now - RETENTION_S)
+            if not suspect.crashed and not suspect.cleared:
                 self._drop(identity)
-        counted = {
-            life for suspect in self._suspects.values() for life in suspect.ended
+        retained = {
+            incarnation_id
+            for suspect in self._suspects.values()
+            for incarnation_id in suspect.crashed
         }
-        for life_id in list(self._ended_at_by_life):
-            if life_id not in counted:
-                del self._ended_at_by_life[life_id]
+        for incarnation_id in list(self._crashed_at_by_incarnation):
+            if incarnation_id not in retained:
+                del self._crashed_at_by_incarnation[incarnation_id]
         return dropped
 
     def crashed_incarnations(self, identity: Identity) -> dict[str, float]:
-        """Return the lives that ended under a request, with the times of their ends."""
+        """Return the incarnations that crashed under a request, with the times."""
         suspect = self._suspects.get(identity)
-        return {} if suspect is None else suspect.ended
+        return {} if suspect is None else suspect.crashed
 
     def cleared(self, identity: Identity) -> list[str]:
-        """Return the lives of whose ends a request was cleared."""
+        """Return the incarnations whose crashes a request was cleared of."""
         suspect = self._suspects.get(identity)
         return [] if suspect is None else list(suspect.cleared)
 
-    def ended_by_identity(self) -> dict[Identity, dict[str, float]]:
-        """Return the same as `ended` of all requests."""
-        return {each: suspect.ended for each, suspect in self._suspects.items()}
+    def crashes_by_identity(self) -> dict[Identity, dict[str, float]]:
+        """Return the `crashed_incarnations` of all requests."""
+        return {each: suspect.crashed for each, suspect in self._suspects.items()}
 
     def _suspect(self, identity: Identity) -> _Suspect:
         suspect = self._suspects.get(identity)
         if suspect is None:
             self._make_room(account_prefix(identity))
             suspect = self._suspects[identity] = _Suspect()
-            self._numbers_by_account[account_prefix(identity)] += 1
+            self._counts_by_account[account_prefix(identity)] += 1
         return suspect
 
     def _make_room(self, account: bytes) -> None:
-        if self._numbers_by_account[account] >= MOST_OF_ACCOUNT:
-            self._drop_least(account)
-        elif len(self._suspects) >= MOST_IN_ALL:
-            ((largest, _),) = self._numbers_by_account.most_common(1)
-            self._drop_least(largest)
+        if self._counts_by_account[account] >= MAX_SUSPECTS_PER_ACCOUNT:
+            self._evict_lowest(account)
+        elif len(self._suspects) >= MAX_SUSPECTS:
+            ((largest, _),) = self._counts_by_account.most_common(1)
+            self._evict_lowest(largest)
 
-    def _drop_least(self, account: bytes) -> None:
+    def _evict_lowest(self, account: bytes) -> None:
         own = (each for each in self._suspects if account_prefix(each) == account)
-        self._drop(min(own, key=lambda each: self._suspects[each].weight))
+        self._drop(min(own, key=lambda each: self._suspects[each].priority))
 
     def _drop(self, identity: Identity) -> None:
         del self._suspects[identity]
-        self._numbers_by_account[account_prefix(identity)] -= 1
+        self._counts_by_account[account_prefix(identity)] -= 1
--- a/libs/quarantine/src/berylwalk/quarantine/_identity.py
+++ b/libs/quarantine/src/berylwalk/quarantine/_identity.py
@@ -1,44 +1,40 @@
-"""Which requests are the same, whatever their ids and headers are."""
+"""Hashes that identify a request across its retries."""
 
 from hashlib import blake2b
 
 ACCOUNT_BYTES = 4
-"""Leading bytes of an identity that are its account's, in bytes: what one account fills
-is bounded by them. Two of 690 accounts share them once in 18,000 fleets, and then a
-bound."""
+"""Leading bytes of an identity, which identify the client account."""
 CONTENT_BYTES = 12
-"""Bytes of an identity that are the request's, in bytes: nobody finds a second request
-with those of another one."""
+"""Remaining bytes of an identity, which identify the request."""
 PERSON = b"berylwalk-runs"
-"""Makes these hashes differ from all others of the same content."""
+"""Personalization of the hash function: separates these hashes from others."""
 
 Identity = bytes
-"""Account and content of a request, hashed."""
+"""Hash of a request's account and content."""
 
 
 class BodyHash:
-    """Hashes a body as it comes, in parts."""
+    """Incremental hash of a request body."""
 
     def __init__(self) -> None:
         self._hash = blake2b(digest_size=CONTENT_BYTES, person=PERSON)
 
     def add(self, data: bytes) -> None:
-        """Take the next part."""
+        """Add the next chunk of the body."""
         self._hash.update(data)
 
     def digest(self) -> bytes:
-        """Return the hash of all that was taken."""
+        """Return the hash of the chunks added so far."""
         return self._hash.digest()
 
 
 def request_identity(
     account: str | None, method: bytes, target: bytes, body_digest: bytes
 ) -> Identity:
-    """Return what a request has in common with its returns, and with no other.
+    """Return the identity that a request shares with its retries, and no other has.
 
-    Headers are left out: the id of the attempt, the time limit and what clients add
-    change from one return to the next. So is the host, since the same service may have
-    several.
+    Headers are left out: the attempt id, the timeout and headers that clients add
+    change between retries. So is the host, since a service may have several.
 
     Parameters
     ----------
@@ -52,12 +48,12 @@
     caller = blake2b(digest_size=ACCOUNT_BYTES, person=PERSON)
     caller.update((account or "").encode())
     content = blake2b(digest_size=CONTENT_BYTES, person=PERSON)
-    # Neither a method nor a target holds a space.
+    # Neither a method nor a target contains a space, so the encoding is unambiguous.
     content.update(b"%s %s " % (method, target))
     content.update(body_digest)
     return caller.digest() + content.digest()
 
 
 def account_prefix(identity: Identity) -> bytes:
-    """Return the part of an identity that all requests of an account share."""
+    """Return the leading bytes that all requests of an account share."""
     return identity[:ACCOUNT_BYTES]
--- a/libs/quarantine/src/berylwalk/quarantine/_outbox.py
+++ b/libs/quarantine/src/berylwalk/quarantine/_outbox.py
@@ -1,55 +1,56 @@
-"""What is still to be told, and how often."""
+"""Queue of the updates that are still to be sent to other routers."""
 
 from collections import OrderedDict
 
 from berylwalk.quarantine._identity import Identity
 
-TIMES_TOLD = 4
-"""Messages in which each thing is told: of a hundred that lose three in a hundred
-messages each, all hear of it."""
+TRANSMISSIONS = 4
+"""Messages in which each item is sent, as datagrams may be lost."""
 
 
 class Outbox:
-    """Requests and lives that are to be told of, the oldest first."""
+    """Requests and incarnations with pending transmissions, the oldest first."""
 
     def __init__(self) -> None:
-        self._times_by_identity: OrderedDict[Identity, int] = OrderedDict()
-        self._times_by_life: OrderedDict[str, int] = OrderedDict()
+        self._transmissions_by_identity: OrderedDict[Identity, int] = OrderedDict()
+        self._transmissions_by_incarnation: OrderedDict[str, int] = OrderedDict()
 
     def __bool__(self) -> bool:
-        return bool(self._times_by_identity or self._times_by_life)
+        return bool(
+            self._transmissions_by_identity or self._transmissions_by_incarnation
+        )
 
     def add(self, identity: Identity) -> None:
-        """Have a request told of, as it then stands."""
-        self._times_by_identity[identity] = TIMES_TOLD
+        """Schedule a request, to be sent with its state at that time."""
+        self._transmissions_by_identity[identity] = TRANSMISSIONS
 
     def add_once(self, identity: Identity) -> None:
-        """Have a request told of once at least."""
-        self._times_by_identity.setdefault(identity, 1)
+        """Schedule a request for one transmission if none is pending."""
+        self._transmissions_by_identity.setdefault(identity, 1)
 
-    def add_alive(self, life_id: str) -> None:
-        """Have it told that a life goes on."""
-        self._times_by_life[life_id] = TIMES_TOLD
+    def add_alive(self, incarnation_id: str) -> None:
+        """Schedule that an incarnation is running."""
+        self._transmissions_by_incarnation[incarnation_id] = TRANSMISSIONS
 
-    def take(self, most: int) -> list[Identity]:
-        """Return requests to tell of now."""
-        return _take(self._times_by_identity, most)
+    def take(self, limit: int) -> list[Identity]:
+        """Return the requests to send now."""
+        return _take(self._transmissions_by_identity, limit)
 
-    def take_alive(self, most: int) -> list[str]:
-        """Return lives to tell of now."""
-        return _take(self._times_by_life, most)
+    def take_alive(self, limit: int) -> list[str]:
+        """Return the running incarnations to send now."""
+        return _take(self._transmissions_by_incarnation, limit)
 
     def clear(self) -> None:
-        """Drop all: another router tells it."""
-        self._times_by_identity.clear()
-        self._times_by_life.clear()
-
-
-def _take(times_by_name: OrderedDict, most: int) -> list:
-    """Return the first names; those that are to be told again go last."""
-    taken = list(times_by_name)[:most]
-    for name in taken:
-        times = times_by_name.pop(name) - 1
-        if times > 0:
-            times_by_name[name] = times
+        """Drop all pending transmissions: another router sends them."""
+        self._transmissions_by_identity.clear()
+        self._transmissions_by_incarnation.clear()
+
+
+def _take(transmissions_by_key: OrderedDict, limit: int) -> list:
+    """Return the first keys; those with transmissions left go to the end."""
+    taken = list(transmissions_by_key)[:limit]
+    for key in taken:
+        left = transmissions_by_key.pop(key) - 1
+        if left > 0:
+            transmissions_by_key[key] = left
     return taken
--- a/libs/quarantine/src/berylwalk/quarantine/_quarantine.py
+++ b/libs/quarantine/src/berylwalk/quarantine/_quarantine.py
@@ -1,41 +1,41 @@
-"""Whether a request may be sent to targets, by what ended under it before.
+"""Quarantine state: whether a request may be sent to targets.
 
-A request is noted while it runs, and held back if those that ran it ended: the way in
-which databases and queues treat a "query of death" or a poison message. What differs is
-that a target runs many requests at once, so that an end accuses all of them, and that
-many routers have to agree without a common log.
+A poison request (or "query of death") crashes the targets that process it. A target
+processes many requests at once, so that a crash implicates all of them; attribution
+narrows them down, and routers exchange what they saw without a shared log.
 """
 
 from collections.abc import Callable, Collection, Iterable
 from dataclasses import dataclass
 from enum import StrEnum
 
-from berylwalk.quarantine._attribution import NOBODY, Attribution, attribute_crashes
+from berylwalk.quarantine._attribution import (
+    NO_ATTRIBUTION,
+    Attribution,
+    attribute_crashes,
+)
 from berylwalk.quarantine._evidence import Evidence
 from berylwalk.quarantine._identity import Identity
 from berylwalk.quarantine._messages import (
-    MOST_LIVES_TOLD,
-    MOST_TOLD,
+    MAX_CRASHES_PER_UPDATE,
+    MAX_SUSPECTS_PER_UPDATE,
     QuarantineUpdate,
     SuspectUpdate,
 )
 from berylwalk.quarantine._outbox import Outbox
 
 TRIAL_DELAYS_S = (60.0, 600.0)
-"""Time from the blame, and from the trial before, to each trial, in seconds: a fleet
-that was mended is noticed within a minute, and one that was not loses two targets.
-Three sends may be made in all; the third is left to those that are on their way."""
-CONTESTED_TRIAL_AFTER_S = 0.3
-"""The same for the first trial of a request whose ends others may have caused too: it
-is as likely to be harmless, and its caller still waits. Routers hear of an end in
-less."""
-TOLD_AGAIN_S = 1.0
-"""Time between two tellings of who is blamed: a third of the time after which a router
-that was cut off counts as being in touch again."""
-LONGEST_AGE_S = 1e5
-"""Bound of the ages that are told, in seconds."""
-SWEEP_S = 10.0
-"""Time between two looks for what is too old to count."""
+"""Time from the blame to the first trial, and from there to the second, in seconds."""
+CONTESTED_TRIAL_DELAY_S = 0.3
+"""Time to the first trial of a contested request, in seconds: it is likely to be
+harmless and its caller still waits, but routers must have exchanged their crashes."""
+REBROADCAST_INTERVAL_S = 1.0
+"""Time between two transmissions of all blamed requests, in seconds: routers that were
+partitioned receive them before they count as alive again."""
+MAX_AGE_S = 1e5
+"""Upper bound of the ages in updates, in seconds."""
+EXPIRY_INTERVAL_S = 10.0
+"""Time between two removals of expired entries, in seconds."""
 
 
 class QuarantineStatus(StrEnum):
@@ -43,20 +43,20 @@
 
     FREE = "free"
     SUSPECTED = "suspected"
-    """It runs where it takes the fewest along."""
+    """It is isolated: sent where a crash would affect the fewest other requests."""
     BLAMED = "blamed"
     """It is not sent."""
     TRIAL = "trial"
-    """It is not sent without a permit for one trial."""
+    """It is sent only with a permit for one trial."""
 
     @property
     def is_blocked(self) -> bool:
-        """Whether it must not be sent as others are."""
+        """Whether it must not be sent like other requests."""
         return self in (QuarantineStatus.BLAMED, QuarantineStatus.TRIAL)
 
 
 class ChangeKind(StrEnum):
-    """What became of a request."""
+    """Kind of a change of a request's status."""
 
     BLAMED = "blamed"
     NO_LONGER_BLAMED = "no-longer-blamed"
@@ -64,16 +64,16 @@
 
 @dataclass(frozen=True, slots=True)
 class QuarantineChange:
-    """A change of what is believed of a request.
+    """A request that was blamed, or is no longer.
 
     Parameters
     ----------
     kind : ChangeKind
-        What became of it.
+        Which of the two.
     identity : bytes
         Which request.
     ended : collection of str
-        Lives of targets that ended under it, as far as they count.
+        Incarnations of targets whose crashes led to the blame.
     """
 
     kind: ChangeKind
@@ -83,16 +83,16 @@
 
 @dataclass(slots=True)
 class Blame:
-    """What is known of a request that is to blame.
+    """State of a blamed request.
 
     Attributes
     ----------
     since : float
-        Since when, in seconds.
+        When it was blamed, in seconds.
     trials : int
-        Trials that were given to it, as far as is known.
+        Trials known to have been granted.
     next_trial_at : float or None
-        When the next one may be given; None if there is none.
+        When the next trial may be granted; None if there is none left.
     """
 
     since: float
@@ -101,27 +101,28 @@
 
 
 class Quarantine:
-    """The suspects of one router, and what it has to tell of them.
+    """Suspected and blamed requests of one router, and the updates it has to send.
 
     Attributes
     ----------
-    near, far : Outbox
-        What the routers nearby, and those of other failure domains, are to be told.
+    direct_outbox, relay_outbox : Outbox
+        Pending updates for the routers of the same failure domain, and for those of
+        other failure domains.
     blames : dict
-        Requests that are to blame.
-    noted : dict
-        Number of ends that the store is known to have, by request.
+        State of the blamed requests.
+    stored_crashes : dict
+        Number of crashes that the store is known to have, by request.
     on_change : callable
         Called with each `QuarantineChange`.
-    on_news : callable
-        Called when there is something to tell at once.
+    on_urgent_update : callable
+        Called when an update should be sent at once.
     """
 
     def __init__(self) -> None:
         self._evidence = Evidence()
-        self._attribution: Attribution = NOBODY
-        self._told_again_at = float("-inf")
-        self._swept_at = float("-inf")
+        self._attribution: Attribution = NO_ATTRIBUTION
+        self._rebroadcast_at = float("-inf")
+        self._expired_at = float("-inf")
         self.blames: dict[Identity, Blame] = {}
         self.stored_crashes: dict[Identity, int] = {}
         self.on_change: Callable[[QuarantineChange], None] = lambda _: None
@@ -132,7 +133,7 @@
     def __len__(self) -> int:
         return len(self._evidence)
 
-    # What is asked.
+    # Queries.
 
     def status(self, identity: Identity, now: float) -> QuarantineStatus:
         """Return how a request is treated."""
@@ -146,97 +147,98 @@
         return QuarantineStatus.FREE
 
     def retry_after_s(self, identity: Identity, now: float) -> float:
-        """Return when a request that is held back may be tried again, in seconds."""
+        """Return the time until a blocked request may be retried, in seconds."""
         blame = self.blames.get(identity)
         if blame is None or blame.next_trial_at is None:
             return TRIAL_DELAYS_S[-1]
-        return max(TOLD_AGAIN_S, blame.next_trial_at - now)
+        return max(REBROADCAST_INTERVAL_S, blame.next_trial_at - now)
 
     def crashed_incarnations(self, identity: Identity) -> list[str]:
-        """Return the lives of targets that ended under a request."""
+        """Return the incarnations of targets that crashed under a request."""
         return sorted(self._evidence.crashed_incarnations(identity))
 
     @property
     def suspected(self) -> Iterable[Identity]:
-        """The requests that may be to blame, and are not."""
+        """Requests that may have caused crashes, but are not blamed."""
         return self._attribution.suspected
 
-    # What is observed here.
+    # Local observations.
 
-    def record_crash(self, identity: Identity, life_id: str, now: float) -> bool:
-        """Take that a target ended while it ran a request; True if it is news."""
-        is_new = self._evidence.add(identity, life_id, now)
+    def record_crash(self, identity: Identity, incarnation_id: str, now: float) -> bool:
+        """Record that a target crashed under a request; returns whether it is new."""
+        is_new = self._evidence.add_crash(identity, incarnation_id, now)
         if is_new:
-            self._tell(identity)
+            self._broadcast(identity)
             self._update_attribution(now)
         return is_new
 
     def record_success(self, identity: Identity, now: float) -> bool:
-        """Take that a target ran a request and went on; True if that clears it."""
-        lives = list(self._evidence.crashed_incarnations(identity))
-        if not lives or not self._evidence.clear(identity, lives, now):
+        """Record that a target completed a request; returns whether that clears it."""
+        crashed = list(self._evidence.crashed_incarnations(identity))
+        if not crashed or not self._evidence.clear(identity, crashed, now):
             return False
-        self._tell(identity)
+        self._broadcast(identity)
         self._update_attribution(now)
         return True
 
-    def record_alive(self, life_id: str, sent_at: float, now: float) -> bool:
-        """Take that a target answered a request; True if it was taken for ended.
+    def record_alive(self, incarnation_id: str, sent_at: float, now: float) -> bool:
+        """Record that a target responded; returns whether it was taken for crashed.
 
         Parameters
         ----------
-        life_id : str
-            The life of the target.
+        incarnation_id : str
+            Incarnation of the target.
         sent_at : float
-            When that request was sent, in seconds: only an answer to what was sent
-            after its end shows that it has not ended.
+            When the request was sent, in seconds: only a response to a request sent
+            after the assumed crash shows that there was none.
         now : float
             Time in seconds.
         """
-        ended_at = self._evidence.ended_at(life_id)
-        if ended_at is None or sent_at <= ended_at:
+        crashed_at = self._evidence.crashed_at(incarnation_id)
+        if crashed_at is None or sent_at <= crashed_at:
             return False
-        self._evidence.record_alive(life_id, sent_at)
-        self.direct_outbox.add_alive(life_id)
-        self.relay_outbox.add_alive(life_id)
+        self._evidence.record_alive(incarnation_id, sent_at)
+        self.direct_outbox.add_alive(incarnation_id)
+        self.relay_outbox.add_alive(incarnation_id)
         self._update_attribution(now)
         self.on_urgent_update()
         return True
 
     def expire(self, now: float) -> None:
-        """Forget what is too old, now and then."""
-        if now - self._swept_at < SWEEP_S:
+        """Remove expired entries, at most once in `EXPIRY_INTERVAL_S`."""
+        if now - self._expired_at < EXPIRY_INTERVAL_S:
             return
-        self._swept_at = now
+        self._expired_at = now
         for identity in list(self.stored_crashes):
             if not self._evidence.crashed_incarnations(identity):
                 del self.stored_crashes[identity]
-        if self._evidence.forget_old(now):
+        if self._evidence.expire(now):
             self._update_attribution(now)
 
-    # What others tell.
+    # Updates of other routers, and records of the store.
 
-    def merge(self, news: QuarantineUpdate, now: float, *, is_direct: bool) -> bool:
-        """Take what another router told; returns whether any of it was new.
+    def merge(self, update: QuarantineUpdate, now: float, *, is_direct: bool) -> bool:
+        """Merge the update of another router; returns whether any of it was new.
 
         Parameters
         ----------
-        news : QuarantineUpdate
-            What it told.
+        update : QuarantineUpdate
+            The update.
         now : float
             Time in seconds.
-        is_near : bool
-            Whether other failure domains have to be told of it from here.
+        is_direct : bool
+            Whether it comes from the same failure domain, so that this router relays
+            it to the others.
         """
         alive = [
-            life_id
-            for life_id, age_s in news.alive_ages_s.items()
-            if self._evidence.record_alive(life_id, now - age_s)
+            incarnation_id
+            for incarnation_id, age_s in update.alive_ages_s.items()
+            if self._evidence.record_alive(incarnation_id, now - age_s)
         ]
-        suspects = [each for each in news.suspects if self._merge_suspect(each, now)]
+        suspects = [each for each in update.suspects if self._merge_suspect(each, now)]
         if is_direct:
-            for life_id in alive:
-                self.relay_outbox.add_alive(life_id)
+            for incarnation_id in alive:
+                self.relay_outbox.add_alive(incarnation_id)
             for suspect in suspects:
                 self.relay_outbox.add(suspect.identity)
         is_new = bool(alive or suspects)
@@ -245,60 +247,65 @@
         return is_new
 
     def merge_stored(
-        self, identity: Identity, ended: Iterable[str], trials: int, now: float
+        self, identity: Identity, crashed: Iterable[str], trials: int, now: float
     ) -> None:
-        """Take what the store keeps of a request."""
-        for life_id in ended:
-            self._evidence.add(identity, life_id, now)
+        """Merge the stored record of a request."""
+        for incarnation_id in crashed:
+            self._evidence.add_crash(identity, incarnation_id, now)
         self._update_attribution(now)
         blame = self.blames.get(identity)
         if blame is not None and trials > blame.trials:
             _set_trials(blame, trials, now)
 
-    def record_stored(self, identity: Identity, ends: int) -> None:
-        """Take that the store has so many ends under a request."""
+    def record_stored(self, identity: Identity, crashes: int) -> None:
+        """Record how many crashes under a request the store has."""
         if self._evidence.crashed_incarnations(
             identity
-        ) and ends > self.stored_crashes.get(identity, 0):
-            self.stored_crashes[identity] = ends
-            self._tell(identity)
+        ) and crashes > self.stored_crashes.get(identity, 0):
+            self.stored_crashes[identity] = crashes
+            self._broadcast(identity)
 
     def record_trial(self, identity: Identity, trials: int, now: float) -> None:
-        """Take that a request was given so many trials."""
+        """Record how many trials a request has been granted."""
         blame = self.blames.get(identity)
         if blame is not None:
             _set_trials(blame, trials, now)
 
-    # What is told.
+    # Updates to other routers.
 
     def next_update(self, outbox: Outbox, now: float) -> QuarantineUpdate:
-        """Return what is to be told now; each thing is told a few times."""
-        if now - self._told_again_at >= TOLD_AGAIN_S:
-            self._told_again_at = now
+        """Return the update to send now; each item is sent several times."""
+        if now - self._rebroadcast_at >= REBROADCAST_INTERVAL_S:
+            self._rebroadcast_at = now
             for identity in self.blames:
                 self.direct_outbox.add_once(identity)
                 self.relay_outbox.add_once(identity)
         return QuarantineUpdate(
-            [self._update_for(each, now) for each in outbox.take(MOST_TOLD)],
+            [
+                self._update_for(each, now)
+                for each in outbox.take(MAX_SUSPECTS_PER_UPDATE)
+            ],
             {
-                life_id: _age_s(self._evidence.alive_at(life_id), now)
-                for life_id in outbox.take_alive(MOST_TOLD)
+                incarnation_id: _age_s(
+                    self._evidence.last_alive_at(incarnation_id), now
+                )
+                for incarnation_id in outbox.take_alive(MAX_SUSPECTS_PER_UPDATE)
             },
         )
 
-    def _tell(self, identity: Identity) -> None:
+    def _broadcast(self, identity: Identity) -> None:
         self.direct_outbox.add(identity)
         self.relay_outbox.add(identity)
         self.on_urgent_update()
 
     def _update_for(self, identity: Identity, now: float) -> SuspectUpdate:
-        ended = list(self._evidence.crashed_incarnations(identity).items())[
-            -MOST_LIVES_TOLD:
+        crashed = list(self._evidence.crashed_incarnations(identity).items())[
+            -MAX_CRASHES_PER_UPDATE:
         ]
         return SuspectUpdate(
             identity,
-            {life_id: _age_s(at, now) for life_id, at in ended},
-            self._evidence.cleared(identity)[-MOST_LIVES_TOLD:],
+            {incarnation_id: _age_s(at, now) for incarnation_id, at in crashed},
+            self._evidence.cleared(identity)[-MAX_CRASHES_PER_UPDATE:],
             self.stored_crashes.get(identity, 0),
         )
 
@@ -306,34 +313,36 @@
         is_new = False
         if suspect.cleared:
             is_new = self._evidence.clear(suspect.identity, suspect.cleared, now)
-        for life_id, age_s in suspect.ages_s.items():
-            is_new |= self._evidence.add(suspect.identity, life_id, now - age_s)
+        for incarnation_id, age_s in suspect.ages_s.items():
+            is_new |= self._evidence.add_crash(
+                suspect.identity, incarnation_id, now - age_s
+            )
         if suspect.stored_crashes > self.stored_crashes.get(suspect.identity, 0):
             self.stored_crashes[suspect.identity] = suspect.stored_crashes
             is_new = True
         return is_new
 
     def _update_attribution(self, now: float) -> None:
-        self._attribution = attribute_crashes(self._evidence.ended_by_identity())
+        self._attribution = attribute_crashes(self._evidence.crashes_by_identity())
         for identity in list(self.blames):
             if identity not in self._attribution.blamed:
                 del self.blames[identity]
                 self.on_change(
                     QuarantineChange(ChangeKind.NO_LONGER_BLAMED, identity, ())
                 )
-        for identity, ended in self._attribution.blamed.items():
+        for identity, crashed in self._attribution.blamed.items():
             if identity not in self.blames:
                 blame = self.blames[identity] = Blame(now)
                 _set_trials(blame, 0, now)
                 if identity in self._attribution.contested:
-                    blame.next_trial_at = now + CONTESTED_TRIAL_AFTER_S
+                    blame.next_trial_at = now + CONTESTED_TRIAL_DELAY_S
                 self.on_change(
-                    QuarantineChange(ChangeKind.BLAMED, identity, sorted(ended))
+                    QuarantineChange(ChangeKind.BLAMED, identity, sorted(crashed))
                 )
 
 
 def _age_s(time: float, now: float) -> float:
-    return round(min(max(0.0, now - time), LONGEST_AGE_S), 3)
+    return round(min(max(0.0, now - time), MAX_AGE_S), 3)
 
 
 def _set_trials(blame: Blame, trials: int, now: float) -> None:
--- a/libs/quarantine/src/berylwalk/quarantine/_records.py
+++ b/libs/quarantine/src/berylwalk/quarantine/_records.py
@@ -1,4 +1,4 @@
-"""What the store keeps of requests under which targets ended, and where."""
+"""Records in the store of requests under which targets crashed."""
 
 from typing import Annotated
 
@@ -7,23 +7,23 @@
 from berylwalk.quarantine._identity import ACCOUNT_BYTES, CONTENT_BYTES, Identity
 
 RECORDS_PREFIX = b"berylwalk/quarantine/"
-LifeField = Annotated[str, Meta(max_length=200)]
+IncarnationField = Annotated[str, Meta(max_length=200)]
 
 
 class Record(Struct):
-    """What is kept of one request, under its identity.
+    """State of one request; its key holds the identity.
 
     Parameters
     ----------
     ended : list of str
-        Lives of targets that ended under it.
+        Incarnations of targets that crashed while they processed it.
     trials : int
-        Trials that were given to it, by all routers.
+        Trials granted to it by all routers.
     noted_s : float
         Time of day at which it was first written, in seconds since the epoch.
     """
 
-    ended: Annotated[list[LifeField], Meta(max_length=64)]
+    ended: Annotated[list[IncarnationField], Meta(max_length=64)]
     trials: Annotated[int, Meta(ge=0, le=1000)] = 0
     noted_s: float = 0.0
 
@@ -34,7 +34,7 @@
 
 
 def identity_from_key(key: bytes) -> Identity:
-    """Return the request of a record.
+    """Return the request identity in the key of a record.
 
     Raises
     ------
@@ -42,8 +42,8 @@
         If the key is not that of a record.
     """
     if not key.startswith(RECORDS_PREFIX):
-        raise ValueError(f"not the key of a record: {key!r}")
+        raise ValueError(f"not the key of a quarantine record: {key!r}")
     identity = bytes.fromhex(key[len(RECORDS_PREFIX) :].decode("ascii"))
     if len(identity) != ACCOUNT_BYTES + CONTENT_BYTES:
-        raise ValueError(f"not an identity: {key!r}")
+        raise ValueError(f"wrong length of a request identity: {key!r}")
     return identity
--- a/libs/quarantine/tests/test_quarantine_judgement.py
+++ b/libs/quarantine/tests/test_quarantine_judgement.py
@@ -1,51 +1,51 @@
-"""Who is to blame for targets that ended."""
+"""Attribution of crashes to requests."""
 
 from berylwalk.quarantine import CRASHES_TO_BLAME, attribute_crashes
 
-GUILTY, OTHER, HARMLESS = b"guilty", b"other", b"harmless"
+POISON, OTHER, HARMLESS = b"poison", b"other", b"harmless"
 
 
 class TestBlame:
-    """The fewest requests that explain the ends."""
-
-    def test_three_ends_are_needed(self):
-        """Two make a suspect."""
-        assert attribute_crashes({GUILTY: "ab"}).blamed == {}
-        assert attribute_crashes({GUILTY: "ab"}).suspected == {GUILTY}
-        assert set(attribute_crashes({GUILTY: "abc"}).blamed) == {GUILTY}
-
-    def test_who_was_there_too_is_not_blamed(self):
-        """However often: the ends are explained."""
-        judgement = attribute_crashes({GUILTY: "abcde", HARMLESS: "abcd"})
-        assert set(judgement.blamed) == {GUILTY}
-        assert judgement.suspected == set()
-
-    def test_what_is_left_counts_for_the_next(self):
-        """Two guilty requests that met are both found."""
-        judgement = attribute_crashes({GUILTY: "abcdef", OTHER: "efghi"})
-        assert set(judgement.blamed) == {GUILTY, OTHER}
-
-    def test_blame_passes_to_who_explains_more(self):
-        """A harmless request that was blamed first is freed by the next end."""
-        assert set(attribute_crashes({GUILTY: "bcd", HARMLESS: "abc"}).blamed) == {
-            GUILTY,
+    """The smallest set of requests that explains the crashes is blamed."""
+
+    def test_three_crashes_are_needed(self):
+        """Two crashes must only make a request suspected."""
+        assert attribute_crashes({POISON: "ab"}).blamed == {}
+        assert attribute_crashes({POISON: "ab"}).suspected == {POISON}
+        assert set(attribute_crashes({POISON: "abc"}).blamed) == {POISON}
+
+    def test_request_beside_a_poison_request_is_not_blamed(self):
+        """Crashes that another request explains must not count."""
+        attribution = attribute_crashes({POISON: "abcde", HARMLESS: "abcd"})
+        assert set(attribution.blamed) == {POISON}
+        assert attribution.suspected == set()
+
+    def test_unexplained_crashes_count_for_the_next(self):
+        """Two poison requests that share crashes must both be found."""
+        attribution = attribute_crashes({POISON: "abcdef", OTHER: "efghi"})
+        assert set(attribution.blamed) == {POISON, OTHER}
+
+    def test_blame_moves_to_the_request_that_explains_more(self):
+        """A harmless request that was blamed must be freed by the next crash."""
+        assert set(attribute_crashes({POISON: "bcd", HARMLESS: "abc"}).blamed) == {
+            POISON,
             HARMLESS,
         }
-        assert set(attribute_crashes({GUILTY: "bcde", HARMLESS: "abc"}).blamed) == {
-            GUILTY
+        assert set(attribute_crashes({POISON: "bcde", HARMLESS: "abc"}).blamed) == {
+            POISON
         }
 
-    def test_alike_are_blamed_together_and_contested(self):
-        """Only their trials tell them apart."""
-        judgement = attribute_crashes({GUILTY: "abc", HARMLESS: "abc"})
-        assert set(judgement.blamed) == {GUILTY, HARMLESS}
-        assert judgement.contested == {GUILTY, HARMLESS}
+    def test_indistinguishable_requests_are_contested(self):
+        """Both must be blamed: only their trials distinguish them."""
+        attribution = attribute_crashes({POISON: "abc", HARMLESS: "abc"})
+        assert set(attribution.blamed) == {POISON, HARMLESS}
+        assert attribution.contested == {POISON, HARMLESS}
 
-    def test_alone_is_not_contested(self):
-        """Others with one of the ends are no rivals."""
-        judgement = attribute_crashes({GUILTY: "abc", HARMLESS: "a", OTHER: "c"})
-        assert judgement.contested == set()
+    def test_single_shared_crash_does_not_contest(self):
+        """Requests that share one crash must not make the blame contested."""
+        attribution = attribute_crashes({POISON: "abc", HARMLESS: "a", OTHER: "c"})
+        assert attribution.contested == set()
 
-    def test_bound_is_that_of_the_promise(self):
-        """Callers are promised that a request is served until three ends."""
+    def test_documented_number_of_crashes(self):
+        """The API promises that a request is served until the third crash."""
         assert CRASHES_TO_BLAME == 3
--- a/libs/quarantine/tests/test_quarantine_state.py
+++ b/libs/quarantine/tests/test_quarantine_state.py
@@ -1,4 +1,4 @@
-"""How a router treats requests under which targets ended, and what it tells."""
+"""Quarantine state of a router, and its updates to others."""
 
 import pytest
 from msgspec import ValidationError, msgpack
@@ -10,7 +10,7 @@
     QuarantineStatus,
     QuarantineUpdate,
 )
-from berylwalk.quarantine._outbox import TIMES_TOLD
+from berylwalk.quarantine._outbox import TRANSMISSIONS
 
 REQUEST = bytes(16)
 OTHER = bytes([1]) * 16
@@ -18,7 +18,7 @@
 
 @pytest.fixture
 def quarantine():
-    """Return one with a request under which three targets ended at 0."""
+    """Return a quarantine with a request under which three targets crashed at 0 s."""
     quarantine = Quarantine()
     quarantine.changes = []
     quarantine.on_change = quarantine.changes.append
@@ -27,17 +27,17 @@
     return quarantine
 
 
-def tell(sender, receiver, now):
-    """Pass what one router tells on to another, as it travels."""
+def send_update(sender, receiver, now):
+    """Send an encoded update from one router to another."""
     data = msgpack.encode(sender.next_update(sender.direct_outbox, now))
     receiver.merge(msgpack.decode(data, type=QuarantineUpdate), now, is_direct=True)
 
 
-class TestStanding:
-    """From free over suspected to blamed, and back."""
+class TestStatus:
+    """Changes between free, suspected and blamed."""
 
-    def test_steps(self):
-        """Each end counts once."""
+    def test_status_follows_the_number_of_crashes(self):
+        """A crash that is reported twice must count once."""
         quarantine = Quarantine()
         seen = []
         for life_id in "aabbcc":
@@ -45,32 +45,32 @@
             seen.append(quarantine.status(REQUEST, 0.0))
         assert seen == ["free", "free", "suspected", "suspected", "blamed", "blamed"]
 
-    def test_change_is_told(self, quarantine):
-        """With the ends that decided it."""
+    def test_change_is_reported(self, quarantine):
+        """The report must name the crashes that led to the blame."""
         (change,) = quarantine.changes
         assert (change.kind, change.ended) == (ChangeKind.BLAMED, ["a", "b", "c"])
         quarantine.record_success(REQUEST, 1.0)
         assert quarantine.changes[-1].kind == ChangeKind.NO_LONGER_BLAMED
 
-    def test_answer_clears_it(self, quarantine):
-        """Here and, told of it, elsewhere."""
+    def test_success_clears_the_request(self, quarantine):
+        """Routers that receive the update must clear it too."""
         other = Quarantine()
-        tell(quarantine, other, 1.0)
+        send_update(quarantine, other, 1.0)
         assert other.status(REQUEST, 1.0) is QuarantineStatus.BLAMED
         assert quarantine.record_success(REQUEST, 2.0)
-        tell(quarantine, other, 2.0)
+        send_update(quarantine, other, 2.0)
         assert quarantine.status(REQUEST, 2.0) is QuarantineStatus.FREE
         assert other.status(REQUEST, 2.0) is QuarantineStatus.FREE
 
-    def test_sign_of_life_takes_an_end_back(self, quarantine):
-        """If what the target answered was sent after its end."""
+    def test_response_revokes_a_false_crash(self, quarantine):
+        """Only a response to a request sent after the assumed crash may do so."""
         assert not quarantine.record_alive("a", sent_at=0.0, now=1.0)
         assert quarantine.status(REQUEST, 1.0) is QuarantineStatus.BLAMED
         assert quarantine.record_alive("a", sent_at=0.5, now=1.0)
         assert quarantine.status(REQUEST, 1.0) is QuarantineStatus.SUSPECTED
 
-    def test_two_requests_alike_get_a_trial_soon(self):
-        """One alone waits a minute."""
+    def test_contested_requests_get_an_early_trial(self):
+        """A harmless request must not wait for the regular trial delay."""
         quarantine = Quarantine()
         for life_id in "abc":
             quarantine.record_crash(REQUEST, life_id, 0.0)
@@ -79,10 +79,10 @@
 
 
 class TestTrials:
-    """When a request that is to blame may be sent again."""
+    """Trials of blamed requests."""
 
-    def test_two_in_all(self, quarantine):
-        """After a minute, ten minutes later, and then no more."""
+    def test_two_trials_in_total(self, quarantine):
+        """A poison request must not crash targets again after its second trial."""
         first, second = TRIAL_DELAYS_S
         assert quarantine.status(REQUEST, first - 1) is QuarantineStatus.BLAMED
         assert quarantine.status(REQUEST, first) is QuarantineStatus.TRIAL
@@ -92,43 +92,43 @@
         quarantine.record_trial(REQUEST, 2, first + second)
         assert quarantine.status(REQUEST, 1e9) is QuarantineStatus.BLAMED
 
-    def test_caller_is_told_when(self, quarantine):
-        """As long as there is a next one."""
+    def test_retry_after_is_the_next_trial(self, quarantine):
+        """Callers must not retry before the next trial, if there is one."""
         assert quarantine.retry_after_s(REQUEST, 20.0) == TRIAL_DELAYS_S[0] - 20.0
         quarantine.record_trial(REQUEST, 2, 20.0)
         assert quarantine.retry_after_s(REQUEST, 20.0) == TRIAL_DELAYS_S[1]
 
-    def test_trials_of_others_count(self, quarantine):
-        """As the store tells them."""
+    def test_trials_in_the_store_count(self, quarantine):
+        """Trials that other routers granted must not be granted again."""
         quarantine.merge_stored(REQUEST, ["a"], 2, 5.0)
         assert quarantine.status(REQUEST, 1e9) is QuarantineStatus.BLAMED
 
 
-class TestNews:
-    """What is told, how often, and what is taken."""
+class TestUpdates:
+    """Contents, repetition and validation of updates."""
 
-    def test_each_thing_is_told_a_few_times(self):
-        """Then no more, but for who is blamed."""
+    def test_each_item_is_sent_a_fixed_number_of_times(self):
+        """Items that are not blamed must not be sent forever."""
         quarantine = Quarantine()
         quarantine.record_crash(REQUEST, "a", 0.0)
-        told = [
+        sent = [
             bool(quarantine.next_update(quarantine.direct_outbox, 0.1))
             for _ in range(10)
         ]
-        assert sum(told) == TIMES_TOLD
+        assert sum(sent) == TRANSMISSIONS
 
-    def test_blamed_are_told_again_each_second(self, quarantine):
-        """A router that was cut off hears of them."""
-        for _ in range(TIMES_TOLD):
+    def test_blamed_requests_are_rebroadcast(self, quarantine):
+        """A router that was partitioned must learn of them."""
+        for _ in range(TRANSMISSIONS):
             quarantine.next_update(quarantine.direct_outbox, 0.1)
         other = Quarantine()
-        tell(quarantine, other, 500.0)
+        send_update(quarantine, other, 500.0)
         assert other.status(REQUEST, 500.0) is QuarantineStatus.BLAMED
 
-    def test_ages_are_those_of_the_ends(self, quarantine):
-        """Not of the telling: a later sign of life counts against them."""
+    def test_ages_are_those_of_the_crashes(self, quarantine):
+        """Ages since the update would let a crash outlive a later response."""
         other = Quarantine()
-        tell(quarantine, other, 5.0)
+        send_update(quarantine, other, 5.0)
         assert other.record_alive("a", sent_at=4.0, now=5.0)
 
     @pytest.mark.parametrize(
@@ -141,13 +141,13 @@
             [[], {"a": float("inf")}],
         ],
     )
-    def test_bad_news_are_refused(self, bad):
-        """Before any of them is taken."""
+    def test_invalid_update_is_rejected(self, bad):
+        """An update must not be merged in part."""
         with pytest.raises(ValidationError):
             msgpack.decode(msgpack.encode(bad), type=QuarantineUpdate)
 
-    def test_news_of_a_later_version_are_read(self):
-        """What is added at the end is passed over."""
+    def test_update_of_a_later_version_is_decoded(self):
+        """Fields that a later version appends must be ignored."""
         data = msgpack.encode([[[REQUEST, {"a": 1.0}, [], 0, "new"]], {}, "new"])
-        news = msgpack.decode(data, type=QuarantineUpdate)
-        assert news.suspects[0].ages_s == {"a": 1.0}
+        update = msgpack.decode(data, type=QuarantineUpdate)
+        assert update.suspects[0].ages_s == {"a": 1.0}
