--- a/libs/admission/src/berylwalk/admission/__init__.py
+++ b/libs/admission/src/berylwalk/admission/__init__.py
@@ -1,7 +1,10 @@
 """Decisions of an agent: order of waiting, slot limit, headroom, estimates."""
 
+from berylwalk.admission._admission_queue import AdmissionQueue
+from berylwalk.admission._concurrency_limit import ConcurrencyLimit, LatencyTargets
 from berylwalk.admission._deadline_heap import DeadlineHeap
-from berylwalk.admission._headroom import open_slots
+from berylwalk.admission._estimates import OutputLengthModel, SpeedModel, Work
+from berylwalk.admission._headroom import tier_slot_limit
 from berylwalk.admission._limit_rules import (
     LimitRule,
     LoadSample,
@@ -9,42 +12,39 @@
     fixed,
     gradient,
 )
-from berylwalk.admission._places import (
+from berylwalk.admission._policies import Policy, fifo_policy, tiered_policy
+from berylwalk.admission._queue_entries import (
     EntryState,
-    Place,
-    PlaceOf,
-    WaitingEntry,
-    place_by_arrival,
-    place_by_tier,
+    QueueEntry,
+    SchedulingKey,
+    SchedulingKeyFunction,
+    fifo_scheduling_key,
+    tiered_scheduling_key,
 )
-from berylwalk.admission._policies import Policy, fifo_policy, tiered_policy
-from berylwalk.admission._slot_limit import SlotLimit, SlotTargets
-from berylwalk.admission._speed import LengthModel, SpeedModel, Work
 from berylwalk.admission._straggler import StragglerDetector
-from berylwalk.admission._waiting import WaitingList
 
 __all__ = [
+    "AdmissionQueue",
+    "ConcurrencyLimit",
     "DeadlineHeap",
     "EntryState",
-    "LengthModel",
+    "LatencyTargets",
     "LimitRule",
     "LoadSample",
-    "Place",
-    "PlaceOf",
+    "OutputLengthModel",
     "Policy",
-    "SlotLimit",
-    "SlotTargets",
+    "QueueEntry",
+    "SchedulingKey",
+    "SchedulingKeyFunction",
     "SpeedModel",
     "StragglerDetector",
-    "WaitingEntry",
-    "WaitingList",
     "Work",
     "aimd",
     "fifo_policy",
+    "fifo_scheduling_key",
     "fixed",
     "gradient",
-    "open_slots",
-    "place_by_arrival",
-    "place_by_tier",
+    "tier_slot_limit",
     "tiered_policy",
+    "tiered_scheduling_key",
 ]
--- a/libs/admission/src/berylwalk/admission/_waiting.py
+++ b/libs/admission/src/berylwalk/admission/_admission_queue.py
@@ -3,20 +3,20 @@
 from collections.abc import Hashable, Iterator
 from dataclasses import dataclass, field
 
-from berylwalk.admission._accounts import AccountQueue, AccountRing
-from berylwalk.admission._places import (
+from berylwalk.admission._estimates import Work
+from berylwalk.admission._fair_queue import AccountQueue, AccountRing
+from berylwalk.admission._queue_entries import (
     EntryState,
-    PlaceOf,
-    WaitingEntry,
-    place_by_tier,
+    QueueEntry,
+    SchedulingKeyFunction,
+    tiered_scheduling_key,
 )
-from berylwalk.admission._speed import Work
 
 
 @dataclass(slots=True)
 class _Tier:
     # All entries, in order of arrival.
-    entries_by_key: dict[Hashable, WaitingEntry] = field(default_factory=dict)
+    entries_by_key: dict[Hashable, QueueEntry] = field(default_factory=dict)
     queues_by_account: dict[str, AccountQueue] = field(default_factory=dict)
     ring: AccountRing = field(default_factory=AccountRing)
     queued: int = 0
@@ -29,7 +29,7 @@
         return self.queued + self.parked
 
 
-class WaitingList:
+class AdmissionQueue:
     """Waiting entries by tier, account and deadline.
 
     An entry that is taken or parked keeps its age, and costs its account only if
@@ -41,10 +41,12 @@
         Place of an entry; `place_by_tier` or `place_by_arrival`.
     """
 
-    def __init__(self, *, place_of: PlaceOf = place_by_tier) -> None:
-        self._place_of = place_of
+    def __init__(
+        self, *, scheduling_key: SchedulingKeyFunction = tiered_scheduling_key
+    ) -> None:
+        self._scheduling_key = scheduling_key
         self._tiers_by_rank: dict[int, _Tier] = {}
-        self._entries_by_key: dict[Hashable, WaitingEntry] = {}
+        self._entries_by_key: dict[Hashable, QueueEntry] = {}
         self._next_sequence = 0
 
     def __len__(self) -> int:
@@ -54,14 +56,14 @@
     def __contains__(self, key: Hashable) -> bool:
         return key in self._entries_by_key
 
-    def __iter__(self) -> Iterator[WaitingEntry]:
+    def __iter__(self) -> Iterator[QueueEntry]:
         return iter(tuple(self._entries_by_key.values()))
 
-    def get(self, key: Hashable) -> WaitingEntry | None:
+    def get(self, key: Hashable) -> QueueEntry | None:
         """Return the entry, waiting or taken, or None."""
         return self._entries_by_key.get(key)
 
-    def add(self, entry: WaitingEntry) -> None:
+    def add(self, entry: QueueEntry) -> None:
         """Add an entry as the newest."""
         if entry.key in self._entries_by_key:
             raise ValueError(f"{entry.key} is present")
@@ -72,14 +74,14 @@
         tier.entries_by_key[entry.key] = entry
         self._enqueue(entry, tier)
 
-    def peek(self) -> WaitingEntry | None:
+    def peek(self) -> QueueEntry | None:
         """Return the entry that `take` would return, or None when none is queued."""
         rank = self.highest_rank()
         if rank is None:
             return None
         return self._tiers_by_rank[rank].ring.select().heap.peek()[1]
 
-    def take(self) -> WaitingEntry:
+    def take(self) -> QueueEntry:
         """Take the next entry and charge its account.
 
         Raises
@@ -108,7 +110,7 @@
         entry.state = EntryState.PARKED
         tier.parked += 1
 
-    def put_back(self, key: Hashable) -> None:
+    def unpark(self, key: Hashable) -> None:
         """Queue a parked entry again, with its old place."""
         entry = self._entries_by_key[key]
         if entry.state is not EntryState.PARKED:
@@ -118,7 +120,7 @@
         entry.state = EntryState.QUEUED
         self._enqueue(entry, tier)
 
-    def remove(self, key: Hashable, *, ran: bool = False) -> WaitingEntry | None:
+    def remove(self, key: Hashable, *, ran: bool = False) -> QueueEntry | None:
         """Remove an entry in any state.
 
         Parameters
@@ -145,10 +147,10 @@
         elif not ran:
             self._refund(entry, tier)
         if not tier.entries_by_key:
-            del self._tiers_by_rank[self._place_of(entry).rank]
+            del self._tiers_by_rank[self._scheduling_key(entry).rank]
         return entry
 
-    def newest_of_lowest(self) -> WaitingEntry | None:
+    def eviction_candidate(self) -> QueueEntry | None:
         """Return the entry that makes room first, or None when nothing waits."""
         rank = max((r for r, t in self._tiers_by_rank.items() if t.waiting), default=-1)
         if rank < 0:
@@ -163,12 +165,12 @@
         ranks = (rank for rank, tier in self._tiers_by_rank.items() if tier.queued)
         return min(ranks, default=None)
 
-    def waits_before(self, rank: int) -> bool:
+    def has_entry_ahead(self, rank: int) -> bool:
         """Return whether an entry goes before a new one of a rank."""
         highest = self.highest_rank()
         return highest is not None and highest <= rank
 
-    def waiting_at(self, rank: int) -> int:
+    def count_at_rank(self, rank: int) -> int:
         """Return how many entries of a rank wait."""
         tier = self._tiers_by_rank.get(rank)
         return 0 if tier is None else tier.waiting
@@ -177,7 +179,7 @@
         """Return how many entries wait, by rank."""
         return {rank: tier.waiting for rank, tier in self._tiers_by_rank.items()}
 
-    def work_before(self, rank: int) -> Work:
+    def work_ahead(self, rank: int) -> Work:
         """Return the work that waits at a rank and above."""
         prompt_tokens = 0.0
         output_tokens = 0.0
@@ -187,7 +189,7 @@
                 output_tokens += tier.output_tokens
         return Work(prompt_tokens, output_tokens)
 
-    def work_before_account(
+    def work_ahead_of_account(
         self, rank: int, client_account: str, weight: float
     ) -> Work:
         """Return the work that a new entry of an account would wait for.
@@ -195,7 +197,7 @@
         Of its own tier this is at most the account's waiting work, taken as
         often as the account's share makes the others go first.
         """
-        above = self.work_before(rank - 1)
+        above = self.work_ahead(rank - 1)
         tier = self._tiers_by_rank.get(rank)
         if tier is None:
             return above
@@ -208,40 +210,40 @@
             above.output_tokens + min(tier.output_tokens, own_output / share),
         )
 
-    def _tier_of(self, entry: WaitingEntry) -> _Tier:
-        rank = self._place_of(entry).rank
+    def _tier_of(self, entry: QueueEntry) -> _Tier:
+        rank = self._scheduling_key(entry).rank
         tier = self._tiers_by_rank.get(rank)
         if tier is None:
             tier = self._tiers_by_rank[rank] = _Tier()
         return tier
 
-    def _enqueue(self, entry: WaitingEntry, tier: _Tier) -> AccountQueue:
-        place = self._place_of(entry)
+    def _enqueue(self, entry: QueueEntry, tier: _Tier) -> AccountQueue:
+        place = self._scheduling_key(entry)
         queue = tier.queues_by_account.get(place.client_account)
         if queue is None:
             queue = AccountQueue(place.client_account)
             tier.queues_by_account[place.client_account] = queue
             tier.ring.append(queue)
         queue.weight = place.weight
-        queue.heap.push(place.urgency, entry.sequence, entry)
+        queue.heap.push(place.sort_key, entry.sequence, entry)
         _add_work(queue, tier, entry, 1)
         return queue
 
-    def _dequeue(self, entry: WaitingEntry, tier: _Tier) -> None:
-        queue = tier.queues_by_account[self._place_of(entry).client_account]
+    def _dequeue(self, entry: QueueEntry, tier: _Tier) -> None:
+        queue = tier.queues_by_account[self._scheduling_key(entry).client_account]
         queue.heap.discard(entry.sequence)
         _add_work(queue, tier, entry, -1)
         if not queue.heap:
             tier.ring.remove(queue)
             del tier.queues_by_account[queue.client_account]
 
-    def _refund(self, entry: WaitingEntry, tier: _Tier) -> None:
-        queue = tier.queues_by_account.get(self._place_of(entry).client_account)
+    def _refund(self, entry: QueueEntry, tier: _Tier) -> None:
+        queue = tier.queues_by_account.get(self._scheduling_key(entry).client_account)
         if queue is not None:
             queue.deficit += entry.cost
 
 
-def _add_work(queue: AccountQueue, tier: _Tier, entry: WaitingEntry, sign: int) -> None:
+def _add_work(queue: AccountQueue, tier: _Tier, entry: QueueEntry, sign: int) -> None:
     queue.prompt_tokens += sign * entry.prompt_tokens
     queue.output_tokens += sign * entry.output_tokens
     tier.prompt_tokens += sign * entry.prompt_tokens
--- a/libs/admission/src/berylwalk/admission/_slot_limit.py
+++ b/libs/admission/src/berylwalk/admission/_concurrency_limit.py
@@ -14,14 +14,14 @@
 
 
 @dataclass(frozen=True, slots=True)
-class SlotTargets:
+class LatencyTargets:
     """Wanted speed of the target, in seconds."""
 
     token_gap_s: float = 0.1
     first_token_s: float = 2.0
 
 
-class SlotLimit:
+class ConcurrencyLimit:
     """The limit and the window of observations that will adapt it.
 
     Parameters
@@ -43,13 +43,13 @@
         initial: int,
         minimum: int = 1,
         maximum: int = 256,
-        targets: SlotTargets | None = None,
+        latency_targets: LatencyTargets | None = None,
         window_s: float = WINDOW_S,
     ) -> None:
         self._rule = rule
         self._minimum = minimum
         self._maximum = maximum
-        self._targets = targets or SlotTargets()
+        self._latency_targets = latency_targets or LatencyTargets()
         self._window_s = window_s
         self._limit = float(initial)
         self._window_started_at = float("-inf")
@@ -60,7 +60,7 @@
         """When `update` may change the limit next, in seconds."""
         return self._window_started_at + self._window_s
 
-    def value(self, *, slowness: float = 1.0) -> int:
+    def value(self, *, slowdown: float = 1.0) -> int:
         """Return the limit in force.
 
         Parameters
@@ -69,7 +69,7 @@
             How many times slower than its baseline the target is; divides the
             limit.
         """
-        lowered = int(self._limit / max(slowness, 1.0))
+        lowered = int(self._limit / max(slowdown, 1.0))
         return max(lowered, self._minimum)
 
     def observe_gap(self, elapsed_s: float, tokens: int) -> None:
@@ -97,12 +97,12 @@
         """
         prefill_s = PREFILL_FACTOR * unloaded_s
         waited_s = prefill_s + GAPS_TO_FIRST_TOKEN * gap_s + QUEUE_ALLOWANCE_S
-        wanted_s = min(max(self._targets.first_token_s, prefill_s), waited_s)
+        wanted_s = min(max(self._latency_targets.first_token_s, prefill_s), waited_s)
         self._add_first_ratio(elapsed_s / wanted_s)
 
-    def observe_answer(self, elapsed_s: float) -> None:
+    def observe_response(self, elapsed_s: float) -> None:
         """Record the time to the answer of a plain service."""
-        self._add_first_ratio(elapsed_s / self._targets.first_token_s)
+        self._add_first_ratio(elapsed_s / self._latency_targets.first_token_s)
 
     def update(self, now: float, in_use: int) -> None:
         """Adapt the limit at the end of a window.
@@ -117,9 +117,9 @@
         self._saturated = self._saturated or in_use >= int(self._limit)
         if now - self._window_started_at < self._window_s:
             return
-        pressure = self._pressure()
-        if pressure is not None:
-            self._adapt(LoadSample(pressure, self._saturated), in_use)
+        latency_ratio = self._latency_ratio()
+        if latency_ratio is not None:
+            self._adapt(LoadSample(latency_ratio, self._saturated), in_use)
         self._window_started_at = now
         self._clear_window()
 
@@ -134,11 +134,11 @@
         self._first_ratios += ratio
         self._first_count += 1
 
-    def _pressure(self) -> float | None:
+    def _latency_ratio(self) -> float | None:
         ratios = []
         if self._gap_tokens >= MIN_GAP_TOKENS:
             mean_gap_s = self._gap_total_s / self._gap_tokens
-            ratios.append(mean_gap_s / self._targets.token_gap_s)
+            ratios.append(mean_gap_s / self._latency_targets.token_gap_s)
         if self._first_count:
             ratios.append(self._first_ratios / self._first_count)
         return max(ratios, default=None)
--- a/libs/admission/src/berylwalk/admission/_speed.py
+++ b/libs/admission/src/berylwalk/admission/_estimates.py
@@ -33,7 +33,7 @@
         self._nominal_gap_s = token_gap_s
         # One mean for each power of two of the batch size.
         self._gap_s_by_bucket: dict[int, float] = {}
-        self._mean_answer_s = 0.0
+        self._mean_response_s = 0.0
 
     @property
     def prefill_tokens_per_s(self) -> float:
@@ -67,10 +67,10 @@
         known = self._gap_s_by_bucket.get(bucket)
         self._gap_s_by_bucket[bucket] = gap_s if known is None else _blend(known, gap_s)
 
-    def observe_answer(self, elapsed_s: float) -> None:
+    def observe_response(self, elapsed_s: float) -> None:
         """Record the time that a whole answer held its slot."""
-        known = self._mean_answer_s
-        self._mean_answer_s = _blend(known, elapsed_s) if known else elapsed_s
+        known = self._mean_response_s
+        self._mean_response_s = _blend(known, elapsed_s) if known else elapsed_s
 
     def token_gap_s(self, batch: int) -> float:
         """Return the expected time between two tokens of one answer."""
@@ -107,10 +107,10 @@
             Slots of the target.
         """
         ahead_s = self.service_s(ahead, limit)
-        return (ahead_s + self._mean_answer_s) / max(limit, 1)
+        return (ahead_s + self._mean_response_s) / max(limit, 1)
 
 
-class LengthModel:
+class OutputLengthModel:
     """Share of the announced output tokens that answers really have.
 
     Callers announce upper bounds; a plan made with them would refuse work that
@@ -126,17 +126,19 @@
         self._initial = initial
         self._ratio_by_account: OrderedDict[tuple[str, int], float] = OrderedDict()
 
-    def expected_tokens(self, client_account: str, rank: int, announced: int) -> float:
+    def expected_tokens(
+        self, client_account: str, rank: int, requested_tokens: int
+    ) -> float:
         """Return the expected output tokens of a request, at least 1."""
         ratio = self._ratio_by_account.get((client_account, rank), self._initial)
-        return max(announced * ratio, 1.0)
+        return max(requested_tokens * ratio, 1.0)
 
     def observe(
-        self, client_account: str, rank: int, announced: int, tokens: int
+        self, client_account: str, rank: int, requested_tokens: int, tokens: int
     ) -> None:
         """Record the length of a whole answer."""
         key = (client_account, rank)
-        ratio = min(tokens / max(announced, 1), 1.0)
+        ratio = min(tokens / max(requested_tokens, 1), 1.0)
         known = self._ratio_by_account.pop(key, None)
         self._ratio_by_account[key] = ratio if known is None else _blend(known, ratio)
         if len(self._ratio_by_account) > MAX_LENGTH_KEYS:
--- a/libs/admission/src/berylwalk/admission/_headroom.py
+++ b/libs/admission/src/berylwalk/admission/_headroom.py
@@ -9,7 +9,7 @@
 ROUNDING = 1e-9
 
 
-def open_slots(
+def tier_slot_limit(
     rank: int, limit: int, tiers: Iterable[TierPolicy], *, higher_active: bool
 ) -> int:
     """Return how many slots may be in use for a tier to take one more.
--- a/libs/admission/src/berylwalk/admission/_limit_rules.py
+++ b/libs/admission/src/berylwalk/admission/_limit_rules.py
@@ -4,7 +4,7 @@
 from dataclasses import dataclass
 from math import sqrt
 
-FAR_BELOW = 0.5
+FAST_GROWTH_MAX_RATIO = 0.5
 
 
 @dataclass(frozen=True, slots=True)
@@ -20,7 +20,7 @@
         Whether all slots were in use, so that more could have run.
     """
 
-    pressure: float
+    latency_ratio: float
     saturated: bool
 
 
@@ -54,11 +54,11 @@
     """
 
     def next_limit(limit: float, sample: LoadSample) -> float:
-        if sample.pressure > 1.0:
+        if sample.latency_ratio > 1.0:
             return limit * decrease
         if not sample.saturated:
             return limit
-        if sample.pressure < FAR_BELOW:
+        if sample.latency_ratio < FAST_GROWTH_MAX_RATIO:
             return limit + max(increase, growth * limit)
         return limit + increase
 
@@ -77,9 +77,9 @@
     """
 
     def next_limit(limit: float, sample: LoadSample) -> float:
-        ratio = 1.0 / max(sample.pressure, 1.0)
+        ratio = 1.0 / max(sample.latency_ratio, 1.0)
         wanted = limit * max(ratio, floor)
-        if sample.saturated and sample.pressure <= 1.0:
+        if sample.saturated and sample.latency_ratio <= 1.0:
             wanted += sqrt(limit)
         return limit + smoothing * (wanted - limit)
 
--- a/libs/admission/src/berylwalk/admission/_policies.py
+++ b/libs/admission/src/berylwalk/admission/_policies.py
@@ -3,7 +3,11 @@
 from dataclasses import dataclass
 
 from berylwalk.admission._limit_rules import LimitRule, aimd, fixed
-from berylwalk.admission._places import PlaceOf, place_by_arrival, place_by_tier
+from berylwalk.admission._queue_entries import (
+    SchedulingKeyFunction,
+    fifo_scheduling_key,
+    tiered_scheduling_key,
+)
 
 
 @dataclass(frozen=True, slots=True)
@@ -24,11 +28,11 @@
         Whether a target slower than its own baseline gets a lower limit.
     """
 
-    place_of: PlaceOf
+    scheduling_key: SchedulingKeyFunction
     limit_rule: LimitRule
     headroom: bool = True
     deadlines: bool = True
-    slowness: bool = True
+    limit_stragglers: bool = True
 
 
 def tiered_policy(*, limit_rule: LimitRule | None = None) -> Policy:
@@ -39,11 +43,15 @@
     limit_rule : LimitRule, optional
         `aimd` by default.
     """
-    return Policy(place_by_tier, limit_rule or aimd())
+    return Policy(tiered_scheduling_key, limit_rule or aimd())
 
 
 def fifo_policy() -> Policy:
     """Return the baseline for benchmarks: arrival order, fixed limit."""
     return Policy(
-        place_by_arrival, fixed(), headroom=False, deadlines=False, slowness=False
+        fifo_scheduling_key,
+        fixed(),
+        headroom=False,
+        deadlines=False,
+        limit_stragglers=False,
     )
--- a/libs/admission/src/berylwalk/admission/_places.py
+++ b/libs/admission/src/berylwalk/admission/_queue_entries.py
@@ -20,7 +20,7 @@
 
 
 @dataclass(slots=True, eq=False)
-class WaitingEntry:
+class QueueEntry:
     """One waiting request.
 
     Parameters
@@ -53,7 +53,7 @@
     state: EntryState = EntryState.QUEUED
 
 
-class Place(NamedTuple):
+class SchedulingKey(NamedTuple):
     """What decides about an entry's turn.
 
     Parameters
@@ -71,17 +71,19 @@
     rank: int
     client_account: str
     weight: float
-    urgency: float
+    sort_key: float
 
 
-PlaceOf = Callable[[WaitingEntry], Place]
+SchedulingKeyFunction = Callable[[QueueEntry], SchedulingKey]
 
 
-def place_by_tier(entry: WaitingEntry) -> Place:
+def tiered_scheduling_key(entry: QueueEntry) -> SchedulingKey:
     """Return the place by tier, account and deadline."""
-    return Place(entry.rank, entry.client_account, entry.weight, entry.deadline_at)
+    return SchedulingKey(
+        entry.rank, entry.client_account, entry.weight, entry.deadline_at
+    )
 
 
-def place_by_arrival(entry: WaitingEntry) -> Place:
+def fifo_scheduling_key(entry: QueueEntry) -> SchedulingKey:
     """Return the place of the first-in-first-out baseline."""
-    return Place(0, "", 1.0, 0.0)
+    return SchedulingKey(0, "", 1.0, 0.0)
--- a/libs/admission/src/berylwalk/admission/_straggler.py
+++ b/libs/admission/src/berylwalk/admission/_straggler.py
@@ -12,7 +12,7 @@
 
 
 @dataclass(slots=True)
-class _Gaps:
+class _GapStats:
     recent_s: float
     baseline_s: float
     samples: int = 1
@@ -40,7 +40,7 @@
     ) -> None:
         self._slow_ratio = slow_ratio
         self._recovered_ratio = recovered_ratio
-        self._gaps_by_bucket: dict[int, _Gaps] = {}
+        self._gaps_by_bucket: dict[int, _GapStats] = {}
         self._slow = False
         self._ratio = 1.0
 
@@ -50,7 +50,7 @@
         return self._slow
 
     @property
-    def slowness(self) -> float:
+    def slowdown(self) -> float:
         """How many times slower the target is; 1 unless it is slow."""
         return max(self._ratio, 1.0) if self._slow else 1.0
 
@@ -59,21 +59,21 @@
         bucket = batch.bit_length()
         gaps = self._gaps_by_bucket.get(bucket)
         if gaps is None:
-            self._gaps_by_bucket[bucket] = _Gaps(gap_s, gap_s)
+            self._gaps_by_bucket[bucket] = _GapStats(gap_s, gap_s)
             return
         gaps.samples += 1
         gaps.recent_s += RECENT_SHARE * (gap_s - gaps.recent_s)
         gaps.baseline_s += self._baseline_share(gaps) * (gap_s - gaps.baseline_s)
-        self._judge(gaps)
+        self._update_state(gaps)
 
-    def _baseline_share(self, gaps: _Gaps) -> float:
+    def _baseline_share(self, gaps: _GapStats) -> float:
         if gaps.samples <= MIN_SAMPLES:
             return 1.0 / gaps.samples
         if self._slow or gaps.ratio > self._recovered_ratio:
             return SLOW_BASELINE_SHARE
         return BASELINE_SHARE
 
-    def _judge(self, gaps: _Gaps) -> None:
+    def _update_state(self, gaps: _GapStats) -> None:
         if gaps.samples <= MIN_SAMPLES:
             return
         self._ratio = gaps.ratio
--- a/libs/admission/tests/test_admission_limits.py
+++ b/libs/admission/tests/test_admission_limits.py
@@ -3,14 +3,14 @@
 import pytest
 
 from berylwalk.admission import (
-    SlotLimit,
-    SlotTargets,
+    ConcurrencyLimit,
+    LatencyTargets,
     SpeedModel,
     StragglerDetector,
     Work,
     aimd,
     gradient,
-    open_slots,
+    tier_slot_limit,
 )
 from berylwalk.model import TierPolicy
 
@@ -25,20 +25,24 @@
     @pytest.mark.parametrize(("rank", "expected"), [(0, 10), (1, 8), (2, 7)])
     def test_lower_tiers_leave_slots(self, rank, expected):
         """Each tier leaves the sum of the shares above it, without rounding up."""
-        assert open_slots(rank, 10, TIERS, higher_active=True) == expected
+        assert tier_slot_limit(rank, 10, TIERS, higher_active=True) == expected
 
     def test_idle_target_serves_the_lowest(self):
         """A single slot goes to the lowest tier only when nothing higher is there."""
-        assert open_slots(2, 1, TIERS, higher_active=False) == 1
-        assert open_slots(2, 1, TIERS, higher_active=True) == 0
+        assert tier_slot_limit(2, 1, TIERS, higher_active=False) == 1
+        assert tier_slot_limit(2, 1, TIERS, higher_active=True) == 0
 
 
 @pytest.mark.parametrize("rule", [aimd(), gradient()], ids=["aimd", "gradient"])
-class TestSlotLimit:
+class TestConcurrencyLimit:
     def settle(self, rule, capacity):
         """Run windows in which the gap is on target at exactly ``capacity``."""
-        limit = SlotLimit(
-            rule, initial=8, minimum=2, maximum=64, targets=SlotTargets(0.1, 2.0)
+        limit = ConcurrencyLimit(
+            rule,
+            initial=8,
+            minimum=2,
+            maximum=64,
+            latency_targets=LatencyTargets(0.1, 2.0),
         )
         for window in range(200):
             in_use = limit.value()
@@ -58,7 +62,7 @@
 
     def test_unused_slots_do_not_raise_it(self, rule):
         """A target that is never full tells nothing about more load."""
-        limit = SlotLimit(rule, initial=8)
+        limit = ConcurrencyLimit(rule, initial=8)
         for window in range(50):
             limit.observe_gap(0.01 * 10, 10)
             limit.update(window * 1.0, 2)
@@ -68,7 +72,9 @@
 class TestQueueInsideTarget:
     def test_limit_falls_when_first_tokens_wait(self):
         """First tokens that wait inside the target lower the limit early."""
-        limit = SlotLimit(aimd(), initial=32, targets=SlotTargets(0.1, 2.0))
+        limit = ConcurrencyLimit(
+            aimd(), initial=32, latency_targets=LatencyTargets(0.1, 2.0)
+        )
         for window in range(20):
             limit.observe_first_token(0.5, 0.02, 0.005)
             limit.update(window * 1.0, limit.value())
@@ -76,7 +82,7 @@
 
     def test_what_runs_beyond_it_does_not_lower_it_further(self):
         """A limit is not lowered again before its last lowering can show."""
-        limit = SlotLimit(aimd(), initial=32)
+        limit = ConcurrencyLimit(aimd(), initial=32)
         for window in range(20):
             limit.observe_first_token(0.5, 0.02, 0.005)
             limit.update(window * 1.0, 32)
@@ -93,11 +99,11 @@
         for _ in range(60):
             detector.observe(4, 0.03)
         assert detector.slow
-        assert 2.0 < detector.slowness < 3.5
+        assert 2.0 < detector.slowdown < 3.5
         for _ in range(60):
             detector.observe(4, 0.01)
         assert not detector.slow
-        assert detector.slowness == 1.0
+        assert detector.slowdown == 1.0
 
     def test_larger_batch_is_not_slow(self):
         """Steps of a large batch are compared with steps of a large batch."""
--- a/libs/admission/tests/test_admission_waiting.py
+++ b/libs/admission/tests/test_admission_waiting.py
@@ -12,16 +12,16 @@
 )
 
 from berylwalk.admission import (
+    AdmissionQueue,
     EntryState,
-    WaitingEntry,
-    WaitingList,
-    place_by_arrival,
+    QueueEntry,
+    fifo_scheduling_key,
 )
-from berylwalk.admission._accounts import QUANTUM_S
+from berylwalk.admission._fair_queue import QUANTUM_S
 
 
 def make_entry(key, account="a", rank=0, *, weight=1.0, cost=1.0, deadline_at=10.0):
-    return WaitingEntry(key, account, rank, weight, 100, 10, cost, deadline_at)
+    return QueueEntry(key, account, rank, weight, 100, 10, cost, deadline_at)
 
 
 @dataclass
@@ -107,7 +107,7 @@
 class WaitingListAgainstNaive(RuleBasedStateMachine):
     def __init__(self):
         super().__init__()
-        self.waiting = WaitingList()
+        self.waiting = AdmissionQueue()
         self.naive = NaiveList()
         self.next_key = 0
 
@@ -151,10 +151,10 @@
             self.naive.refund(entry)
 
     @rule(data=st.data())
-    def put_back(self, data):
+    def unpark(self, data):
         entry = self.choose(data, EntryState.PARKED)
         if entry is not None:
-            self.waiting.put_back(entry.key)
+            self.waiting.unpark(entry.key)
             self.naive.joined(entry)
 
     @rule(data=st.data(), ran=st.booleans())
@@ -177,14 +177,14 @@
         """The newest of the lowest tier makes room, parked ones included."""
         waiting = [e for e in self.naive.entries if e.state is not EntryState.TAKEN]
         victim = max(waiting, key=lambda e: (e.rank, e.sequence), default=None)
-        assert self.waiting.newest_of_lowest() is victim
+        assert self.waiting.eviction_candidate() is victim
         assert len(self.waiting) == len(waiting)
 
     @invariant()
     def same_work(self):
         """The work of a tier and above is that of its queued entries."""
         ahead = [entry for rank in (0, 1) for entry in self.naive.queued(rank)]
-        work = self.waiting.work_before(1)
+        work = self.waiting.work_ahead(1)
         assert work.output_tokens == 10 * len(ahead)
 
 
@@ -197,7 +197,7 @@
 class TestShares:
     def test_by_weight_whatever_the_size(self):
         """A weight of 3 gives three times the service, even with larger requests."""
-        waiting = WaitingList()
+        waiting = AdmissionQueue()
         for number in range(200):
             waiting.add(make_entry(("a", number), "a", weight=3.0, cost=4.0))
             waiting.add(make_entry(("b", number), "b", weight=1.0, cost=1.0))
@@ -212,7 +212,7 @@
 class TestFirstInFirstOut:
     def test_ignores_tier_and_deadline(self):
         """The baseline for benchmarks takes requests as they come."""
-        waiting = WaitingList(place_of=place_by_arrival)
+        waiting = AdmissionQueue(scheduling_key=fifo_scheduling_key)
         for number, rank in enumerate((2, 0, 1)):
             waiting.add(make_entry(number, str(number), rank, deadline_at=-number))
         assert [waiting.take().key for _ in range(3)] == [0, 1, 2]
--- a/libs/agent/src/berylwalk/agent/_ledger.py
+++ b/libs/agent/src/berylwalk/agent/_attempt_registry.py
@@ -9,7 +9,7 @@
 
 
 @dataclass(slots=True)
-class Record:
+class RequestRecord:
     """Memory of one request.
 
     Parameters
@@ -30,7 +30,7 @@
     reason: RefusalReason = RefusalReason.TOMBSTONE
 
 
-class Ledger:
+class AttemptRegistry:
     """Records of requests, pruned by age and number.
 
     Pruning raises a floor: unknown requests at or below it are taken for dead,
@@ -44,12 +44,12 @@
         Largest number of records.
     """
 
-    def __init__(self, *, remember_s: float, max_records: int) -> None:
-        self._remember_s = remember_s
+    def __init__(self, *, retention_s: float, max_records: int) -> None:
+        self._retention_s = retention_s
         self._max_records = max_records
         # Oldest change first; requests that run are kept apart, never pruned.
-        self._records_by_id: OrderedDict[RequestId, Record] = OrderedDict()
-        self._running_by_id: dict[RequestId, Record] = {}
+        self._records_by_id: OrderedDict[RequestId, RequestRecord] = OrderedDict()
+        self._running_by_id: dict[RequestId, RequestRecord] = {}
         self._floors_by_router: dict[str, dict[int, int]] = {}
         # Incarnations up to this one are below every floor.
         self._dead_incarnation_by_router: dict[str, int] = {}
@@ -57,7 +57,7 @@
     def __len__(self) -> int:
         return len(self._records_by_id) + len(self._running_by_id)
 
-    def get(self, request_id: RequestId) -> Record | None:
+    def get(self, request_id: RequestId) -> RequestRecord | None:
         """Return the record of a request, or None when there is none."""
         running = self._running_by_id.get(request_id)
         return running or self._records_by_id.get(request_id)
@@ -67,7 +67,7 @@
         record = self.get(request_id)
         return record is not None and record.dispatched
 
-    def is_forgotten(self, request_id: RequestId) -> bool:
+    def may_be_pruned(self, request_id: RequestId) -> bool:
         """Return whether a request is unknown and may have been pruned."""
         if self.get(request_id) is not None:
             return False
@@ -77,12 +77,12 @@
         floors = self._floors_by_router.get(router, {})
         return serial <= floors.get(incarnation, 0)
 
-    def is_dead(self, request_id: RequestId, attempt: int) -> bool:
+    def is_tombstoned(self, request_id: RequestId, attempt: int) -> bool:
         """Return whether an attempt never runs."""
         record = self.get(request_id)
         return record is not None and attempt <= record.dead_attempt
 
-    def kill(
+    def add_tombstone(
         self,
         request_id: RequestId,
         attempt: int,
@@ -113,23 +113,23 @@
         """Turn a dispatch that sent nothing to the target into a dead attempt."""
         self.end_dispatch(request_id, now)
         self._records_by_id[request_id].dispatched = False
-        self.kill(request_id, attempt, now, reason=RefusalReason.NOT_SERVED)
+        self.add_tombstone(request_id, attempt, now, reason=RefusalReason.NOT_SERVED)
 
     def prune(self, now: float) -> None:
         """Forget records that are too old or too many."""
         while self._records_by_id:
             request_id = next(iter(self._records_by_id))
             record = self._records_by_id[request_id]
-            expired = now - record.touched_at > self._remember_s
+            expired = now - record.touched_at > self._retention_s
             if not expired and len(self._records_by_id) <= self._max_records:
                 return
             del self._records_by_id[request_id]
             self._raise_floor(request_id)
 
-    def _touch(self, request_id: RequestId, now: float) -> Record:
+    def _touch(self, request_id: RequestId, now: float) -> RequestRecord:
         record = self.get(request_id)
         if record is None:
-            record = self._records_by_id[request_id] = Record(now)
+            record = self._records_by_id[request_id] = RequestRecord(now)
             return record
         record.touched_at = now
         if request_id in self._records_by_id:
--- a/libs/agent/src/berylwalk/agent/_config.py
+++ b/libs/agent/src/berylwalk/agent/_config.py
@@ -2,7 +2,7 @@
 
 from dataclasses import dataclass, field
 
-from berylwalk.admission import Policy, SlotTargets, tiered_policy
+from berylwalk.admission import LatencyTargets, Policy, tiered_policy
 
 TICK_S = 0.01
 """Least time between two ticks, in seconds."""
@@ -11,8 +11,8 @@
 """Longest time between two ticks, in seconds."""
 
 PEER_TIMEOUT_S = 3.0
-REMEMBER_S = 600.0
-MAX_REMEMBERED = 50_000
+RECORD_RETENTION_S = 600.0
+MAX_ATTEMPT_RECORDS = 50_000
 DIGEST_INTERVAL_S = 0.05
 
 
@@ -63,12 +63,12 @@
     min_limit: int = 1
     max_limit: int = 256
     max_waiting: int = 1000
-    targets: SlotTargets = field(default_factory=SlotTargets)
+    latency_targets: LatencyTargets = field(default_factory=LatencyTargets)
     prefill_tokens_per_s: float = 10_000.0
     token_gap_s: float = 0.02
     ready_timeout_s: float = 0.05
     ask_ahead: int = 1
-    remember_s: float = REMEMBER_S
-    max_remembered: int = MAX_REMEMBERED
+    retention_s: float = RECORD_RETENTION_S
+    max_attempt_records: int = MAX_ATTEMPT_RECORDS
     peer_timeout_s: float = PEER_TIMEOUT_S
     digest_interval_s: float = DIGEST_INTERVAL_S
--- a/libs/agent/src/berylwalk/agent/_control.py
+++ b/libs/agent/src/berylwalk/agent/_control.py
@@ -3,7 +3,7 @@
 from collections.abc import Callable
 
 from berylwalk.agent._events import AgentEvent, DatagramArrived
-from berylwalk.agent._settings_pulls import SettingsPuller
+from berylwalk.agent._settings_puller import SettingsPuller
 from berylwalk.transport import Datagram as Received
 from berylwalk.transport import DatagramEndpoint
 from berylwalk.wire import (
@@ -62,9 +62,9 @@
     async def run_receiver(self) -> None:
         """Take datagrams in until the endpoint is closed."""
         async for received in self._endpoint:
-            self.take(received)
+            self.receive(received)
 
-    def take(self, received: Received) -> None:
+    def receive(self, received: Received) -> None:
         """Take one datagram in."""
         datagram = decode_datagram(received.payload)
         if datagram is None:
@@ -72,5 +72,7 @@
         router = datagram.sender
         self._address_by_router[router] = received.address
         # First, so that nothing is admitted by settings known to be old.
-        self._settings.hear(router, received.address[0], datagram.settings_version)
+        self._settings.record_announcement(
+            router, received.address[0], datagram.settings_version
+        )
         self._handle(DatagramArrived(datagram))
--- a/libs/agent/src/berylwalk/agent/_daemon.py
+++ b/libs/agent/src/berylwalk/agent/_daemon.py
@@ -12,14 +12,14 @@
 
 from berylwalk.agent._control import ControlChannel
 from berylwalk.agent._dispatch import Dispatcher
+from berylwalk.agent._dispatch_observer import DispatchObserver
 from berylwalk.agent._events import DrainRequested, TargetChanged, TiersChanged
 from berylwalk.agent._health import TargetHealth
 from berylwalk.agent._machine import AgentMachine
-from berylwalk.agent._observing import DispatchObserver
 from berylwalk.agent._orders import ORDERS_PATH, OrderCaller, OrdersEndpoint
 from berylwalk.agent._paths import DISPATCH_PATH, by_path
-from berylwalk.agent._settings_answers import SettingsAnswers
-from berylwalk.agent._settings_pulls import SettingsPuller
+from berylwalk.agent._settings_puller import SettingsPuller
+from berylwalk.agent._settings_responder import SettingsResponder
 from berylwalk.agent._shell import AgentShell
 from berylwalk.agent._startup import machine_config
 from berylwalk.model import Finding
@@ -35,10 +35,10 @@
 from berylwalk.telemetry import AgentMetrics, ops_application
 from berylwalk.transport import HttpServer
 
-LINGER_S = 1.0
+DRAIN_LINGER_S = 1.0
 """Time for which routers are still answered after the last request ended."""
 
-CLOSE_S = 5.0
+CLOSE_TIMEOUT_S = 5.0
 """Longest wait for routers to read the ends of answers."""
 
 
@@ -76,10 +76,10 @@
             self._replica,
             self._connections.sync_client,
             port=settings.ports.sync,
-            on_change=self._note_settings,
+            on_change=self._on_settings_change,
         )
         self._sync_server = self._connections.sync_server(
-            settings, SettingsAnswers(self._replica).answer
+            settings, SettingsResponder(self._replica).answer
         )
         self._control = ControlChannel(
             self._connections.endpoint,
@@ -88,7 +88,7 @@
             settings=self._puller,
             handle=self._shell.handle,
         )
-        self._shell.use_sender(self._control.send)
+        self._shell.set_sender(self._control.send)
         self._dispatch_server = self._new_dispatch_server()
         self._ops_server = self._new_ops_server()
 
@@ -113,7 +113,7 @@
         self._task_group = await self._exit_stack.enter_async_context(group)
         await self._connections.start()
         await self._sync_server.start(self._task_group)
-        self._note_target()
+        self._on_target_change()
         for name, task in self._background_tasks():
             self._task_group.start_soon(keep_running, name, task)
         await self._dispatch_server.start()
@@ -128,8 +128,8 @@
         await self._shell.drained.wait()
         # Routers learn by digests that the agent leaves, and may still ask for
         # the fate of an attempt.
-        await sleep(LINGER_S)
-        await self._dispatch_server.close(timeout_s=CLOSE_S)
+        await sleep(DRAIN_LINGER_S)
+        await self._dispatch_server.close(timeout_s=CLOSE_TIMEOUT_S)
         logging.info("drained")
 
     async def close(self) -> None:
@@ -162,7 +162,7 @@
             target.url,
             models=target.models,
             services=target.services,
-            on_change=self._note_target,
+            on_change=self._on_target_change,
         )
 
     def _new_dispatch_server(self) -> HttpServer:
@@ -174,10 +174,10 @@
             connections.key,
             settings.target.url,
             self._observer,
-            on_refused_connection=self._health.note_refused,
+            on_refused_connection=self._health.mark_unreachable,
         )
         orders = OrderCaller(connections.http, settings.target.url)
-        gate = FencingGate(settings.node.id, connections.store, orders.pass_on)
+        gate = FencingGate(settings.node.id, connections.store, orders.forward)
         orders_endpoint = OrdersEndpoint(gate, connections.key)
         application = by_path({DISPATCH_PATH: dispatcher, ORDERS_PATH: orders_endpoint})
         return HttpServer.from_config(
@@ -203,16 +203,16 @@
             ("target-health", self._health.run),
         ]
 
-    def _note_target(self) -> None:
+    def _on_target_change(self) -> None:
         reachable = self._health.reachable and self._puller.is_usable
         self._shell.handle(TargetChanged(self._health.resources, reachable))
 
-    def _note_settings(self) -> None:
+    def _on_settings_change(self) -> None:
         document = self._replica.document
         if document is not None:
             tiers = tuple(document.tree.tiers_by_name.values())
             self._shell.handle(TiersChanged(document.version, tiers))
-        self._note_target()
+        self._on_target_change()
 
     def _update_gauges(self) -> None:
         self._observer.update_gauges(self._puller.version)
--- a/libs/agent/src/berylwalk/agent/_digests.py
+++ b/libs/agent/src/berylwalk/agent/_digests.py
@@ -3,9 +3,9 @@
 from collections.abc import Sequence
 from math import inf
 
-from berylwalk.admission import WaitingList
+from berylwalk.admission import AdmissionQueue
 from berylwalk.agent._config import AgentConfig
-from berylwalk.agent._peers import Peer
+from berylwalk.agent._router_peers import Peer
 from berylwalk.agent._slots import Slots
 from berylwalk.agent._target import Target
 from berylwalk.wire import Digest
@@ -13,7 +13,7 @@
 MAX_RANKS = 64
 MAX_WAIT_MS = 3_600_000
 # Time between pushes for each router, which bounds the cost in a large fleet.
-INTERVAL_S_BY_ROUTER = 0.01
+PUSH_INTERVAL_PER_ROUTER_S = 0.01
 
 
 class DigestBuilder:
@@ -32,7 +32,7 @@
     """
 
     def __init__(
-        self, config: AgentConfig, slots: Slots, waiting: WaitingList, target: Target
+        self, config: AgentConfig, slots: Slots, waiting: AdmissionQueue, target: Target
     ) -> None:
         self._failure_domain = config.failure_domain
         self._interval_s = config.digest_interval_s
@@ -56,12 +56,12 @@
             sequence=self._sequence,
             resources=target.resources,
             failure_domain=self._failure_domain,
-            leaving=target.takes_nothing_new,
+            leaving=target.refuses_new_work,
             slow=slots.straggler.slow,
             running=len(slots.running_by_id),
             ready=slots.held,
             limit=slots.limit,
-            waiting_by_rank=tuple(self._waiting.waiting_at(rank) for rank in ranks),
+            waiting_by_rank=tuple(self._waiting.count_at_rank(rank) for rank in ranks),
             wait_ms_by_rank=tuple(self._wait_ms(rank) for rank in ranks),
             prefill_tokens_per_s=slots.speed.prefill_tokens_per_s,
             token_gap_ms=slots.speed.token_gap_s(max(slots.limit, 1)) * 1000,
@@ -71,10 +71,10 @@
     def wait_s(self, rank: int) -> float:
         """Return the estimated wait of a new reservation of a tier, in seconds."""
         highest = self._waiting.highest_rank()
-        nobody_before = not self._waiting.waits_before(rank)
-        if nobody_before and self._slots.has_room(rank, highest):
+        nothing_ahead = not self._waiting.has_entry_ahead(rank)
+        if nothing_ahead and self._slots.has_room(rank, highest):
             return 0.0
-        ahead = self._waiting.work_before(rank)
+        ahead = self._waiting.work_ahead(rank)
         return self._slots.wait_s(ahead)
 
     def may_push(self, now: float) -> bool:
@@ -106,11 +106,11 @@
             self._pushed_state = state
             self._changed_at = now
         # Many routers would make even rare digests costly.
-        shared_s = len(routers) * INTERVAL_S_BY_ROUTER
-        untold = [item for item in routers if item[1].pushed_at < self._changed_at]
+        shared_s = len(routers) * PUSH_INTERVAL_PER_ROUTER_S
+        pending = [item for item in routers if item[1].pushed_at < self._changed_at]
         due, later = [], []
-        for router, peer in untold:
-            due_at = peer.pushed_at + max(peer.digest_s, shared_s)
+        for router, peer in pending:
+            due_at = peer.pushed_at + max(peer.push_interval_s, shared_s)
             if due_at <= now:
                 due.append((router, peer))
             else:
@@ -130,8 +130,8 @@
             slots.limit,
             slots.straggler.slow,
             len(self._waiting),
-            self._target.takes_nothing_new,
-            slots.is_held_back,
+            self._target.refuses_new_work,
+            slots.is_throttled,
             self._target.reachable,
             self._target.resources,
         )
--- a/libs/agent/src/berylwalk/agent/_dispatch.py
+++ b/libs/agent/src/berylwalk/agent/_dispatch.py
@@ -6,20 +6,20 @@
 from absl import logging
 from anyio import CancelScope, create_task_group, move_on_after, sleep
 
-from berylwalk.agent._answers import AnswerMeter
 from berylwalk.agent._dispatch_headers import (
     GRANT_HEADER,
     REFUSED_HEADER,
-    answer_headers,
+    response_headers,
     target_headers,
 )
+from berylwalk.agent._dispatch_observer import DispatchedCall, DispatchObserver
 from berylwalk.agent._events import (
     DispatchEnd,
     DispatchEnded,
     TargetProgress,
-    TargetStated,
+    TargetStatementReceived,
 )
-from berylwalk.agent._observing import DispatchedCall, DispatchObserver
+from berylwalk.agent._response_meter import ResponseMeter
 from berylwalk.agent._shell import AgentShell
 from berylwalk.model import Refusal, RefusalReason
 from berylwalk.platform import read_statement
@@ -46,9 +46,9 @@
 
 MODEL_PREFIX = "model:"
 DISCONNECT = "http.disconnect"
-TURNS_TO_SEE_END = 2
+LOOP_PASSES_TO_SEE_DISCONNECT = 2
 REFUSED_STATUS = 409
-TURNED_AWAY = 429
+TOO_MANY_REQUESTS = 429
 SERVER_ERROR = 500
 MAX_BODY_BYTES = 64 << 20
 BODY_TIMEOUT_S = 60.0
@@ -111,11 +111,11 @@
         if self._key.digest(body) != grant.body_digest:
             await _send_error(send, 403, "the body does not belong to the grant")
             return
-        if await _has_left(receive):
+        if await _is_disconnected(receive):
             # A process that was stopped for a while wakes up with grants whose
             # routers have given up; as long as none ran, that can be told.
             raise AbortConnection
-        refusal = self._shell.judge(grant)
+        refusal = self._shell.admit(grant)
         if refusal is not None:
             await self._refuse(grant, refusal, send)
             return
@@ -133,7 +133,7 @@
         call = self._observer.started(grant)
         end = DispatchEnd.BROKEN
         try:
-            end = await self._relay_while_wanted(call, body, receive, send)
+            end = await self._relay_until_disconnect(call, body, receive, send)
         finally:
             # The slot is free, or the attempt dead, before the router learns it.
             self._shell.handle(DispatchEnded(grant.request_id, end))
@@ -146,7 +146,7 @@
         else:
             raise AbortConnection
 
-    async def _relay_while_wanted(
+    async def _relay_until_disconnect(
         self, call: DispatchedCall, body: bytes, receive: Receive, send: Send
     ) -> DispatchEnd:
         end = DispatchEnd.CALLER_GONE
@@ -170,9 +170,9 @@
             coalesce_s=COALESCE_S if is_model else 0.0,
         )
         if isinstance(stream, RequestFailed):
-            return self._note_failure(grant, stream)
+            return self._handle_failure(grant, stream)
         try:
-            return await self._pass_on(call, stream, send, sent_at)
+            return await self._relay_response(call, stream, send, sent_at)
         except StreamBrokenError as error:
             logging.warning("answer of %s broke: %s", grant.request_id, error)
             return DispatchEnd.BROKEN
@@ -180,17 +180,17 @@
             with CancelScope(shield=True):
                 await stream.close()
 
-    async def _pass_on(
+    async def _relay_response(
         self, call: DispatchedCall, stream: HttpStream, send: Send, sent_at: float
     ) -> DispatchEnd:
         call.status = stream.status
-        self._note_statement(stream, sent_at)
-        meter = AnswerMeter(
+        self._report_statement(stream, sent_at)
+        meter = ResponseMeter(
             stream.headers.get("content-type", ""),
             is_model=call.grant.resource.startswith(MODEL_PREFIX),
         )
         progress = _Progress(self._shell, self._observer, call, self._clock)
-        await send_start(send, stream.status, answer_headers(stream.headers))
+        await send_start(send, stream.status, response_headers(stream.headers))
         sender = chunk_sender(send)
 
         def try_take(chunk: bytes) -> bool:
@@ -205,13 +205,13 @@
             await send_chunk(send, chunk)
 
         await stream.forward(try_take, take)
-        if not meter.is_whole:
+        if not meter.is_complete:
             logging.warning("stream of %s has no end marker", call.grant.request_id)
             return DispatchEnd.BROKEN
         progress.finish(0 if meter.is_stream else meter.reported_tokens)
         return DispatchEnd.COMPLETE
 
-    def _note_statement(self, stream: HttpStream, sent_at: float) -> None:
+    def _report_statement(self, stream: HttpStream, sent_at: float) -> None:
         headers = [
             (name.encode("latin-1"), value.encode("latin-1"))
             for name, value in stream.headers.items()
@@ -219,11 +219,15 @@
         statement = read_statement(stream.status, headers)
         if statement.problem:
             logging.warning("the target states: %s", statement.problem)
-        if not statement.is_plain or self._shell.machine.awaits_statement:
-            is_taken = stream.status < SERVER_ERROR and stream.status != TURNED_AWAY
-            self._shell.handle(TargetStated(statement, sent_at, is_taken))
+        if not statement.is_plain or self._shell.machine.has_active_statement:
+            was_accepted = (
+                stream.status < SERVER_ERROR and stream.status != TOO_MANY_REQUESTS
+            )
+            self._shell.handle(
+                TargetStatementReceived(statement, sent_at, was_accepted)
+            )
 
-    def _note_failure(self, grant: Grant, failure: RequestFailed) -> DispatchEnd:
+    def _handle_failure(self, grant: Grant, failure: RequestFailed) -> DispatchEnd:
         logging.warning("call of %s failed: %s", grant.request_id, failure.reason)
         if failure.state is SendState.NOT_SENT:
             self._on_refused_connection()
@@ -246,15 +250,15 @@
         self._call = call
         self._clock = clock
         self._unreported = 0
-        self._first_seen = False
+        self._first_chunk_seen = False
         self._next_report_at = 0.0
 
     def add(self, tokens: int, *, is_stream: bool) -> None:
         """Count the tokens of a piece."""
         self._call.tokens += tokens
-        if not self._first_seen:
-            self._first_seen = True
-            self._observer.first_piece(self._call)
+        if not self._first_chunk_seen:
+            self._first_chunk_seen = True
+            self._observer.first_chunk(self._call)
             if is_stream:
                 self._report(tokens, first=True)
             return
@@ -275,9 +279,9 @@
         self._shell.handle(TargetProgress(self._call.grant.request_id, first, tokens))
 
 
-async def _has_left(receive: Receive) -> bool:
+async def _is_disconnected(receive: Receive) -> bool:
     # The loop needs a turn to see the end of a connection behind its data.
-    for _ in range(TURNS_TO_SEE_END):
+    for _ in range(LOOP_PASSES_TO_SEE_DISCONNECT):
         await sleep(0)
     with move_on_after(0):
         return (await receive())["type"] == DISCONNECT
--- a/libs/agent/src/berylwalk/agent/_dispatch_headers.py
+++ b/libs/agent/src/berylwalk/agent/_dispatch_headers.py
@@ -10,7 +10,7 @@
 REQUEST_ID_HEADER = b"berylwalk-request-id"
 TRACEPARENT_HEADER = b"traceparent"
 DISPATCHED = (b"berylwalk-dispatched", b"1")
-OWN_PREFIX = "berylwalk-"
+RESERVED_PREFIX = "berylwalk-"
 
 _NOT_TO_TARGET = frozenset(
     {
@@ -43,7 +43,7 @@
     headers = [
         (name.encode("latin-1"), value.encode("latin-1"))
         for name, value in grant.headers
-        if _passes(name, _NOT_TO_TARGET)
+        if _is_forwarded(name, _NOT_TO_TARGET)
     ]
     headers.append((REQUEST_ID_HEADER, str(grant.request_id).encode("latin-1")))
     if traceparent:
@@ -51,7 +51,7 @@
     return headers
 
 
-def answer_headers(headers: Mapping[str, str]) -> list[Header]:
+def response_headers(headers: Mapping[str, str]) -> list[Header]:
     """Return the headers of the answer to the router.
 
     Parameters
@@ -62,11 +62,11 @@
     passed = [
         (name.encode("latin-1"), value.encode("latin-1"))
         for name, value in headers.items()
-        if _passes(name, _NOT_TO_ROUTER)
+        if _is_forwarded(name, _NOT_TO_ROUTER)
     ]
     return [DISPATCHED, *passed]
 
 
-def _passes(name: str, withheld: frozenset[str]) -> bool:
+def _is_forwarded(name: str, withheld: frozenset[str]) -> bool:
     lower = name.lower()
-    return lower not in withheld and not lower.startswith(OWN_PREFIX)
+    return lower not in withheld and not lower.startswith(RESERVED_PREFIX)
--- a/libs/agent/src/berylwalk/agent/_observing.py
+++ b/libs/agent/src/berylwalk/agent/_dispatch_observer.py
@@ -77,7 +77,7 @@
         hop = self._tracing.start_hop(grant.traceparent, "agent.dispatch", attributes)
         return DispatchedCall(grant, hop, self._clock())
 
-    def first_piece(self, call: DispatchedCall) -> None:
+    def first_chunk(self, call: DispatchedCall) -> None:
         """Note the first piece of an answer."""
         elapsed_s = self._clock() - call.started_at
         tier = self._tier_name(call.grant)
@@ -92,11 +92,11 @@
         self._metrics.dispatch_seconds.labels(tier).observe(elapsed_s)
         if end in (DispatchEnd.BROKEN, DispatchEnd.CALLER_GONE):
             self._metrics.wasted_prefill_tokens.inc(grant.prompt_tokens)
-        is_whole = end is DispatchEnd.COMPLETE
+        is_complete = end is DispatchEnd.COMPLETE
         call.hop.set_attributes(
             {"berylwalk.end": end.value, "http.response.status_code": call.status}
         )
-        call.hop.end(HopStatus.OK if is_whole else HopStatus.ERROR, end.value)
+        call.hop.end(HopStatus.OK if is_complete else HopStatus.ERROR, end.value)
         log_event(
             Level.INFO,
             "dispatch-ended",
--- a/libs/agent/src/berylwalk/agent/_events.py
+++ b/libs/agent/src/berylwalk/agent/_events.py
@@ -45,7 +45,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class TargetStated:
+class TargetStatementReceived:
     """The head of an answer came, with what it states of the target.
 
     Parameters
@@ -60,7 +60,7 @@
 
     statement: TargetStatement
     sent_at: float
-    is_taken: bool
+    was_accepted: bool
 
 
 class DispatchEnd(StrEnum):
@@ -111,7 +111,7 @@
     DatagramArrived
     | GrantArrived
     | TargetProgress
-    | TargetStated
+    | TargetStatementReceived
     | DispatchEnded
     | TiersChanged
     | TargetChanged
--- a/libs/agent/src/berylwalk/agent/_grants.py
+++ b/libs/agent/src/berylwalk/agent/_grants.py
@@ -1,17 +1,17 @@
 """Whether a grant is dispatched: the only place where that is decided."""
 
 from berylwalk.admission import EntryState
+from berylwalk.agent._attempt_registry import AttemptRegistry
 from berylwalk.agent._config import AgentConfig
-from berylwalk.agent._ledger import Ledger
 from berylwalk.agent._reservations import Reservations
+from berylwalk.agent._slot_offers import Reservation
 from berylwalk.agent._slots import Slots
 from berylwalk.agent._target import Target
-from berylwalk.agent._turns import Reservation
 from berylwalk.model import Refusal, RefusalReason
 from berylwalk.wire import Grant
 
 
-class GrantDesk:
+class GrantHandler:
     """Judges grants and records what comes of them.
 
     Parameters
@@ -32,17 +32,19 @@
         self,
         config: AgentConfig,
         slots: Slots,
-        ledger: Ledger,
+        attempts: AttemptRegistry,
         reservations: Reservations,
         target: Target,
     ) -> None:
         self._identity = (config.agent_id, config.incarnation)
         self._slots = slots
-        self._ledger = ledger
+        self._attempts = attempts
         self._reservations = reservations
         self._target = target
 
-    def accept(self, grant: Grant, now: float, *, router_gone: bool) -> Refusal | None:
+    def admit(
+        self, grant: Grant, now: float, *, is_stale_router: bool
+    ) -> Refusal | None:
         """Use up a grant.
 
         Parameters
@@ -59,26 +61,26 @@
         Refusal or None
             Why it does not run; None when it is dispatched.
         """
-        reason = self._judge(grant, now, router_gone)
+        reason = self._judge(grant, now, is_stale_router)
         if reason is None:
             self._dispatch(grant, now)
             return None
-        self._bury(grant, reason, now)
+        self._record_refusal(grant, reason, now)
         retry_ms = self._reservations.retry_after_ms(reason, grant.tier_rank)
         return Refusal(reason, retry_ms)
 
     def _judge(
-        self, grant: Grant, now: float, router_gone: bool
+        self, grant: Grant, now: float, is_stale_router: bool
     ) -> RefusalReason | None:
         if (grant.agent, grant.agent_incarnation) != self._identity:
             return RefusalReason.STALE_INCARNATION
-        if self._ledger.is_dispatched(grant.request_id):
+        if self._attempts.is_dispatched(grant.request_id):
             return RefusalReason.DUPLICATE
-        if router_gone or self._is_dead(grant):
+        if is_stale_router or self._is_tombstoned(grant):
             return RefusalReason.TOMBSTONE
-        if self._target.takes_nothing_new:
+        if self._target.refuses_new_work:
             return RefusalReason.LEAVING
-        if self._slots.is_at_rest:
+        if self._slots.is_paused:
             return RefusalReason.NO_SLOT
         if not self._target.serves(grant.resource):
             return RefusalReason.NOT_SERVED
@@ -86,13 +88,13 @@
             return RefusalReason.DEADLINE
         return None if self._has_slot(grant, now) else RefusalReason.NO_SLOT
 
-    def _is_dead(self, grant: Grant) -> bool:
-        if self._ledger.is_dead(grant.request_id, grant.attempt):
+    def _is_tombstoned(self, grant: Grant) -> bool:
+        if self._attempts.is_tombstoned(grant.request_id, grant.attempt):
             return True
         reservation = self._reservations.get(grant.request_id)
         if reservation is not None:
             return grant.attempt < reservation.attempt
-        return self._ledger.is_forgotten(grant.request_id)
+        return self._attempts.may_be_pruned(grant.request_id)
 
     def _can_finish(self, grant: Grant) -> bool:
         output_tokens = self._slots.lengths.expected_tokens(
@@ -105,37 +107,39 @@
         rank = grant.tier_rank
         waiting = self._reservations.waiting
         reservation = self._reservations.get(grant.request_id)
-        if reservation is not None and _answers(grant, reservation):
+        if reservation is not None and _matches_reservation(grant, reservation):
             if reservation.state is EntryState.TAKEN:
                 return True
             return self._slots.may_overcommit(rank, waiting.highest_rank())
         # An earlier attempt must not stand in the way of its own successor.
-        self._void_earlier(grant, reservation, now)
-        if waiting.waits_before(rank):
+        self._cancel_earlier(grant, reservation, now)
+        if waiting.has_entry_ahead(rank):
             return False
         return self._slots.has_room(rank, waiting.highest_rank())
 
-    def _void_earlier(
+    def _cancel_earlier(
         self, grant: Grant, reservation: Reservation | None, now: float
     ) -> None:
         if reservation is not None:
-            self._reservations.void(grant.request_id, grant.attempt - 1, now)
+            self._reservations.cancel(grant.request_id, grant.attempt - 1, now)
 
     def _dispatch(self, grant: Grant, now: float) -> None:
         reservation = self._reservations.get(grant.request_id)
         if reservation is not None:
             self._reservations.remove(reservation, ran=True)
-        self._ledger.start_dispatch(grant.request_id, now)
+        self._attempts.start_dispatch(grant.request_id, now)
         self._slots.start(grant, now)
 
-    def _bury(self, grant: Grant, reason: RefusalReason, now: float) -> None:
+    def _record_refusal(self, grant: Grant, reason: RefusalReason, now: float) -> None:
         if reason is RefusalReason.DUPLICATE or grant.agent != self._identity[0]:
             return
         if self._reservations.get(grant.request_id) is None:
-            self._ledger.kill(grant.request_id, grant.attempt, now, reason=reason)
+            self._attempts.add_tombstone(
+                grant.request_id, grant.attempt, now, reason=reason
+            )
         else:
-            self._reservations.void(grant.request_id, grant.attempt, now)
+            self._reservations.cancel(grant.request_id, grant.attempt, now)
 
 
-def _answers(grant: Grant, reservation: Reservation) -> bool:
+def _matches_reservation(grant: Grant, reservation: Reservation) -> bool:
     return not grant.conditional and grant.attempt == reservation.attempt
--- a/libs/agent/src/berylwalk/agent/_health.py
+++ b/libs/agent/src/berylwalk/agent/_health.py
@@ -9,11 +9,11 @@
 
 MODELS_PATH = "/v1/models"
 SERVICE_PATH = "/healthz"
-POLL_S = 1.0
-FIRST_POLL_S = 0.1
-TIMEOUT_S = 2.0
+POLL_INTERVAL_S = 1.0
+STARTUP_POLL_INTERVAL_S = 0.1
+POLL_TIMEOUT_S = 2.0
 # An answer may be late under load; a refused connection is certain.
-MAX_MISSED = 3
+MAX_MISSED_POLLS = 3
 OK = 200
 
 
@@ -61,7 +61,7 @@
         self._models = models
         self._services = services
         self._on_change = on_change
-        self._missed = 0
+        self._missed_polls = 0
         self.resources = resource_names(models, services)
         self.reachable = False
 
@@ -69,27 +69,32 @@
         """Poll until cancelled; more often until the target first answers."""
         while True:
             await self.poll()
-            await sleep(POLL_S if self.reachable else FIRST_POLL_S)
+            await sleep(POLL_INTERVAL_S if self.reachable else STARTUP_POLL_INTERVAL_S)
 
     async def poll(self) -> None:
         """Ask the target once."""
-        answer = await self._client.request("GET", self._url, read_timeout_s=TIMEOUT_S)
+        answer = await self._client.request(
+            "GET", self._url, read_timeout_s=POLL_TIMEOUT_S
+        )
         if isinstance(answer, RequestFailed):
             self._note_failure(answer)
         else:
             self._note_answer(answer)
 
-    def note_refused(self) -> None:
+    def mark_unreachable(self) -> None:
         """Note that the target refused a connection."""
         self._update(self.resources, reachable=False)
 
     def _note_failure(self, failure: RequestFailed) -> None:
-        self._missed += 1
-        if failure.state is SendState.NOT_SENT or self._missed >= MAX_MISSED:
+        self._missed_polls += 1
+        if (
+            failure.state is SendState.NOT_SENT
+            or self._missed_polls >= MAX_MISSED_POLLS
+        ):
             self._update(self.resources, reachable=False)
 
     def _note_answer(self, answer: HttpResponse) -> None:
-        self._missed = 0
+        self._missed_polls = 0
         models = self._models
         if models and answer.status == OK:
             models = _model_names(answer.body) or models
--- a/libs/agent/src/berylwalk/agent/_machine.py
+++ b/libs/agent/src/berylwalk/agent/_machine.py
@@ -3,6 +3,7 @@
 from collections import Counter
 from math import inf
 
+from berylwalk.agent._attempt_registry import AttemptRegistry
 from berylwalk.agent._config import AgentConfig
 from berylwalk.agent._digests import DigestBuilder
 from berylwalk.agent._events import (
@@ -18,16 +19,15 @@
     StartDispatch,
     TargetChanged,
     TargetProgress,
-    TargetStated,
+    TargetStatementReceived,
     Tick,
     TiersChanged,
 )
-from berylwalk.agent._grants import GrantDesk
-from berylwalk.agent._ledger import Ledger
-from berylwalk.agent._messages import MessageDesk
+from berylwalk.agent._grants import GrantHandler
+from berylwalk.agent._messages import MessageHandler
 from berylwalk.agent._outbox import Outbox
-from berylwalk.agent._peers import Hearing, Peers
 from berylwalk.agent._reservations import Reservations
+from berylwalk.agent._router_peers import IncarnationStatus, Peers
 from berylwalk.agent._slots import Slots
 from berylwalk.agent._target import Target
 from berylwalk.model import RefusalReason, RequestId
@@ -52,18 +52,18 @@
         self._target = Target(config.resources)
         self._outbox = Outbox()
         self._peers = Peers(timeout_s=config.peer_timeout_s)
-        self._ledger = Ledger(
-            remember_s=config.remember_s, max_records=config.max_remembered
+        self._attempts = AttemptRegistry(
+            retention_s=config.retention_s, max_records=config.max_attempt_records
         )
         self._slots = Slots(config)
         self._reservations = Reservations(
-            config, self._slots, self._ledger, self._outbox
+            config, self._slots, self._attempts, self._outbox
         )
-        self._grants = GrantDesk(
-            config, self._slots, self._ledger, self._reservations, self._target
+        self._grants = GrantHandler(
+            config, self._slots, self._attempts, self._reservations, self._target
         )
-        self._messages = MessageDesk(
-            self._ledger, self._reservations, self._target, self._outbox
+        self._messages = MessageHandler(
+            self._attempts, self._reservations, self._target, self._outbox
         )
         self._digests = DigestBuilder(
             config, self._slots, self._reservations.waiting, self._target
@@ -97,9 +97,9 @@
         return self._slots.limit
 
     @property
-    def awaits_statement(self) -> bool:
+    def has_active_statement(self) -> bool:
         """Whether an answer that states nothing of the target would be news."""
-        return self._slots.awaits_statement
+        return self._slots.has_active_statement
 
     @property
     def is_slow(self) -> bool:
@@ -130,10 +130,10 @@
         """
         if not self._reservations.is_active:
             return inf
-        self._slots.look(now)
-        opens_in_s = self._slots.opens_in_s()
+        self._slots.set_time(now)
+        throttled_for_s = self._slots.throttled_for_s()
         return min(
-            now + opens_in_s if opens_in_s > 0 else inf,
+            now + throttled_for_s if throttled_for_s > 0 else inf,
             self._reservations.next_due(),
             self._slots.limit_due,
             self._digests.next_due(),
@@ -158,9 +158,9 @@
             # By far the most frequent event; it changes nothing to act on.
             self._slots.progress(event, now)
             return []
-        self._slots.look(now)
+        self._slots.set_time(now)
         actions = self._handle(event, now)
-        self._reservations.fill(now)
+        self._reservations.offer_slots(now)
         self._push_digest(now)
         actions.extend(self._outbox.flush())
         if self._is_drained():
@@ -182,37 +182,41 @@
                 if version > self._tiers_version:
                     self._tiers_version = version
                     self._slots.tiers = tiers
-            case TargetStated():
-                if self._slots.note_stated(event):
-                    self._target.says_leaving = True
+            case TargetStatementReceived():
+                if self._slots.apply_statement(event):
+                    self._target.target_leaving = True
                     self._reservations.refuse_all(RefusalReason.LEAVING, now)
             case TargetChanged(resources, reachable):
                 self._change_target(resources, reachable, now)
             case DrainRequested():
-                self._target.leaving = True
+                self._target.agent_draining = True
                 self._reservations.refuse_all(RefusalReason.LEAVING, now)
         return []
 
     def _judge_grant(self, grant: Grant, now: float) -> StartDispatch | RefuseGrant:
         router, incarnation, _ = grant.request_id
-        heard = self._hear(router, incarnation, now)
-        refusal = self._grants.accept(grant, now, router_gone=heard is Hearing.STALE)
+        heard = self._record_message(router, incarnation, now)
+        refusal = self._grants.admit(
+            grant, now, is_stale_router=heard is IncarnationStatus.STALE
+        )
         return StartDispatch(grant) if refusal is None else RefuseGrant(grant, refusal)
 
     def _receive(self, datagram: Datagram, now: float) -> None:
-        heard = self._hear(datagram.sender, datagram.incarnation, now)
-        if heard is Hearing.STALE:
+        heard = self._record_message(datagram.sender, datagram.incarnation, now)
+        if heard is IncarnationStatus.STALE:
             return
         for message in datagram.messages:
             if isinstance(message, Hello):
-                self._peers.want_digests(datagram.sender, message.digest_ms)
+                self._peers.subscribe_digests(datagram.sender, message.digest_ms)
                 self._outbox.send(datagram.sender, self._digests.build())
             elif _is_from(message, datagram):
                 self._messages.handle(message, now)
 
-    def _hear(self, router: str, incarnation: int, now: float) -> Hearing:
-        heard = self._peers.hear(router, incarnation, now)
-        if heard is Hearing.REPLACED:
+    def _record_message(
+        self, router: str, incarnation: int, now: float
+    ) -> IncarnationStatus:
+        heard = self._peers.record_message(router, incarnation, now)
+        if heard is IncarnationStatus.REPLACED:
             self._reservations.refuse_all(
                 RefusalReason.TOMBSTONE,
                 now,
@@ -231,29 +235,29 @@
             return
         self._slots.end(request_id, end, now)
         if end is DispatchEnd.NOT_SENT:
-            self._ledger.undo_dispatch(request_id, running.grant.attempt, now)
+            self._attempts.undo_dispatch(request_id, running.grant.attempt, now)
         else:
-            self._ledger.end_dispatch(request_id, now)
+            self._attempts.end_dispatch(request_id, now)
 
     def _tick(self, now: float) -> None:
         self._reservations.advance(now)
-        for router in self._peers.newly_silent(now):
+        for router in self._peers.newly_timed_out(now):
             self._reservations.refuse_all(
                 RefusalReason.TOMBSTONE,
                 now,
                 where=lambda reservation, gone=router: reservation.router == gone,
             )
-        self._reservations.refuse_late(now)
+        self._reservations.refuse_overdue(now)
         self._slots.update_limit(now)
-        self._ledger.prune(now)
+        self._attempts.prune(now)
 
     def _change_target(
         self, resources: tuple[str, ...], reachable: bool, now: float
     ) -> None:
         if reachable and not self._target.reachable:
             # What it said before it was away may be of its last life.
-            self._slots.forget_needs()
-            self._target.says_leaving = False
+            self._slots.reset_statements()
+            self._target.target_leaving = False
         self._target.resources = resources
         self._target.reachable = reachable
         self._reservations.refuse_all(
@@ -265,7 +269,7 @@
     def _push_digest(self, now: float) -> None:
         if not self._digests.may_push(now):
             return
-        due = self._digests.due_routers(now, self._peers.wanting_digests(now))
+        due = self._digests.due_routers(now, self._peers.digest_subscribers(now))
         if not due:
             return
         digest = self._digests.build()
@@ -274,7 +278,7 @@
 
     def _is_drained(self) -> bool:
         is_idle = not self._slots.running_by_id
-        return self._target.leaving and is_idle and not self._drain_reported
+        return self._target.agent_draining and is_idle and not self._drain_reported
 
 
 def _is_from(message: ControlMessage, datagram: Datagram) -> bool:
--- a/libs/agent/src/berylwalk/agent/_messages.py
+++ b/libs/agent/src/berylwalk/agent/_messages.py
@@ -1,6 +1,6 @@
 """Answers to the reservations, withdrawals and revocations of routers."""
 
-from berylwalk.agent._ledger import Ledger
+from berylwalk.agent._attempt_registry import AttemptRegistry
 from berylwalk.agent._outbox import Outbox
 from berylwalk.agent._reservations import Reservations
 from berylwalk.agent._target import Target
@@ -15,7 +15,7 @@
 )
 
 
-class MessageDesk:
+class MessageHandler:
     """Handles the messages that concern one request each.
 
     Parameters
@@ -32,12 +32,12 @@
 
     def __init__(
         self,
-        ledger: Ledger,
+        attempts: AttemptRegistry,
         reservations: Reservations,
         target: Target,
         outbox: Outbox,
     ) -> None:
-        self._ledger = ledger
+        self._attempts = attempts
         self._reservations = reservations
         self._target = target
         self._outbox = outbox
@@ -48,32 +48,32 @@
             case Reserve():
                 self._reserve(message, now)
             case Withdraw(request_id, attempt):
-                if not self._ledger.is_dispatched(request_id):
-                    self._reservations.void(request_id, attempt, now)
+                if not self._attempts.is_dispatched(request_id):
+                    self._reservations.cancel(request_id, attempt, now)
             case Revoke(request_id, attempt):
                 self._revoke(request_id, attempt, now)
 
     def _reserve(self, message: Reserve, now: float) -> None:
         request_id = message.request_id
-        if self._ledger.is_dispatched(request_id):
+        if self._attempts.is_dispatched(request_id):
             # A late copy; "did not run" would be untrue.
             return
         reservation = self._reservations.get(request_id)
-        if self._ledger.is_dead(request_id, message.attempt):
-            self._refuse_again(message)
+        if self._attempts.is_tombstoned(request_id, message.attempt):
+            self._repeat_refusal(message)
         elif reservation is not None:
-            self._reservations.answer_again(reservation, message.attempt, now)
-        elif self._ledger.is_forgotten(request_id):
+            self._reservations.handle_duplicate(reservation, message.attempt, now)
+        elif self._attempts.may_be_pruned(request_id):
             self._send_refused(message, RefusalReason.TOMBSTONE)
-        elif self._target.takes_nothing_new:
+        elif self._target.refuses_new_work:
             self._reservations.refuse_message(message, RefusalReason.LEAVING, now)
         elif not self._target.serves(message.resource):
             self._reservations.refuse_message(message, RefusalReason.NOT_SERVED, now)
         else:
             self._reservations.add(message, now)
 
-    def _refuse_again(self, message: Reserve) -> None:
-        record = self._ledger.get(message.request_id)
+    def _repeat_refusal(self, message: Reserve) -> None:
+        record = self._attempts.get(message.request_id)
         reason = record.reason
         is_same = message.attempt == record.dead_attempt
         if not is_same or self._has_room_again(reason, message.tier_rank):
@@ -82,7 +82,7 @@
 
     def _has_room_again(self, reason: RefusalReason, rank: int) -> bool:
         # The router must not shed a request for a lack of room that has passed.
-        return reason in _REASONS_OF_ROOM and self._reservations.has_room(rank)
+        return reason in _QUEUE_SPACE_REASONS and self._reservations.has_room(rank)
 
     def _send_refused(self, message: Reserve, reason: RefusalReason) -> None:
         retry_ms = self._reservations.retry_after_ms(reason, message.tier_rank)
@@ -90,14 +90,14 @@
         self._outbox.send(message.request_id.router, refused)
 
     def _revoke(self, request_id: RequestId, attempt: int, now: float) -> None:
-        if self._ledger.is_dispatched(request_id):
+        if self._attempts.is_dispatched(request_id):
             self._send_revoke_result(request_id, attempt, ran=True)
             return
         is_known = self._reservations.get(request_id) is not None
-        if not is_known and self._ledger.is_forgotten(request_id):
+        if not is_known and self._attempts.may_be_pruned(request_id):
             # It may have run before it was pruned: no answer is true.
             return
-        self._reservations.void(request_id, attempt, now)
+        self._reservations.cancel(request_id, attempt, now)
         self._send_revoke_result(request_id, attempt, ran=False)
 
     def _send_revoke_result(
@@ -107,4 +107,4 @@
         self._outbox.send(request_id.router, result)
 
 
-_REASONS_OF_ROOM = frozenset({RefusalReason.QUEUE_FULL, RefusalReason.EVICTED})
+_QUEUE_SPACE_REASONS = frozenset({RefusalReason.QUEUE_FULL, RefusalReason.EVICTED})
--- a/libs/agent/src/berylwalk/agent/_orders.py
+++ b/libs/agent/src/berylwalk/agent/_orders.py
@@ -80,7 +80,7 @@
         self._client = client
         self._target_url = target_url.rstrip("/")
 
-    async def pass_on(self, order: Order) -> OrderResult:
+    async def forward(self, order: Order) -> OrderResult:
         """Send one order and return what the target made of it."""
         call = target_order(order)
         answer = await self._client.request(
--- a/libs/agent/src/berylwalk/agent/_reservations.py
+++ b/libs/agent/src/berylwalk/agent/_reservations.py
@@ -2,16 +2,16 @@
 
 from collections.abc import Callable
 
-from berylwalk.admission import DeadlineHeap, EntryState, WaitingList
+from berylwalk.admission import AdmissionQueue, DeadlineHeap, EntryState
+from berylwalk.agent._attempt_registry import AttemptRegistry
 from berylwalk.agent._config import AgentConfig
-from berylwalk.agent._ledger import Ledger
 from berylwalk.agent._outbox import Outbox
+from berylwalk.agent._slot_offers import Reservation, SlotOffers
 from berylwalk.agent._slots import Slots
-from berylwalk.agent._turns import Reservation, Turns
 from berylwalk.model import RefusalReason, RequestId
 from berylwalk.wire import Queued, Refused, Reserve
 
-RECHECK_S = 0.05
+DEADLINE_RECHECK_S = 0.05
 MIN_RETRY_MS = 50
 DEFAULT_RETRY_MS = 1000
 
@@ -32,41 +32,49 @@
     """
 
     def __init__(
-        self, config: AgentConfig, slots: Slots, ledger: Ledger, outbox: Outbox
+        self,
+        config: AgentConfig,
+        slots: Slots,
+        attempts: AttemptRegistry,
+        outbox: Outbox,
     ) -> None:
         self._max_waiting = config.max_waiting
         self._deadlines = config.policy.deadlines
         self._slots = slots
-        self._ledger = ledger
+        self._attempts = attempts
         self._outbox = outbox
-        self.waiting = WaitingList(place_of=config.policy.place_of)
+        self.waiting = AdmissionQueue(scheduling_key=config.policy.scheduling_key)
         # By the latest time at which the work could start.
         self._latest_starts: DeadlineHeap[Reservation] = DeadlineHeap()
-        self._turns = Turns(config.ready_timeout_s, slots, self.waiting, outbox)
+        self._offers = SlotOffers(config.ready_timeout_s, slots, self.waiting, outbox)
 
     @property
     def is_active(self) -> bool:
         """Whether any reservation waits or holds a slot."""
-        return self._turns.ready_count > 0 or len(self.waiting) > 0
+        return self._offers.ready_count > 0 or len(self.waiting) > 0
 
     def next_due(self) -> float:
         """Return when `advance` or `refuse_late` is needed next, in seconds."""
         late = self._latest_starts.peek()
         return (
-            self._turns.next_due if late is None else min(late[0], self._turns.next_due)
+            self._offers.next_due
+            if late is None
+            else min(late[0], self._offers.next_due)
         )
 
     def get(self, request_id: RequestId) -> Reservation | None:
         """Return the reservation of a request, or None."""
         return self.waiting.get(request_id)
 
-    def answer_again(self, reservation: Reservation, attempt: int, now: float) -> None:
+    def handle_duplicate(
+        self, reservation: Reservation, attempt: int, now: float
+    ) -> None:
         """Answer a repeated `Reserve`, which may carry a newer attempt."""
         if attempt > reservation.attempt:
-            self._ledger.kill(reservation.key, attempt - 1, now)
+            self._attempts.add_tombstone(reservation.key, attempt - 1, now)
             reservation.attempt = attempt
         if reservation.state is EntryState.TAKEN:
-            self._turns.send_ready(reservation)
+            self._offers.send_ready(reservation)
         else:
             self._send_queued(reservation)
 
@@ -74,16 +82,18 @@
         """Return whether a new reservation of a tier would not be refused for room."""
         if len(self.waiting) < self._max_waiting:
             return True
-        lowest = self.waiting.newest_of_lowest()
+        lowest = self.waiting.eviction_candidate()
         return lowest is not None and lowest.rank > rank
 
     def wait_s(self, message: Reserve) -> float:
         """Return the estimated wait of a new reservation, in seconds."""
         rank = message.tier_rank
         highest = self.waiting.highest_rank()
-        if not self.waiting.waits_before(rank) and self._slots.has_room(rank, highest):
+        if not self.waiting.has_entry_ahead(rank) and self._slots.has_room(
+            rank, highest
+        ):
             return 0.0
-        ahead = self.waiting.work_before_account(
+        ahead = self.waiting.work_ahead_of_account(
             rank, message.client_account, message.weight
         )
         return self._slots.wait_s(ahead)
@@ -93,13 +103,15 @@
         reservation = self._new_reservation(message, now)
         wait_s = self.wait_s(message)
         remaining_s = message.deadline_ms / 1000
-        if not self._can_finish(reservation, remaining_s - self._planned(wait_s)):
+        if not self._can_finish(
+            reservation, remaining_s - self._planned_wait_s(wait_s)
+        ):
             self.refuse_message(message, RefusalReason.DEADLINE, now)
             return
         self.waiting.add(reservation)
         self._watch_deadline(reservation, now)
-        self.fill(now)
-        self._make_room(reservation, now)
+        self.offer_slots(now)
+        self._evict_excess(reservation, now)
         if reservation.state is EntryState.QUEUED and self.get(reservation.key):
             self._send_queued(reservation)
 
@@ -107,7 +119,9 @@
         self, message: Reserve, reason: RefusalReason, now: float
     ) -> None:
         """Refuse a `Reserve` that is in no list; its attempt is dead."""
-        self._ledger.kill(message.request_id, message.attempt, now, reason=reason)
+        self._attempts.add_tombstone(
+            message.request_id, message.attempt, now, reason=reason
+        )
         self._send_refused(
             message.request_id, message.attempt, reason, message.tier_rank
         )
@@ -117,7 +131,9 @@
     ) -> None:
         """Remove a reservation and tell its router; its attempt is dead."""
         self.remove(reservation)
-        self._ledger.kill(reservation.key, reservation.attempt, now, reason=reason)
+        self._attempts.add_tombstone(
+            reservation.key, reservation.attempt, now, reason=reason
+        )
         self._send_refused(
             reservation.key, reservation.attempt, reason, reservation.rank
         )
@@ -134,7 +150,7 @@
             if where(reservation):
                 self.refuse(reservation, reason, now)
 
-    def void(self, request_id: RequestId, attempt: int, now: float) -> None:
+    def cancel(self, request_id: RequestId, attempt: int, now: float) -> None:
         """Make an attempt dead, with the reservation that it covers."""
         reservation = self.get(request_id)
         if reservation is not None and reservation.attempt <= attempt:
@@ -146,42 +162,42 @@
                     RefusalReason.TOMBSTONE,
                     reservation.rank,
                 )
-        self._ledger.kill(request_id, attempt, now)
+        self._attempts.add_tombstone(request_id, attempt, now)
 
     def remove(self, reservation: Reservation, *, ran: bool = False) -> None:
         """Remove a reservation and give back the slot that it holds."""
         self.waiting.remove(reservation.key, ran=ran)
         self._latest_starts.discard(reservation.sequence)
-        self._turns.forget(reservation)
+        self._offers.discard(reservation)
 
-    def fill(self, now: float) -> None:
+    def offer_slots(self, now: float) -> None:
         """Offer slots to the reservations whose turn it is."""
         while (rank := self.waiting.highest_rank()) is not None:
             if not self._slots.may_overcommit(rank, rank):
                 return
             reservation = self.waiting.take()
             if self._can_finish(reservation, reservation.deadline_at - now):
-                self._turns.begin(reservation, now)
+                self._offers.offer(reservation, now)
             else:
                 self.refuse(reservation, RefusalReason.DEADLINE, now)
 
     def advance(self, now: float) -> None:
         """End turns that were not taken; queue again those passed over."""
-        self._turns.advance(now)
+        self._offers.advance(now)
 
-    def refuse_late(self, now: float) -> None:
+    def refuse_overdue(self, now: float) -> None:
         """Refuse waiting reservations that can no longer meet their deadline."""
         while (found := self._latest_starts.peek()) is not None:
             latest_start, reservation = found
             if latest_start > now:
                 return
             self._latest_starts.pop()
-            if self._is_late(reservation, now):
+            if self._will_miss_deadline(reservation, now):
                 self.refuse(reservation, RefusalReason.DEADLINE, now)
             else:
                 self._watch_deadline(reservation, now)
 
-    def _is_late(self, reservation: Reservation, now: float) -> bool:
+    def _will_miss_deadline(self, reservation: Reservation, now: float) -> bool:
         if reservation.state is EntryState.TAKEN:
             return False
         return not self._can_finish(reservation, reservation.deadline_at - now)
@@ -189,7 +205,9 @@
     def _watch_deadline(self, reservation: Reservation, now: float) -> None:
         service_s = self._service_s(reservation) if self._deadlines else 0.0
         # Estimates change, so that a time in the past only means to look again.
-        latest_start = max(reservation.deadline_at - service_s, now + RECHECK_S)
+        latest_start = max(
+            reservation.deadline_at - service_s, now + DEADLINE_RECHECK_S
+        )
         self._latest_starts.push(latest_start, reservation.sequence, reservation)
 
     def _service_s(self, reservation: Reservation) -> float:
@@ -202,7 +220,7 @@
             reservation.prompt_tokens, reservation.output_tokens, remaining_s
         )
 
-    def _planned(self, wait_s: float) -> float:
+    def _planned_wait_s(self, wait_s: float) -> float:
         return wait_s if self._deadlines else 0.0
 
     def _new_reservation(self, message: Reserve, now: float) -> Reservation:
@@ -222,15 +240,15 @@
             resource=message.resource,
         )
 
-    def _make_room(self, newcomer: Reservation, now: float) -> None:
+    def _evict_excess(self, newcomer: Reservation, now: float) -> None:
         while len(self.waiting) > self._max_waiting:
-            victim = self.waiting.newest_of_lowest()
+            victim = self.waiting.eviction_candidate()
             is_newcomer = victim is newcomer
             reason = RefusalReason.QUEUE_FULL if is_newcomer else RefusalReason.EVICTED
             self.refuse(victim, reason, now)
 
     def _send_queued(self, reservation: Reservation) -> None:
-        ahead = self.waiting.work_before(reservation.rank)
+        ahead = self.waiting.work_ahead(reservation.rank)
         wait_s = self._slots.wait_s(ahead)
         message = Queued(reservation.key, reservation.attempt, int(wait_s * 1000))
         self._outbox.send(reservation.router, message)
@@ -244,9 +262,9 @@
 
     def retry_after_ms(self, reason: RefusalReason, rank: int) -> int:
         """Return when a refused request may come back, in milliseconds."""
-        if reason not in _REASONS_OF_LOAD:
+        if reason not in _OVERLOAD_REASONS:
             return DEFAULT_RETRY_MS
-        ahead = self.waiting.work_before(rank)
+        ahead = self.waiting.work_ahead(rank)
         wait_s = self._slots.speed.wait_s(ahead, self._slots.limit)
         # What can't meet its deadline may fail to do so without any wait, too.
         is_late = reason is RefusalReason.DEADLINE
@@ -254,7 +272,7 @@
         return max(int(wait_s * 1000), least_ms)
 
 
-_REASONS_OF_LOAD = frozenset(
+_OVERLOAD_REASONS = frozenset(
     {
         RefusalReason.NO_SLOT,
         RefusalReason.QUEUE_FULL,
--- a/libs/agent/src/berylwalk/agent/_answers.py
+++ b/libs/agent/src/berylwalk/agent/_response_meter.py
@@ -9,7 +9,7 @@
 COMPLETION_TOKENS = re.compile(rb'"completion_tokens"\s*:\s*(\d+)')
 
 
-class AnswerMeter:
+class ResponseMeter:
     """Follow the raw bytes of an answer without parsing them.
 
     Parameters
@@ -36,7 +36,7 @@
         return chunk.count(EVENT_START) if self.is_stream else 0
 
     @property
-    def is_whole(self) -> bool:
+    def is_complete(self) -> bool:
         """Whether an answer that ended cleanly here is whole."""
         if not self._needs_marker:
             return True
--- a/libs/agent/src/berylwalk/agent/_peers.py
+++ b/libs/agent/src/berylwalk/agent/_router_peers.py
@@ -6,7 +6,7 @@
 FORGET_AFTER_TIMEOUTS = 100
 
 
-class Hearing(Enum):
+class IncarnationStatus(Enum):
     """What a message of a router means for its incarnation."""
 
     CURRENT = auto()
@@ -35,9 +35,9 @@
     """
 
     incarnation: int
-    heard_at: float
-    silent: bool = False
-    digest_s: float | None = None
+    last_message_at: float
+    timeout_reported: bool = False
+    push_interval_s: float | None = None
     pushed_at: float = float("-inf")
 
 
@@ -54,46 +54,48 @@
         self._timeout_s = timeout_s
         self._peers_by_id: dict[str, Peer] = {}
 
-    def hear(self, router: str, incarnation: int, now: float) -> Hearing:
+    def record_message(
+        self, router: str, incarnation: int, now: float
+    ) -> IncarnationStatus:
         """Record a message of a router and judge its incarnation."""
         peer = self._peers_by_id.get(router)
         if peer is None:
             self._peers_by_id[router] = Peer(incarnation, now)
-            return Hearing.CURRENT
-        if incarnation < peer.incarnation and not self._is_silent(peer, now):
-            return Hearing.STALE
+            return IncarnationStatus.CURRENT
+        if incarnation < peer.incarnation and not self._is_timed_out(peer, now):
+            return IncarnationStatus.STALE
         if incarnation != peer.incarnation:
             self._peers_by_id[router] = Peer(incarnation, now)
-            return Hearing.REPLACED
-        peer.heard_at = now
-        peer.silent = False
-        return Hearing.CURRENT
+            return IncarnationStatus.REPLACED
+        peer.last_message_at = now
+        peer.timeout_reported = False
+        return IncarnationStatus.CURRENT
 
-    def want_digests(self, router: str, interval_ms: int) -> None:
+    def subscribe_digests(self, router: str, interval_ms: int) -> None:
         """Note how often a router may be sent digests unasked; 0 for never."""
-        digest_s = interval_ms / 1000 if interval_ms > 0 else None
-        self._peers_by_id[router].digest_s = digest_s
+        push_interval_s = interval_ms / 1000 if interval_ms > 0 else None
+        self._peers_by_id[router].push_interval_s = push_interval_s
 
-    def wanting_digests(self, now: float) -> list[tuple[str, Peer]]:
+    def digest_subscribers(self, now: float) -> list[tuple[str, Peer]]:
         """Return the routers heard within the timeout that want digests."""
         return [
             (router, peer)
             for router, peer in self._peers_by_id.items()
-            if peer.digest_s is not None and not self._is_silent(peer, now)
+            if peer.push_interval_s is not None and not self._is_timed_out(peer, now)
         ]
 
-    def newly_silent(self, now: float) -> list[str]:
+    def newly_timed_out(self, now: float) -> list[str]:
         """Return the routers that became silent since the last call."""
         found = []
         for router, peer in tuple(self._peers_by_id.items()):
-            if not self._is_silent(peer, now):
+            if not self._is_timed_out(peer, now):
                 continue
-            if not peer.silent:
-                peer.silent = True
+            if not peer.timeout_reported:
+                peer.timeout_reported = True
                 found.append(router)
-            if now - peer.heard_at > FORGET_AFTER_TIMEOUTS * self._timeout_s:
+            if now - peer.last_message_at > FORGET_AFTER_TIMEOUTS * self._timeout_s:
                 del self._peers_by_id[router]
         return found
 
-    def _is_silent(self, peer: Peer, now: float) -> bool:
-        return now - peer.heard_at > self._timeout_s
+    def _is_timed_out(self, peer: Peer, now: float) -> bool:
+        return now - peer.last_message_at > self._timeout_s
--- a/libs/agent/src/berylwalk/agent/_settings_pulls.py
+++ b/libs/agent/src/berylwalk/agent/_settings_puller.py
@@ -12,9 +12,9 @@
 from berylwalk.transport import SyncClient, SyncFailed
 from berylwalk.wire import SettingsQuery, SettingsReply, decode_reply, encode_sync
 
-CHECK_S = 0.1
+RECHECK_INTERVAL_S = 0.1
 # Keeps a large fleet from asking one router at the same moment.
-LARGEST_JITTER_S = 0.25
+MAX_PULL_JITTER_S = 0.25
 
 
 class SettingsPuller:
@@ -70,7 +70,7 @@
         """
         return self._was_current or self._is_current()
 
-    def hear(self, router: str, address: str, version: int) -> None:
+    def record_announcement(self, router: str, address: str, version: int) -> None:
         """Note the settings version that a router's datagram carried."""
         self._address_by_router[router] = address
         self._replica.on_announcement(router, version, self._clock())
@@ -84,12 +84,12 @@
             await self._behind.wait()
             router = self._replica.needs_pull(self._clock())
             if router is not None:
-                await sleep(self._rng.uniform(0, LARGEST_JITTER_S))
+                await sleep(self._rng.uniform(0, MAX_PULL_JITTER_S))
                 await self._pull(router)
             elif self._is_current():
                 self._behind = Event()
             else:
-                await sleep(CHECK_S)
+                await sleep(RECHECK_INTERVAL_S)
 
     async def _pull(self, router: str) -> None:
         query = encode_sync(SettingsQuery(self.version))
--- a/libs/agent/src/berylwalk/agent/_settings_answers.py
+++ b/libs/agent/src/berylwalk/agent/_settings_responder.py
@@ -9,7 +9,7 @@
     """A peer asked something that agents do not answer."""
 
 
-class SettingsAnswers:
+class SettingsResponder:
     """Answers questions for the settings document.
 
     Parameters
--- a/libs/agent/src/berylwalk/agent/_shell.py
+++ b/libs/agent/src/berylwalk/agent/_shell.py
@@ -63,11 +63,11 @@
         """The state machine, for its read-only properties."""
         return self._machine
 
-    def use_sender(self, send_messages: SendMessages) -> None:
+    def set_sender(self, send_messages: SendMessages) -> None:
         """Set what sends datagrams to routers."""
         self._send_messages = send_messages
 
-    def judge(self, grant: Grant) -> Refusal | None:
+    def admit(self, grant: Grant) -> Refusal | None:
         """Use up a grant; return why it isn't dispatched, or None when it is."""
         actions = self._machine.handle(GrantArrived(grant), self._clock())
         self._act(actions)
--- a/libs/agent/src/berylwalk/agent/_turns.py
+++ b/libs/agent/src/berylwalk/agent/_slot_offers.py
@@ -4,18 +4,18 @@
 from dataclasses import dataclass
 from math import inf
 
-from berylwalk.admission import WaitingEntry, WaitingList
+from berylwalk.admission import AdmissionQueue, QueueEntry
 from berylwalk.agent._outbox import Outbox
 from berylwalk.agent._slots import Slots
 from berylwalk.model import RequestId
 from berylwalk.wire import Ready
 
-READY_SENDS = 3
+READY_SENDS_PER_OFFER = 3
 MAX_PARK_S = 1.0
 
 
 @dataclass(slots=True, eq=False)
-class Reservation(WaitingEntry):
+class Reservation(QueueEntry):
     """A waiting entry with its router, attempt and turn.
 
     Parameters
@@ -34,10 +34,10 @@
 
     attempt: int = 0
     resource: str = ""
-    ready_until: float = 0.0
+    offer_expires_at: float = 0.0
     resend_at: float = 0.0
     parked_until: float = 0.0
-    turns_lost: int = 0
+    expired_offers: int = 0
 
     @property
     def router(self) -> str:
@@ -45,7 +45,7 @@
         return self.key.router
 
 
-class Turns:
+class SlotOffers:
     """Reservations that hold a slot, or are passed over after a lost turn.
 
     Parameters
@@ -69,7 +69,7 @@
         self,
         ready_timeout_s: float,
         slots: Slots,
-        waiting: WaitingList,
+        waiting: AdmissionQueue,
         outbox: Outbox,
     ) -> None:
         self._ready_timeout_s = ready_timeout_s
@@ -85,12 +85,12 @@
         """Reservations that hold a slot."""
         return len(self._ready_by_id)
 
-    def begin(self, reservation: Reservation, now: float) -> None:
+    def offer(self, reservation: Reservation, now: float) -> None:
         """Hold a slot for a reservation that was taken, and say so."""
         self._slots.hold(reservation.rank)
         self._ready_by_id[reservation.key] = reservation
-        reservation.ready_until = now + self._ready_timeout_s
-        reservation.resend_at = now + self._ready_timeout_s / READY_SENDS
+        reservation.offer_expires_at = now + self._ready_timeout_s
+        reservation.resend_at = now + self._ready_timeout_s / READY_SENDS_PER_OFFER
         self.next_due = min(self.next_due, reservation.resend_at)
         self.send_ready(reservation)
 
@@ -99,18 +99,20 @@
         if now < self.next_due:
             return
         for reservation in tuple(self._ready_by_id.values()):
-            if now >= reservation.ready_until:
-                self._lose_turn(reservation, now)
+            if now >= reservation.offer_expires_at:
+                self._expire_offer(reservation, now)
             elif now >= reservation.resend_at:
                 self.send_ready(reservation)
-                reservation.resend_at = now + self._ready_timeout_s / READY_SENDS
+                reservation.resend_at = (
+                    now + self._ready_timeout_s / READY_SENDS_PER_OFFER
+                )
         for reservation in tuple(self._parked_by_id.values()):
             if now >= reservation.parked_until:
                 del self._parked_by_id[reservation.key]
-                self._waiting.put_back(reservation.key)
+                self._waiting.unpark(reservation.key)
         self.next_due = min(self._due_times(), default=inf)
 
-    def forget(self, reservation: Reservation) -> None:
+    def discard(self, reservation: Reservation) -> None:
         """Give back the slot of a reservation, if it holds one."""
         self._parked_by_id.pop(reservation.key, None)
         if self._ready_by_id.pop(reservation.key, None) is not None:
@@ -123,16 +125,16 @@
 
     def _due_times(self) -> Iterator[float]:
         for reservation in self._ready_by_id.values():
-            yield min(reservation.ready_until, reservation.resend_at)
+            yield min(reservation.offer_expires_at, reservation.resend_at)
         for reservation in self._parked_by_id.values():
             yield reservation.parked_until
 
-    def _lose_turn(self, reservation: Reservation, now: float) -> None:
+    def _expire_offer(self, reservation: Reservation, now: float) -> None:
         del self._ready_by_id[reservation.key]
         self._slots.release(reservation.rank)
         self._waiting.park(reservation.key)
         self._parked_by_id[reservation.key] = reservation
         # Doubles each time, so that a router that is gone takes few slots.
-        park_s = self._ready_timeout_s * 2.0 ** min(reservation.turns_lost, 10)
+        park_s = self._ready_timeout_s * 2.0 ** min(reservation.expired_offers, 10)
         reservation.parked_until = now + min(park_s, MAX_PARK_S)
-        reservation.turns_lost += 1
+        reservation.expired_offers += 1
--- a/libs/agent/src/berylwalk/agent/_slots.py
+++ b/libs/agent/src/berylwalk/agent/_slots.py
@@ -4,15 +4,15 @@
 from dataclasses import dataclass
 
 from berylwalk.admission import (
-    LengthModel,
-    SlotLimit,
+    ConcurrencyLimit,
+    OutputLengthModel,
     SpeedModel,
     StragglerDetector,
     Work,
-    open_slots,
+    tier_slot_limit,
 )
 from berylwalk.agent._config import AgentConfig
-from berylwalk.agent._events import DispatchEnd, TargetProgress, TargetStated
+from berylwalk.agent._events import DispatchEnd, TargetProgress, TargetStatementReceived
 from berylwalk.dispatch import Need, StatedNeeds
 from berylwalk.model import RequestId, TierPolicy
 from berylwalk.wire import Grant
@@ -22,7 +22,7 @@
 
 
 @dataclass(slots=True)
-class Running:
+class RunningRequest:
     """One dispatched request."""
 
     grant: Grant
@@ -43,12 +43,12 @@
     def __init__(self, config: AgentConfig) -> None:
         self._policy = config.policy
         self._ask_ahead = config.ask_ahead
-        self._limit = SlotLimit(
+        self._limit = ConcurrencyLimit(
             config.policy.limit_rule,
             initial=config.initial_limit,
             minimum=config.min_limit,
             maximum=config.max_limit,
-            targets=config.targets,
+            latency_targets=config.latency_targets,
         )
         self._nominal = SpeedModel(
             prefill_tokens_per_s=config.prefill_tokens_per_s,
@@ -58,13 +58,13 @@
             prefill_tokens_per_s=config.prefill_tokens_per_s,
             token_gap_s=config.token_gap_s,
         )
-        self.lengths = LengthModel()
+        self.lengths = OutputLengthModel()
         self.straggler = StragglerDetector()
         self.tiers: tuple[TierPolicy, ...] = ()
-        self.running_by_id: dict[RequestId, Running] = {}
+        self.running_by_id: dict[RequestId, RunningRequest] = {}
         self._now = 0.0
         self._needs = StatedNeeds()
-        self.forget_needs()
+        self.reset_statements()
         self._held = 0
         # Running requests and held slots.
         self._in_use_by_rank: Counter[int] = Counter()
@@ -80,43 +80,43 @@
         return self._held
 
     @property
-    def is_held_back(self) -> bool:
+    def is_throttled(self) -> bool:
         """Whether the target has said that it takes nothing at this moment."""
         return self._needs.obstacle(self._now) is not None
 
     @property
-    def is_at_rest(self) -> bool:
+    def is_paused(self) -> bool:
         """Whether it wants nothing, not even what has its slot already."""
         return self._needs.rest.is_on(self._now)
 
     @property
-    def awaits_statement(self) -> bool:
+    def has_active_statement(self) -> bool:
         """Whether an answer that states nothing would be news."""
         needs = self._needs
         return needs.limit.per_s is not None or needs.rest.sends_left is not None
 
-    def opens_in_s(self) -> float:
+    def throttled_for_s(self) -> float:
         """Return the time until the target takes more, as far as it has said."""
         return max(0.0, self._needs.opens_at(self._now) - self._now)
 
     def wait_s(self, ahead: Work) -> float:
         """Return the expected wait behind some work, in seconds."""
-        return max(self.speed.wait_s(ahead, self.limit), self.opens_in_s())
+        return max(self.speed.wait_s(ahead, self.limit), self.throttled_for_s())
 
-    def look(self, now: float) -> None:
+    def set_time(self, now: float) -> None:
         """Tell the time, before anything is asked."""
         self._now = now
 
-    def note_stated(self, event: TargetStated) -> bool:
+    def apply_statement(self, event: TargetStatementReceived) -> bool:
         """Take what the target states; returns whether it says that it leaves."""
         changed = self._needs.note_answer(
             event.statement, sent_at=event.sent_at, now=self._now
         )
-        if event.is_taken:
+        if event.was_accepted:
             self._needs.rest.note_taken(self.limit, sent_at=event.sent_at)
         return Need.LEAVING in changed
 
-    def forget_needs(self) -> None:
+    def reset_statements(self) -> None:
         """Begin with a target that has said nothing: it has started again."""
         self._needs = StatedNeeds()
         # All work for the target passes through here.
@@ -125,8 +125,8 @@
     @property
     def limit(self) -> int:
         """Slots of the target at present."""
-        slow = self.straggler.slowness if self._policy.slowness else 1.0
-        return self._limit.value(slowness=slow)
+        slow = self.straggler.slowdown if self._policy.limit_stragglers else 1.0
+        return self._limit.value(slowdown=slow)
 
     @property
     def limit_due(self) -> float:
@@ -147,18 +147,18 @@
         highest_waiting : int or None
             The highest tier that waits.
         """
-        if self.is_held_back:
+        if self.is_throttled:
             return False
-        return self.in_use < self._open_slots(rank, highest_waiting)
+        return self.in_use < self._tier_slot_limit(rank, highest_waiting)
 
     def may_overcommit(self, rank: int, highest_waiting: int | None) -> bool:
         """Return whether a tier may have a slot beyond the limit in advance.
 
         Tiers that leave headroom to others may not.
         """
-        if self.is_held_back:
+        if self.is_throttled:
             return False
-        open_to_rank = self._open_slots(rank, highest_waiting)
+        open_to_rank = self._tier_slot_limit(rank, highest_waiting)
         if open_to_rank < self.limit:
             return self.in_use < open_to_rank
         return self.in_use < open_to_rank + self._ask_ahead
@@ -196,7 +196,7 @@
 
     def start(self, grant: Grant, now: float) -> None:
         """Record a dispatch."""
-        self.running_by_id[grant.request_id] = Running(grant, now, now)
+        self.running_by_id[grant.request_id] = RunningRequest(grant, now, now)
         self._needs.note_sent(now)
         self._in_use_by_rank[grant.tier_rank] += 1
 
@@ -233,10 +233,10 @@
         """Adapt the limit to what was observed."""
         self._limit.update(now, self.in_use)
 
-    def _open_slots(self, rank: int, highest_waiting: int | None) -> int:
+    def _tier_slot_limit(self, rank: int, highest_waiting: int | None) -> int:
         if not self._policy.headroom:
             return self.limit
-        return open_slots(
+        return tier_slot_limit(
             rank,
             self.limit,
             self.tiers,
@@ -268,9 +268,9 @@
         self.speed.observe_gap(batch, gap_s)
         self.straggler.observe(batch, gap_s)
 
-    def _learn_answer(self, running: Running, elapsed_s: float) -> None:
+    def _learn_answer(self, running: RunningRequest, elapsed_s: float) -> None:
         grant = running.grant
-        self.speed.observe_answer(elapsed_s)
+        self.speed.observe_response(elapsed_s)
         if grant.resource.startswith(SERVICE_PREFIX):
             self._learn_service(elapsed_s)
         elif running.tokens:
@@ -279,10 +279,10 @@
     def _learn_service(self, elapsed_s: float) -> None:
         # The whole answer counts as the first token. Calls of a service are too
         # unlike for a baseline.
-        self._limit.observe_answer(elapsed_s)
+        self._limit.observe_response(elapsed_s)
         self.speed.observe_gap(len(self.running_by_id) + 1, elapsed_s)
 
-    def _learn_length(self, running: Running) -> None:
+    def _learn_length(self, running: RunningRequest) -> None:
         grant = running.grant
         self.lengths.observe(
             grant.client_account, grant.tier_rank, grant.output_tokens, running.tokens
--- a/libs/agent/src/berylwalk/agent/_startup.py
+++ b/libs/agent/src/berylwalk/agent/_startup.py
@@ -1,6 +1,6 @@
 """From the settings of the node to the configuration of its parts."""
 
-from berylwalk.admission import Policy, SlotTargets, fifo_policy, tiered_policy
+from berylwalk.admission import LatencyTargets, Policy, fifo_policy, tiered_policy
 from berylwalk.agent._config import AgentConfig
 from berylwalk.agent._health import resource_names
 from berylwalk.settings import AdmissionPolicy, AgentSettings
@@ -30,7 +30,7 @@
         min_limit=admission.min_limit,
         max_limit=admission.max_limit,
         max_waiting=admission.max_waiting,
-        targets=SlotTargets(
+        latency_targets=LatencyTargets(
             token_gap_s=admission.token_gap_ms / MS_PER_S,
             first_token_s=admission.first_token_ms / MS_PER_S,
         ),
--- a/libs/agent/src/berylwalk/agent/_target.py
+++ b/libs/agent/src/berylwalk/agent/_target.py
@@ -13,21 +13,21 @@
         ``model:NAME`` and ``service:NAME``.
     reachable : bool
         Whether it answers.
-    leaving : bool
+    agent_draining : bool
         Whether the agent is draining.
-    says_leaving : bool
+    target_leaving : bool
         Whether the target says in its answers that it leaves.
     """
 
     resources: tuple[str, ...] = ()
     reachable: bool = True
-    leaving: bool = False
-    says_leaving: bool = False
+    agent_draining: bool = False
+    target_leaving: bool = False
 
     @property
-    def takes_nothing_new(self) -> bool:
+    def refuses_new_work(self) -> bool:
         """Whether no new work is taken, for good."""
-        return self.leaving or self.says_leaving
+        return self.agent_draining or self.target_leaving
 
     def serves(self, resource: str) -> bool:
         """Return whether new work for a resource can be sent."""
--- a/libs/agent/tests/test_agent_machine.py
+++ b/libs/agent/tests/test_agent_machine.py
@@ -100,7 +100,7 @@
 
     def test_forgotten_requests_never_run(self):
         """Below the floor that pruning raises, nothing runs and nothing is denied."""
-        driver = Driver(max_remembered=2, initial_limit=8)
+        driver = Driver(max_attempt_records=2, initial_limit=8)
         for serial in (1, 2, 3, 4):
             driver.grant(rid(serial), conditional=True)
             driver.end(rid(serial))
@@ -113,7 +113,7 @@
 
     def test_running_request_is_never_forgotten(self):
         """A request that runs longer than the memory lasts is still a duplicate."""
-        driver = Driver(remember_s=10.0)
+        driver = Driver(retention_s=10.0)
         driver.grant(rid(1), conditional=True)
         driver.handle(Tick(), after=100.0)
         assert driver.grant(rid(1), conditional=True) is RefusalReason.DUPLICATE
--- a/libs/agent/tests/test_agent_machine_fuzz.py
+++ b/libs/agent/tests/test_agent_machine_fuzz.py
@@ -76,7 +76,7 @@
                 initial_limit=LIMIT,
                 ask_ahead=ASK_AHEAD,
                 max_waiting=3,
-                max_remembered=remembered,
+                max_attempt_records=remembered,
             )
         )
         self.incarnations = {"r1": 1, "r2": 1}
--- a/libs/agent/tests/test_agent_stated_needs.py
+++ b/libs/agent/tests/test_agent_stated_needs.py
@@ -8,7 +8,7 @@
     GrantArrived,
     StartDispatch,
     TargetChanged,
-    TargetStated,
+    TargetStatementReceived,
     Tick,
 )
 from berylwalk.dispatch import TargetStatement
@@ -16,10 +16,10 @@
 from berylwalk.wire import Queued, Ready, Withdraw
 
 
-def states(driver, *, is_taken=True, **statement):
+def states(driver, *, was_accepted=True, **statement):
     """Let an answer state something of the target."""
     stated = TargetStatement(**statement)
-    driver.handle(TargetStated(stated, driver.now - 0.1, is_taken))
+    driver.handle(TargetStatementReceived(stated, driver.now - 0.1, was_accepted))
 
 
 def dispatched(driver, seconds, *, step_s=0.05):
@@ -74,10 +74,10 @@
         """It has to be asked for: most answers state nothing."""
         driver = Driver(initial_limit=8)
         states(driver, limit_per_s=0.5)
-        assert driver.machine.awaits_statement
+        assert driver.machine.has_active_statement
         driver.now += 3.0
         states(driver)
-        assert not driver.machine.awaits_statement
+        assert not driver.machine.has_active_statement
         assert dispatched(driver, 1.0) == 20
 
 
@@ -88,14 +88,14 @@
         """Not even what has got its slot before."""
         driver = Driver(initial_limit=4)
         assert driver.receive(reserve(rid(1))) == [Ready(rid(1), 1)]
-        states(driver, rest_s=3.0, is_taken=False)
+        states(driver, rest_s=3.0, was_accepted=False)
         assert driver.grant(rid(1)) is RefusalReason.NO_SLOT
         assert dispatched(driver, 2.8) == 0
 
     def test_one_first_and_then_more(self):
         """As the target takes them."""
         driver = Driver(initial_limit=4)
-        states(driver, rest_s=1.0, is_taken=False)
+        states(driver, rest_s=1.0, was_accepted=False)
         driver.handle(Tick(), after=1.0)
         assert driver.grant(rid(1), conditional=True) is None
         assert driver.grant(rid(2), conditional=True) is RefusalReason.NO_SLOT
@@ -124,4 +124,4 @@
         driver.handle(TargetChanged(("model:m",), reachable=False), after=1.0)
         driver.handle(TargetChanged(("model:m",), reachable=True), after=1.0)
         assert driver.grant(rid(2), conditional=True) is None
-        assert not driver.machine.awaits_statement
+        assert not driver.machine.has_active_statement
--- a/libs/agent/tests/test_agent_ticks.py
+++ b/libs/agent/tests/test_agent_ticks.py
@@ -15,7 +15,7 @@
     Tick,
 )
 from berylwalk.agent import _shell as shell_module
-from berylwalk.agent._reservations import RECHECK_S
+from berylwalk.agent._reservations import DEADLINE_RECHECK_S
 from berylwalk.agent._shell import AgentShell
 from berylwalk.model import RequestId
 from berylwalk.wire import Datagram, Digest, Hello, Ready, Refused, Reserve
@@ -94,7 +94,7 @@
         )
         assert rarely[Ready] == pytest.approx(often[Ready], abs=0.01)
         # Estimates are looked at again after this time, not all the time.
-        tolerance_s = RECHECK_S + 0.01
+        tolerance_s = DEADLINE_RECHECK_S + 0.01
         assert rarely[Refused] == pytest.approx(often[Refused], abs=tolerance_s)
         assert abs(len(rarely[Digest]) - len(often[Digest])) <= 1
         # Turns come back, changes of load are told, and the deadline is met.
--- a/libs/placement/src/berylwalk/placement/__init__.py
+++ b/libs/placement/src/berylwalk/placement/__init__.py
@@ -1,7 +1,11 @@
 """Decisions of a router about where a request goes; pure, without I/O."""
 
 from berylwalk.affinity import PlacementHistory
-from berylwalk.placement._affinity import covered_tokens, home_agent, is_shared
+from berylwalk.placement._affinity import (
+    cached_tokens_by_agent,
+    has_known_prefix,
+    preferred_agent,
+)
 from berylwalk.placement._candidates import (
     Candidate,
     Work,
@@ -11,7 +15,7 @@
 from berylwalk.placement._choosers import (
     Chooser,
     earliest_finish,
-    finish_score,
+    expected_finish_s,
     least_wait,
     power_of_two,
     round_robin,
@@ -19,7 +23,7 @@
 from berylwalk.placement._prefixes import prefix_hashes
 from berylwalk.placement._rendezvous import rendezvous_order, router_order, subset
 from berylwalk.placement._retry_budget import RetryBudget
-from berylwalk.placement._stragglers import set_aside
+from berylwalk.placement._stragglers import exclude_stragglers
 
 __all__ = [
     "Candidate",
@@ -27,19 +31,19 @@
     "PlacementHistory",
     "RetryBudget",
     "Work",
+    "cached_tokens_by_agent",
     "corrected_wait_s",
-    "covered_tokens",
     "earliest_finish",
-    "finish_score",
-    "home_agent",
-    "is_shared",
+    "exclude_stragglers",
+    "expected_finish_s",
+    "has_known_prefix",
     "least_wait",
     "power_of_two",
+    "preferred_agent",
     "prefix_hashes",
     "rendezvous_order",
     "round_robin",
     "router_order",
     "service_s",
-    "set_aside",
     "subset",
 ]
--- a/libs/placement/src/berylwalk/placement/_affinity.py
+++ b/libs/placement/src/berylwalk/placement/_affinity.py
@@ -7,10 +7,10 @@
 from berylwalk.placement._prefixes import TOKENS_PER_BLOCK
 from berylwalk.placement._rendezvous import rendezvous_weight
 
-HOME_BLOCKS = 4
+AFFINITY_BLOCKS = 4
 """Leading blocks whose hash chooses the home agent of a prompt."""
 
-HOME_SHARE = 0.5
+PREFERRED_CACHED_SHARE = 0.5
 """Share of the hashed tokens assumed cached at the home agent, because other
 routers send the same prefix there."""
 
@@ -27,7 +27,7 @@
 """Time that is always allowed beyond it, in seconds."""
 
 
-def home_agent(work: Work, candidates: Sequence[Candidate]) -> str | None:
+def preferred_agent(work: Work, candidates: Sequence[Candidate]) -> str | None:
     """Return the agent that all routers prefer for the prefix, or None.
 
     Rendezvous hashing with bounded load: an agent whose load is well above
@@ -37,7 +37,7 @@
         return None
     mean_load = sum(candidate.load for candidate in candidates) / len(candidates)
     bound = LOAD_BOUND * mean_load + LOAD_ALLOWANCE
-    key = work.prefix[min(HOME_BLOCKS, len(work.prefix)) - 1]
+    key = work.prefix[min(AFFINITY_BLOCKS, len(work.prefix)) - 1]
     within = [candidate for candidate in candidates if candidate.load <= bound]
     return max(
         (candidate.agent for candidate in within),
@@ -46,14 +46,14 @@
     )
 
 
-def is_shared(work: Work, history: PlacementHistory) -> bool:
+def has_known_prefix(work: Work, history: PlacementHistory) -> bool:
     """Return whether earlier requests had the same leading blocks."""
-    needed = min(HOME_BLOCKS, len(work.prefix))
+    needed = min(AFFINITY_BLOCKS, len(work.prefix))
     blocks_by_agent = history.covered_blocks(work.prefix)
     return needed > 0 and max(blocks_by_agent.values(), default=0) >= needed
 
 
-def cached_within_bound(
+def most_cached_within_bound(
     work: Work,
     candidates: Sequence[Candidate],
     history: PlacementHistory,
@@ -77,7 +77,7 @@
     """
     bound = FINISH_BOUND * min(score_by_agent.values()) + FINISH_ALLOWANCE_S
     blocks_by_agent = history.covered_blocks(work.prefix)
-    key = work.prefix[min(HOME_BLOCKS, len(work.prefix)) - 1]
+    key = work.prefix[min(AFFINITY_BLOCKS, len(work.prefix)) - 1]
 
     def rank(candidate: Candidate) -> tuple[int, int]:
         blocks = blocks_by_agent.get(candidate.agent, 0)
@@ -88,7 +88,7 @@
     )
 
 
-def covered_tokens(
+def cached_tokens_by_agent(
     work: Work, candidates: Sequence[Candidate], history: PlacementHistory
 ) -> dict[str, int]:
     """Return the prompt tokens that each agent probably has cached.
@@ -100,9 +100,9 @@
         agent: min(blocks * TOKENS_PER_BLOCK, work.prompt_tokens)
         for agent, blocks in blocks_by_agent.items()
     }
-    home = home_agent(work, candidates)
+    home = preferred_agent(work, candidates)
     if home is not None:
         hashed = min(len(work.prefix) * TOKENS_PER_BLOCK, work.prompt_tokens)
-        expected = int(HOME_SHARE * hashed)
+        expected = int(PREFERRED_CACHED_SHARE * hashed)
         tokens_by_agent[home] = max(tokens_by_agent.get(home, 0), expected)
     return tokens_by_agent
--- a/libs/placement/src/berylwalk/placement/_choosers.py
+++ b/libs/placement/src/berylwalk/placement/_choosers.py
@@ -5,9 +5,9 @@
 
 from berylwalk.affinity import PlacementHistory
 from berylwalk.placement._affinity import (
-    cached_within_bound,
-    covered_tokens,
-    is_shared,
+    cached_tokens_by_agent,
+    has_known_prefix,
+    most_cached_within_bound,
 )
 from berylwalk.placement._candidates import (
     Candidate,
@@ -23,7 +23,7 @@
 """Added to the score of agents in another failure domain, in seconds."""
 
 
-def finish_score(
+def expected_finish_s(
     candidate: Candidate, work: Work, *, cached_tokens: int, failure_domain: str
 ) -> float:
     """Return the expected time to the whole answer, in seconds.
@@ -61,10 +61,10 @@
     """
 
     def choose(work: Work, candidates: Sequence[Candidate]) -> Candidate:
-        tokens_by_agent = covered_tokens(work, candidates, history)
+        tokens_by_agent = cached_tokens_by_agent(work, candidates, history)
 
         score_by_agent = {
-            candidate.agent: finish_score(
+            candidate.agent: expected_finish_s(
                 candidate,
                 work,
                 cached_tokens=tokens_by_agent.get(candidate.agent, 0),
@@ -72,8 +72,8 @@
             )
             for candidate in candidates
         }
-        if is_shared(work, history):
-            return cached_within_bound(work, candidates, history, score_by_agent)
+        if has_known_prefix(work, history):
+            return most_cached_within_bound(work, candidates, history, score_by_agent)
 
         def rank(candidate: Candidate) -> tuple[float, float, float]:
             return score_by_agent[candidate.agent], candidate.load, rng.random()
--- a/libs/placement/src/berylwalk/placement/_stragglers.py
+++ b/libs/placement/src/berylwalk/placement/_stragglers.py
@@ -4,12 +4,12 @@
 
 from berylwalk.placement._candidates import Candidate
 
-SET_ASIDE_SHARE = 0.34
+MAX_EXCLUDED_SHARE = 0.34
 """Largest share of the candidates that is set aside at once."""
 
 
-def set_aside(
-    candidates: Sequence[Candidate], *, share: float = SET_ASIDE_SHARE
+def exclude_stragglers(
+    candidates: Sequence[Candidate], *, share: float = MAX_EXCLUDED_SHARE
 ) -> list[Candidate]:
     """Return the candidates without the worst of the slow ones.
 
--- a/libs/placement/tests/test_placement_choosers.py
+++ b/libs/placement/tests/test_placement_choosers.py
@@ -10,11 +10,11 @@
     Work,
     corrected_wait_s,
     earliest_finish,
-    home_agent,
+    exclude_stragglers,
     power_of_two,
+    preferred_agent,
     prefix_hashes,
     round_robin,
-    set_aside,
 )
 
 LONG_PROMPT = bytes(range(256)) * 64
@@ -95,10 +95,10 @@
         """One more agent takes over its own share only."""
         candidates = _candidates(10)
         works = [Work(prefix=(n * 7919,)) for n in range(500)]
-        before = [home_agent(work, candidates) for work in works]
-        assert before == [home_agent(work, candidates[::-1]) for work in works]
+        before = [preferred_agent(work, candidates) for work in works]
+        assert before == [preferred_agent(work, candidates[::-1]) for work in works]
         grown = [*candidates, Candidate("new")]
-        after = [home_agent(work, grown) for work in works]
+        after = [preferred_agent(work, grown) for work in works]
         moved = [new for old, new in zip(before, after, strict=True) if old != new]
         assert set(moved) == {"new"}
         assert len(moved) < 100
@@ -106,12 +106,12 @@
     def test_overloaded_home_is_passed_over(self):
         """A popular prefix does not overload one agent."""
         candidates = _candidates(5)
-        home = home_agent(DOCUMENT, candidates)
+        home = preferred_agent(DOCUMENT, candidates)
         loaded = [
             replace(candidate, load=3.0 if candidate.agent == home else 0.1)
             for candidate in candidates
         ]
-        assert home_agent(DOCUMENT, loaded) not in (home, None)
+        assert preferred_agent(DOCUMENT, loaded) not in (home, None)
 
 
 class TestCorrectedWait:
@@ -134,9 +134,9 @@
     def test_share_is_bounded_and_the_worst_go_first(self):
         """Slowness everywhere leaves most agents in use."""
         slow = [replace(c, slow=True, token_gap_s=n) for n, c in _numbered(6)]
-        kept = {candidate.agent for candidate in set_aside(slow)}
+        kept = {candidate.agent for candidate in exclude_stragglers(slow)}
         assert kept == {"a0", "a1", "a2", "a3"}
-        assert set_aside(slow[:1]) == slow[:1]
+        assert exclude_stragglers(slow[:1]) == slow[:1]
 
 
 class TestBaselines:
--- a/libs/router/src/berylwalk/router/_placing.py
+++ b/libs/router/src/berylwalk/router/_placing.py
@@ -3,7 +3,7 @@
 from functools import partial
 
 from berylwalk.model import Refusal, RefusalReason, RequestId
-from berylwalk.placement import is_shared, set_aside
+from berylwalk.placement import exclude_stragglers, has_known_prefix
 from berylwalk.router._agents import AgentState
 from berylwalk.router._config import (
     LONGEST_RETRY_JITTER_S,
@@ -135,7 +135,7 @@
         return None
     work = state.work
     candidates = [agent.candidate(work) for agent in untried.values()]
-    return untried[core.choose(work, set_aside(candidates)).agent]
+    return untried[core.choose(work, exclude_stragglers(candidates)).agent]
 
 
 def _send_to(
@@ -162,7 +162,7 @@
 
 def _second_delay_s(core: RouterCore, state: RequestState, now: float) -> float:
     delay_s = core.config.second_reservation_delay_s
-    if not is_shared(state.work, core.history):
+    if not has_known_prefix(state.work, core.history):
         return delay_s
     # A second agent would prefill the prefix again.
     remaining_s = state.request.deadline_at - now
--- a/tests/fuzz/faults.py
+++ b/tests/fuzz/faults.py
@@ -72,8 +72,8 @@
         (
             Edit(
                 "agent/_grants",
-                "if router_gone or self._is_dead(grant):",
-                "if router_gone:",
+                "if is_stale_router or self._is_tombstoned(grant):",
+                "if is_stale_router:",
             ),
         ),
         REQUESTS,
@@ -97,7 +97,7 @@
         (
             Edit(
                 "agent/_grants",
-                "if self._ledger.is_dispatched(grant.request_id):",
+                "if self._attempts.is_dispatched(grant.request_id):",
                 "if False:",
             ),
         ),
@@ -106,7 +106,13 @@
     Fault(
         "forgetting raises no floor",
         NOT_RUN,
-        (Edit("agent/_ledger", "            self._raise_floor(request_id)\n", ""),),
+        (
+            Edit(
+                "agent/_attempt_registry",
+                "            self._raise_floor(request_id)\n",
+                "",
+            ),
+        ),
         REQUESTS,
         "dispatched",
     ),
@@ -170,7 +176,7 @@
         (
             Edit(
                 "agent/_messages",
-                "        self._reservations.void(request_id, attempt, now)\n"
+                "        self._reservations.cancel(request_id, attempt, now)\n"
                 "        self._send_revoke_result(request_id, attempt, ran=False)",
                 "        self._send_revoke_result(request_id, attempt, ran=False)",
             ),
@@ -209,7 +215,7 @@
     Fault(
         "the highest tier is evicted",
         TIERS,
-        (Edit("admission/_waiting", "rank = max((r for", "rank = min((r for"),),
+        (Edit("admission/_admission_queue", "rank = max((r for", "rank = min((r for"),),
         REQUESTS,
         "shed while a lower tier waits",
     ),
@@ -220,7 +226,7 @@
             Edit(
                 "agent/_reservations",
                 "while len(self.waiting) > self._max_waiting:\n"
-                "            victim = self.waiting.newest_of_lowest()",
+                "            victim = self.waiting.eviction_candidate()",
                 "if len(self.waiting) > self._max_waiting:\n"
                 "            victim = newcomer",
             ),
@@ -246,7 +252,7 @@
         TIERS,
         (
             Edit(
-                "admission/_waiting",
+                "admission/_admission_queue",
                 "return min(ranks, default=None)",
                 "return max(ranks, default=None)",
             ),
@@ -260,12 +266,12 @@
         (
             Edit(
                 "agent/_grants",
-                "if waiting.waits_before(rank):\n            return False",
+                "if waiting.has_entry_ahead(rank):\n            return False",
                 "if False:\n            return False",
             ),
             Edit(
                 "agent/_slots",
-                "return self.in_use < self._open_slots(rank, highest_waiting)",
+                "return self.in_use < self._tier_slot_limit(rank, highest_waiting)",
                 "return True",
             ),
         ),
@@ -337,7 +343,7 @@
     Fault(
         "an event stream without its end marker is taken for whole",
         WHOLE,
-        (Edit("agent/_dispatch", "if not meter.is_whole:", "if False:"),),
+        (Edit("agent/_dispatch", "if not meter.is_complete:", "if False:"),),
         f"{AGENT_DAEMON}::TestDispatch::test_broken_stream_is_aborted",
     ),
     Fault(
--- a/tests/fuzz/machines.py
+++ b/tests/fuzz/machines.py
@@ -35,8 +35,8 @@
         max_limit=SLOTS,
         max_waiting=MAX_WAITING,
         ready_timeout_s=READY_TIMEOUT_S,
-        max_remembered=FORGETFUL_RECORDS if forgets else 1000,
-        remember_s=FORGETFUL_S if forgets else 600.0,
+        max_attempt_records=FORGETFUL_RECORDS if forgets else 1000,
+        retention_s=FORGETFUL_S if forgets else 600.0,
     )
     machine = AgentMachine.from_config(config)
     machine.handle(TiersChanged(1, TIERS), 0.0)
