--- a/bench/slopes/routers.py
+++ b/bench/slopes/routers.py
@@ -7,9 +7,9 @@
     RefusalReason,
     Request,
     RequestId,
+    ServicePolicy,
     TargetCall,
     TierPolicy,
-    Treatment,
     WorkEstimate,
 )
 from berylwalk.router import (
@@ -122,7 +122,7 @@
     def request(self, index: int) -> Request:
         """Return a new request for the model of an agent of that number."""
         self._serial += 1
-        treatment = Treatment(
+        service_policy = ServicePolicy(
             f"/account-{self._serial % 690}",
             "",
             TIERS[self._serial % len(TIERS)],
@@ -131,7 +131,7 @@
         )
         return Request(
             request_id=RequestId(ROUTER, 1, self._serial),
-            treatment=treatment,
+            service_policy=service_policy,
             call=TargetCall(
                 "POST", "/v1/chat/completions", model_name(index, self._models)
             ),
--- a/bench/slopes/settings_costs.py
+++ b/bench/slopes/settings_costs.py
@@ -73,7 +73,7 @@
         replica.on_store_document(document, 1.0)
         tree = replica.document.tree
         for account in tree.accounts:
-            tree.treatment_for(account, "service-1")
+            tree.service_policy_for(account, "service-1")
 
     return processor_us(work)
 
--- a/libs/agent/src/berylwalk/agent/_dispatch.py
+++ b/libs/agent/src/berylwalk/agent/_dispatch.py
@@ -22,7 +22,7 @@
 from berylwalk.agent._observing import DispatchedCall, DispatchObserver
 from berylwalk.agent._shell import AgentShell
 from berylwalk.model import Refusal, RefusalReason
-from berylwalk.platform import read_statement
+from berylwalk.platform import parse_target_headers
 from berylwalk.transport import (
     AbortConnection,
     BodyFailure,
@@ -216,7 +216,7 @@
             (name.encode("latin-1"), value.encode("latin-1"))
             for name, value in stream.headers.items()
         ]
-        statement = read_statement(stream.status, headers)
+        statement = parse_target_headers(stream.status, headers)
         if statement.problem:
             logging.warning("the target states: %s", statement.problem)
         if not statement.is_plain or self._shell.machine.awaits_statement:
--- a/libs/caller/src/berylwalk/caller/__init__.py
+++ b/libs/caller/src/berylwalk/caller/__init__.py
@@ -20,7 +20,7 @@
     Clock,
     KnownResources,
     PrefixHashes,
-    TreatmentSource,
+    ServicePolicySource,
 )
 from berylwalk.caller._limits import CallerLimits
 
@@ -33,6 +33,6 @@
     "ErrorType",
     "KnownResources",
     "PrefixHashes",
-    "TreatmentSource",
+    "ServicePolicySource",
     "caller_app",
 ]
--- a/libs/caller/src/berylwalk/caller/_accounts.py
+++ b/libs/caller/src/berylwalk/caller/_accounts.py
@@ -11,9 +11,9 @@
     invalid,
 )
 from berylwalk.caller._headers import SERVICE, CallOptions, ValuesByName
-from berylwalk.caller._interfaces import TreatmentSource
+from berylwalk.caller._interfaces import ServicePolicySource
 from berylwalk.caller._routes import Endpoint, Route
-from berylwalk.model import Finding, Treatment
+from berylwalk.model import Finding, ServicePolicy
 
 UNAUTHORIZED = 401
 AUTHORIZATION = "Authorization"
@@ -23,7 +23,7 @@
 
 
 def authenticate(
-    values: ValuesByName, treatments: TreatmentSource
+    values: ValuesByName, service_policies: ServicePolicySource
 ) -> str | ErrorAnswer:
     """Return the path of the client account that the bearer token names."""
     found = values.get(AUTHORIZATION.lower(), ())
@@ -32,46 +32,49 @@
     if not found[0].lower().startswith(_SCHEME):
         return _unauthorized("must be a bearer token")
     token = found[0][len(_SCHEME) :].strip()
-    account = treatments.by_token(sha256(token.encode("latin-1")).hexdigest())
+    account = service_policies.by_token(sha256(token.encode("latin-1")).hexdigest())
     if account is None:
         return _unauthorized("names no client account")
     return account
 
 
-def find_treatment(
-    account: str, route: Route, options: CallOptions, treatments: TreatmentSource
-) -> Treatment | ErrorAnswer | Problem:
+def find_service_policy(
+    account: str,
+    route: Route,
+    options: CallOptions,
+    service_policies: ServicePolicySource,
+) -> ServicePolicy | ErrorAnswer | Problem:
     """Return the settings for a call.
 
     The header names the service node. Without it a service call falls under
     the node of the same name if there is one, else under the account.
     """
     if options.service:
-        named = treatments.treatment(account, options.service)
+        named = service_policies.service_policy(account, options.service)
         if named is None:
             finding = Finding(f"header {SERVICE}", "names no service of the account")
             return Problem(NOT_FOUND, finding)
         return named
     found = None
     if route.endpoint is Endpoint.SERVICE:
-        found = treatments.treatment(account, route.name)
-    found = found or treatments.treatment(account, "")
+        found = service_policies.service_policy(account, route.name)
+    found = found or service_policies.service_policy(account, "")
     return found or _unauthorized("names no client account")
 
 
-def may_use_model(treatment: Treatment, model: str) -> bool:
+def may_use_model(service_policy: ServicePolicy, model: str) -> bool:
     """Return whether an account may use a model."""
-    return not treatment.models or model in treatment.models
+    return not service_policy.models or model in service_policy.models
 
 
 def model_problem(
-    treatment: Treatment, model: str, known: frozenset[str], place: str
+    service_policy: ServicePolicy, model: str, known: frozenset[str], place: str
 ) -> Problem | None:
     """Return why an account cannot use a model, or None.
 
     With nothing known, which happens just after a start, each model may exist.
     """
-    if not may_use_model(treatment, model):
+    if not may_use_model(service_policy, model):
         finding = Finding(place, f"the account may not use model {model!r}")
         return Problem(FORBIDDEN, finding)
     if known and f"model:{model}" not in known:
--- a/libs/caller/src/berylwalk/caller/_app.py
+++ b/libs/caller/src/berylwalk/caller/_app.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass
 from random import Random
 
-from berylwalk.caller._accounts import authenticate, find_treatment
+from berylwalk.caller._accounts import authenticate, find_service_policy
 from berylwalk.caller._calls import ReceivedCall, RequestBuilder
 from berylwalk.caller._errors import (
     OUTCOME_HEADER,
@@ -20,7 +20,7 @@
     Clock,
     KnownResources,
     PrefixHashes,
-    TreatmentSource,
+    ServicePolicySource,
 )
 from berylwalk.caller._known_resources import remembering
 from berylwalk.caller._limits import CallerLimits, HeldBytes
@@ -44,7 +44,7 @@
     """Collaborators of the application."""
 
     submitter: Submitter
-    treatments: TreatmentSource
+    service_policies: ServicePolicySource
     resources: KnownResources
     builder: RequestBuilder
     limits: CallerLimits
@@ -58,7 +58,7 @@
 def caller_app(
     *,
     submitter: Submitter,
-    treatments: TreatmentSource,
+    service_policies: ServicePolicySource,
     resources: KnownResources,
     prefix_hashes: PrefixHashes,
     limits: CallerLimits | None = None,
@@ -73,7 +73,7 @@
     ----------
     submitter : Submitter
         The router's core.
-    treatments : TreatmentSource
+    service_policies : ServicePolicySource
         The accepted settings.
     resources : callable
         Returns the resources known at present, ``model:NAME`` and
@@ -104,9 +104,9 @@
     existing = remembering(resources, clock)
     api = _Api(
         submitter=submitter,
-        treatments=treatments,
+        service_policies=service_policies,
         resources=resources,
-        builder=RequestBuilder(treatments, existing, prefix_hashes, limits),
+        builder=RequestBuilder(service_policies, existing, prefix_hashes, limits),
         limits=limits,
         times=times,
         held=HeldBytes(limits.max_held_bytes),
@@ -147,7 +147,7 @@
     if not api.is_ready():
         await send_error(exchange, not_ready(api.times))
         return
-    account = authenticate(exchange.values, api.treatments)
+    account = authenticate(exchange.values, api.service_policies)
     if isinstance(account, ErrorAnswer):
         await send_error(exchange, account)
         return
@@ -178,17 +178,17 @@
     api: _Api, exchange: Exchange, account: str, route: Route
 ) -> object | ErrorAnswer:
     options, problems = call_options(exchange.values, api.limits)
-    treatment = find_treatment(account, route, options, api.treatments)
-    if isinstance(treatment, ErrorAnswer):
-        return treatment
-    if isinstance(treatment, Problem):
-        return rejected([*problems, treatment])
+    service_policy = find_service_policy(account, route, options, api.service_policies)
+    if isinstance(service_policy, ErrorAnswer):
+        return service_policy
+    if isinstance(service_policy, Problem):
+        return rejected([*problems, service_policy])
     if problems:
         return rejected(problems)
     known = api.resources()
     if route.name:
-        return get_model(treatment, route.name, known)
-    return list_models(treatment, known)
+        return get_model(service_policy, route.name, known)
+    return list_models(service_policy, known)
 
 
 async def _answer_call(
--- a/libs/caller/src/berylwalk/caller/_call_checks.py
+++ b/libs/caller/src/berylwalk/caller/_call_checks.py
@@ -4,12 +4,12 @@
 from berylwalk.caller._bodies import ModelCall
 from berylwalk.caller._errors import BAD_REQUEST, Problem
 from berylwalk.caller._limits import CallerLimits
-from berylwalk.model import Finding, TargetCall, Treatment
+from berylwalk.model import Finding, ServicePolicy, TargetCall
 
 
 def model_call_problems(
     model_call: ModelCall,
-    treatment: Treatment,
+    service_policy: ServicePolicy,
     known: frozenset[str],
     limits: CallerLimits,
 ) -> list[Problem]:
@@ -19,7 +19,7 @@
     ----------
     model_call : ModelCall
         What the body asks for.
-    treatment : Treatment
+    service_policy : ServicePolicy
         Settings of the account.
     known : frozenset of str
         Known resources; empty when none is known yet.
@@ -27,7 +27,7 @@
         Largest number of outputs.
     """
     problems = []
-    unusable = model_problem(treatment, model_call.model, known, "/model")
+    unusable = model_problem(service_policy, model_call.model, known, "/model")
     if unusable is not None:
         problems.append(unusable)
     if model_call.choices > limits.max_choices:
@@ -36,8 +36,8 @@
         )
         problems.append(bad_request("/n", text))
     asked = (model_call.max_tokens or 0) * model_call.choices
-    if asked > treatment.max_output_tokens:
-        most = treatment.max_output_tokens
+    if asked > service_policy.max_output_tokens:
+        most = service_policy.max_output_tokens
         text = f"asks for {asked} output tokens in all; the account may use {most}"
         problems.append(bad_request(model_call.limit_place, text))
     return problems
--- a/libs/caller/src/berylwalk/caller/_calls.py
+++ b/libs/caller/src/berylwalk/caller/_calls.py
@@ -2,7 +2,7 @@
 
 from dataclasses import dataclass
 
-from berylwalk.caller._accounts import find_treatment
+from berylwalk.caller._accounts import find_service_policy
 from berylwalk.caller._bodies import ModelCall, read_chat, read_completion
 from berylwalk.caller._call_checks import (
     bad_request,
@@ -17,15 +17,19 @@
     model_call_headers,
     service_call_headers,
 )
-from berylwalk.caller._interfaces import KnownResources, PrefixHashes, TreatmentSource
+from berylwalk.caller._interfaces import (
+    KnownResources,
+    PrefixHashes,
+    ServicePolicySource,
+)
 from berylwalk.caller._limits import CallerLimits
 from berylwalk.caller._routes import Endpoint, Route
 from berylwalk.model import (
     Finding,
     Request,
     RequestId,
+    ServicePolicy,
     TargetCall,
-    Treatment,
     WorkEstimate,
 )
 
@@ -80,7 +84,7 @@
 
     Parameters
     ----------
-    treatments : TreatmentSource
+    service_policies : ServicePolicySource
         The accepted settings.
     resources : callable
         Returns the resources known at present.
@@ -92,12 +96,12 @@
 
     def __init__(
         self,
-        treatments: TreatmentSource,
+        service_policies: ServicePolicySource,
         resources: KnownResources,
         prefix_hashes: PrefixHashes,
         limits: CallerLimits,
     ) -> None:
-        self._treatments = treatments
+        self._service_policies = service_policies
         self._resources = resources
         self._prefix_hashes = prefix_hashes
         self._limits = limits
@@ -105,29 +109,29 @@
     def build(self, received: ReceivedCall) -> Request | ErrorAnswer:
         """Return the request, or one error with every mistake found."""
         options, problems = call_options(received.values, self._limits)
-        treatment = find_treatment(
-            received.account, received.route, options, self._treatments
+        service_policy = find_service_policy(
+            received.account, received.route, options, self._service_policies
         )
-        if isinstance(treatment, ErrorAnswer):
-            return treatment
-        if isinstance(treatment, Problem):
-            problems.append(treatment)
-            treatment = None
+        if isinstance(service_policy, ErrorAnswer):
+            return service_policy
+        if isinstance(service_policy, Problem):
+            problems.append(service_policy)
+            service_policy = None
         known = self._resources()
         if received.route.endpoint is Endpoint.SERVICE:
-            work = _service_work(received, treatment, known, problems)
+            work = _service_work(received, service_policy, known, problems)
         else:
-            work = self._model_work(received, treatment, known, problems)
+            work = self._model_work(received, service_policy, known, problems)
         if work is not None:
             problems.extend(size_problems(work.call, self._limits))
-        if problems or treatment is None or work is None:
+        if problems or service_policy is None or work is None:
             return rejected(problems)
-        return _request(received, options, treatment, work)
+        return _request(received, options, service_policy, work)
 
     def _model_work(
         self,
         received: ReceivedCall,
-        treatment: Treatment | None,
+        service_policy: ServicePolicy | None,
         known: frozenset[str],
         problems: list[Problem],
     ) -> _Work | None:
@@ -139,9 +143,11 @@
         if isinstance(model_call, list):
             problems.extend(model_call)
             return None
-        if treatment is None:
+        if service_policy is None:
             return None
-        problems.extend(model_call_problems(model_call, treatment, known, self._limits))
+        problems.extend(
+            model_call_problems(model_call, service_policy, known, self._limits)
+        )
         return _Work(
             call=TargetCall(
                 method=received.route.method,
@@ -150,25 +156,25 @@
                 headers=model_call_headers(received.values),
                 body=received.body,
             ),
-            estimate=_estimate(model_call, treatment),
-            idempotent=treatment.idempotent,
+            estimate=_estimate(model_call, service_policy),
+            idempotent=service_policy.idempotent,
             prefix=self._prefix_hashes(model_call.prompt),
         )
 
 
 def _service_work(
     received: ReceivedCall,
-    treatment: Treatment | None,
+    service_policy: ServicePolicy | None,
     known: frozenset[str],
     problems: list[Problem],
 ) -> _Work | None:
     route = received.route
-    name = _target_service(route, treatment)
+    name = _target_service(route, service_policy)
     resource = f"service:{name}"
     if known and resource not in known:
         problem = f"there is no service {name!r}"
         problems.append(Problem(NOT_FOUND, Finding("path", problem)))
-    if treatment is None:
+    if service_policy is None:
         return None
     return _Work(
         call=TargetCall(
@@ -179,23 +185,26 @@
             body=received.body,
         ),
         estimate=WorkEstimate(),
-        idempotent=treatment.idempotent and route.method in _IDEMPOTENT_METHODS,
+        idempotent=service_policy.idempotent and route.method in _IDEMPOTENT_METHODS,
     )
 
 
-def _target_service(route: Route, treatment: Treatment | None) -> str:
-    named = treatment.target_service if treatment is not None else ""
+def _target_service(route: Route, service_policy: ServicePolicy | None) -> str:
+    named = service_policy.target_service if service_policy is not None else ""
     return named or route.name
 
 
 def _request(
-    received: ReceivedCall, options: CallOptions, treatment: Treatment, work: _Work
+    received: ReceivedCall,
+    options: CallOptions,
+    service_policy: ServicePolicy,
+    work: _Work,
 ) -> Request:
     marked = options.idempotent
-    deadline_s = options.deadline_s or treatment.deadline_s
+    deadline_s = options.deadline_s or service_policy.deadline_s
     return Request(
         request_id=received.request_id,
-        treatment=treatment,
+        service_policy=service_policy,
         call=work.call,
         estimate=work.estimate,
         arrived_at=received.arrived_at,
@@ -207,8 +216,8 @@
     )
 
 
-def _estimate(model_call: ModelCall, treatment: Treatment) -> WorkEstimate:
-    output_tokens = treatment.max_output_tokens
+def _estimate(model_call: ModelCall, service_policy: ServicePolicy) -> WorkEstimate:
+    output_tokens = service_policy.max_output_tokens
     if model_call.max_tokens is not None:
         output_tokens = min(output_tokens, model_call.max_tokens * model_call.choices)
     return WorkEstimate(model_call.prompt_tokens, output_tokens)
--- a/libs/caller/src/berylwalk/caller/_interfaces.py
+++ b/libs/caller/src/berylwalk/caller/_interfaces.py
@@ -3,7 +3,7 @@
 from collections.abc import Callable
 from typing import Protocol
 
-from berylwalk.model import Treatment
+from berylwalk.model import ServicePolicy
 
 PrefixHashes = Callable[[bytes], tuple[int, ...]]
 """Hashes of the leading blocks of a prompt, longest prefix last."""
@@ -15,13 +15,13 @@
 """Monotonic time in seconds; the clock of the router's core."""
 
 
-class TreatmentSource(Protocol):
+class ServicePolicySource(Protocol):
     """The accepted settings, as the caller API sees them."""
 
     def by_token(self, sha256_hex: str) -> str | None:
         """Return the client account whose bearer token has this SHA-256."""
 
-    def treatment(self, account: str, service: str) -> Treatment | None:
+    def service_policy(self, account: str, service: str) -> ServicePolicy | None:
         """Return the effective settings of a service node of an account.
 
         An empty `service` means the account itself. None means that there is
--- a/libs/caller/src/berylwalk/caller/_models.py
+++ b/libs/caller/src/berylwalk/caller/_models.py
@@ -4,7 +4,7 @@
 
 from berylwalk.caller._accounts import may_use_model, model_problem
 from berylwalk.caller._errors import ErrorAnswer, rejected
-from berylwalk.model import Treatment
+from berylwalk.model import ServicePolicy
 
 _PREFIX = "model:"
 
@@ -25,7 +25,7 @@
     object: str = "list"
 
 
-def list_models(treatment: Treatment, known: frozenset[str]) -> ModelList:
+def list_models(service_policy: ServicePolicy, known: frozenset[str]) -> ModelList:
     """Return the models that an account may use, by name."""
     names = sorted(
         resource.removeprefix(_PREFIX)
@@ -33,15 +33,15 @@
         if resource.startswith(_PREFIX)
     )
     return ModelList(
-        [Model(id=name) for name in names if may_use_model(treatment, name)]
+        [Model(id=name) for name in names if may_use_model(service_policy, name)]
     )
 
 
 def get_model(
-    treatment: Treatment, name: str, known: frozenset[str]
+    service_policy: ServicePolicy, name: str, known: frozenset[str]
 ) -> Model | ErrorAnswer:
     """Return one model, or why the account cannot use it."""
-    problem = model_problem(treatment, name, known, "path")
+    problem = model_problem(service_policy, name, known, "path")
     if problem is not None:
         return rejected([problem])
     return Model(id=name)
--- a/libs/caller/src/berylwalk/caller/_refusals.py
+++ b/libs/caller/src/berylwalk/caller/_refusals.py
@@ -5,7 +5,7 @@
 from berylwalk.caller._errors import ErrorAnswer, ErrorType
 from berylwalk.caller._limits import CallerLimits
 from berylwalk.model import (
-    FinalAnswer,
+    FinalResponse,
     Outcome,
     Refusal,
     RefusalReason,
@@ -141,7 +141,9 @@
     )
 
 
-def unfinished(final: FinalAnswer, request: Request, times: RetryTimes) -> ErrorAnswer:
+def unfinished(
+    final: FinalResponse, request: Request, times: RetryTimes
+) -> ErrorAnswer:
     """Return the error for a request that ended without its whole answer."""
     if final.outcome is Outcome.NOT_RUN and not final.started:
         return _refused(final.refusal or Refusal(RefusalReason.NO_TARGET), times)
@@ -161,7 +163,7 @@
     return not_run(refusal, times)
 
 
-def _refused_by_router(final: FinalAnswer) -> ErrorAnswer:
+def _refused_by_router(final: FinalResponse) -> ErrorAnswer:
     detail = final.refusal.detail if final.refusal else ""
     return ErrorAnswer(
         status=400,
--- a/libs/caller/src/berylwalk/caller/_submission.py
+++ b/libs/caller/src/berylwalk/caller/_submission.py
@@ -7,8 +7,8 @@
 from berylwalk.caller._refusals import RetryTimes, unfinished, unknown
 from berylwalk.caller._relay import Relay
 from berylwalk.model import (
-    CallerGoneError,
-    FinalAnswer,
+    CallerDisconnectedError,
+    FinalResponse,
     Outcome,
     Request,
     Submitter,
@@ -66,7 +66,7 @@
 
 
 def _error_of(
-    final: FinalAnswer, request: Request, relay: Relay, times: RetryTimes
+    final: FinalResponse, request: Request, relay: Relay, times: RetryTimes
 ) -> ErrorAnswer:
     if final.outcome is Outcome.COMPLETE or relay.status:
         # The target was reached, whatever the end is called.
@@ -80,9 +80,9 @@
     relay: Relay,
     receive: Receive,
     limits: CallerLimits,
-) -> FinalAnswer | None:
+) -> FinalResponse | None:
     """Run the request until its end; None when the caller went away."""
-    final: FinalAnswer | None = None
+    final: FinalResponse | None = None
     async with create_task_group() as tasks:
         scope = tasks.cancel_scope
         tasks.start_soon(_watch_caller, receive, relay, limits, scope)
@@ -93,10 +93,10 @@
 
 async def _submit_guarded(
     submitter: Submitter, request: Request, relay: Relay
-) -> FinalAnswer | None:
+) -> FinalResponse | None:
     try:
         return await submitter.submit(request, relay)
-    except CallerGoneError:
+    except CallerDisconnectedError:
         return None
     except Exception as error:
         # Nobody can say whether a grant was issued.
@@ -106,7 +106,7 @@
             request_id=str(request.request_id),
             error=repr(error),
         )
-        return FinalAnswer(Outcome.UNKNOWN, started=relay.status != 0)
+        return FinalResponse(Outcome.UNKNOWN, started=relay.status != 0)
 
 
 async def _watch_caller(
--- a/libs/caller/tests/conftest.py
+++ b/libs/caller/tests/conftest.py
@@ -13,13 +13,13 @@
 
 from berylwalk.caller import CallerLimits, caller_app
 from berylwalk.model import (
-    AnswerSink,
-    FinalAnswer,
+    FinalResponse,
     Outcome,
     Request,
     RequestId,
+    ResponseSink,
+    ServicePolicy,
     TierPolicy,
-    Treatment,
 )
 from berylwalk.transport import AbortConnection, HttpServer
 
@@ -33,14 +33,14 @@
 JSON_HEADERS = ((b"content-type", b"application/json"),)
 MODELS = ("small", "org/tuned", "absent")
 
-Respond = Callable[[Request, AnswerSink], Awaitable[FinalAnswer]]
+Respond = Callable[[Request, ResponseSink], Awaitable[FinalResponse]]
 
 
-async def whole_answer(request: Request, sink: AnswerSink) -> FinalAnswer:
+async def whole_answer(request: Request, sink: ResponseSink) -> FinalResponse:
     """Answer with the target call's own body."""
     await sink.start(200, JSON_HEADERS, "agent-1")
     await sink.chunk(request.call.body)
-    return FinalAnswer(Outcome.COMPLETE, started=True)
+    return FinalResponse(Outcome.COMPLETE, started=True)
 
 
 @dataclass
@@ -55,14 +55,14 @@
         """Return the next identifier."""
         return RequestId("router-1", 255, next(self.serials))
 
-    async def submit(self, request: Request, sink: AnswerSink) -> FinalAnswer:
+    async def submit(self, request: Request, sink: ResponseSink) -> FinalResponse:
         """Keep the request and answer it."""
         self.requests.append(request)
         return await self.respond(request, sink)
 
 
 @dataclass
-class FakeTreatments:
+class FakeServicePolicies:
     """One account with service nodes, which may use all models but one."""
 
     idempotent: bool = True
@@ -71,14 +71,14 @@
         """Return the account of the one known token."""
         return ACCOUNT if sha256_hex == sha256(TOKEN.encode()).hexdigest() else None
 
-    def treatment(self, account: str, service: str) -> Treatment | None:
+    def service_policy(self, account: str, service: str) -> ServicePolicy | None:
         """Return settings of the account and of its nodes.
 
         The calls of the node ``boards`` go to the service ``signs``.
         """
         if service not in ("", "signs", "boards"):
             return None
-        return Treatment(
+        return ServicePolicy(
             account,
             service,
             TIER,
@@ -181,7 +181,7 @@
     """Return the application over fakes."""
     return caller_app(
         submitter=submitter,
-        treatments=FakeTreatments(idempotent=idempotent),
+        service_policies=FakeServicePolicies(idempotent=idempotent),
         resources=resources if callable(resources) else lambda: resources,
         prefix_hashes=lambda prompt: (len(prompt),),
         is_ready=is_ready,
--- a/libs/caller/tests/test_caller_answers.py
+++ b/libs/caller/tests/test_caller_answers.py
@@ -5,13 +5,13 @@
 from anyio import create_task_group, sleep
 
 from berylwalk.caller._event_stream import EventSplitter
-from berylwalk.model import FinalAnswer, Outcome
+from berylwalk.model import FinalResponse, Outcome
 
 pytestmark = pytest.mark.anyio
 
 EVENTS = ((b"Content-Type", b"text/event-stream; charset=utf-8"),)
-COMPLETE = FinalAnswer(Outcome.COMPLETE, started=True)
-UNKNOWN = FinalAnswer(Outcome.UNKNOWN, started=True)
+COMPLETE = FinalResponse(Outcome.COMPLETE, started=True)
+UNKNOWN = FinalResponse(Outcome.UNKNOWN, started=True)
 
 
 def answers(headers, chunks, final=COMPLETE):
@@ -48,7 +48,7 @@
         assert request.estimate.output_tokens == 60
         assert request.deadline_at == request.arrived_at + 1.5
         assert request.idempotency_key == "k-1"
-        assert request.treatment.service == "signs"
+        assert request.service_policy.service == "signs"
         assert request.prefix == (len("user\nabcd___\n"),)
 
     async def test_service_call(self, make_caller):
@@ -67,7 +67,7 @@
         assert request.call.path == "/a%2Fb//c?x=1&y=%20"
         assert request.call.headers == (("x-own", "1"), ("x-own", "2"))
         assert not request.idempotent
-        assert request.treatment.service == "signs"
+        assert request.service_policy.service == "signs"
 
     async def test_target_service(self, make_caller):
         """Calls of a service node go to the plain service that its settings name."""
@@ -76,7 +76,7 @@
         assert answer.status == 200
         (request,) = caller.submitter.requests
         assert request.call.resource == "service:signs"
-        assert request.treatment.service == "boards"
+        assert request.service_policy.service == "boards"
 
     @pytest.mark.parametrize(("method", "idempotent"), [("GET", True), ("POST", False)])
     async def test_service_methods(self, make_caller, method, idempotent):
--- a/libs/caller/tests/test_caller_errors.py
+++ b/libs/caller/tests/test_caller_errors.py
@@ -5,7 +5,7 @@
 from hypothesis import HealthCheck, given, settings
 from hypothesis import strategies as st
 
-from berylwalk.model import FinalAnswer, Outcome, Refusal, RefusalReason
+from berylwalk.model import FinalResponse, Outcome, Refusal, RefusalReason
 
 pytestmark = pytest.mark.anyio
 
@@ -32,7 +32,7 @@
 
 def refused(reason, retry_after_ms=0, detail=""):
     """Return the end of a request that did not run."""
-    return FinalAnswer(Outcome.NOT_RUN, Refusal(reason, retry_after_ms, detail))
+    return FinalResponse(Outcome.NOT_RUN, Refusal(reason, retry_after_ms, detail))
 
 
 class TestInvalid:
@@ -247,7 +247,7 @@
     async def test_only_idempotent_calls_may_be_retried(self, make_caller, mark):
         """Clients that retry by themselves are told whether a repeat is harmless."""
         headers = (("berylwalk-idempotent", mark),)
-        answer = await make_caller(ends_with(FinalAnswer(Outcome.UNKNOWN))).chat(
+        answer = await make_caller(ends_with(FinalResponse(Outcome.UNKNOWN))).chat(
             headers
         )
         assert (answer.status, answer.outcome) == (502, "unknown")
@@ -255,7 +255,7 @@
 
     async def test_error_body(self, make_caller, snapshot):
         """The body says that the request was dispatched."""
-        answer = await make_caller(ends_with(FinalAnswer(Outcome.UNKNOWN))).chat()
+        answer = await make_caller(ends_with(FinalResponse(Outcome.UNKNOWN))).chat()
         assert answer.error == snapshot
 
     async def test_failing_core(self, make_caller):
--- a/libs/caller/tests/test_caller_sockets.py
+++ b/libs/caller/tests/test_caller_sockets.py
@@ -14,7 +14,7 @@
 from anyio.lowlevel import checkpoint
 from openai import APIError, AsyncOpenAI, InternalServerError
 
-from berylwalk.model import FinalAnswer, Outcome
+from berylwalk.model import FinalResponse, Outcome
 
 pytestmark = pytest.mark.anyio
 
@@ -22,8 +22,8 @@
 GENEROUS_S = 20.0
 JSON = ((b"content-type", b"application/json"),)
 EVENTS = ((b"content-type", b"text/event-stream"),)
-COMPLETE = FinalAnswer(Outcome.COMPLETE, started=True)
-UNKNOWN = FinalAnswer(Outcome.UNKNOWN, started=True)
+COMPLETE = FinalResponse(Outcome.COMPLETE, started=True)
+UNKNOWN = FinalResponse(Outcome.UNKNOWN, started=True)
 
 
 def chunk_event(request, text):
@@ -150,7 +150,7 @@
         """The client finds code and outcome in the error body."""
 
         async def respond(request, sink):
-            return FinalAnswer(Outcome.UNKNOWN)
+            return FinalResponse(Outcome.UNKNOWN)
 
         message = {"role": "user", "content": "box 17"}
         with fail_after(GENEROUS_S):
--- a/libs/direct/src/berylwalk/direct/__main__.py
+++ b/libs/direct/src/berylwalk/direct/__main__.py
@@ -8,7 +8,7 @@
 from anyio import create_task_group, open_signal_receiver, run
 
 from berylwalk.direct._daemon import DirectRouter
-from berylwalk.platform import SETTINGS_VARIABLE, read_vm_settings
+from berylwalk.platform import SETTINGS_PATH_VARIABLE, read_vm_settings
 
 
 async def _serve(path: Path) -> None:
@@ -34,13 +34,13 @@
     parser.add_argument(
         "--settings",
         type=Path,
-        default=os.environ.get(SETTINGS_VARIABLE),
-        help=f"settings file of the VM; default: the path in {SETTINGS_VARIABLE}",
+        default=os.environ.get(SETTINGS_PATH_VARIABLE),
+        help=f"settings file of the VM; default: the path in {SETTINGS_PATH_VARIABLE}",
     )
     parser.add_argument("--uvloop", action="store_true", help="run on uvloop")
     args = parser.parse_args()
     if args.settings is None:
-        parser.error(f"--settings or {SETTINGS_VARIABLE} is needed")
+        parser.error(f"--settings or {SETTINGS_PATH_VARIABLE} is needed")
     run(_serve, Path(args.settings), backend_options={"use_uvloop": args.uvloop})
 
 
--- a/libs/direct/src/berylwalk/direct/_admission.py
+++ b/libs/direct/src/berylwalk/direct/_admission.py
@@ -6,7 +6,7 @@
 from berylwalk.direct._context import RouterContext
 from berylwalk.dispatch import Account, AllowanceState, Allowed, Denied, Route
 from berylwalk.forwarding import CallerRequest
-from berylwalk.platform import BadHeaders, CallFacts, read_call
+from berylwalk.platform import InvalidHeaders, RequestHeaders, parse_request_headers
 from berylwalk.quarantine import Identity, Standing, request_identity
 
 TIMEOUT_MARGIN_S = 0.03
@@ -25,7 +25,7 @@
     ----------
     request : CallerRequest
         As the caller sent it.
-    facts : CallFacts
+    facts : RequestHeaders
         What its headers tell.
     route : Route
         How it is treated.
@@ -48,7 +48,7 @@
     """
 
     request: CallerRequest
-    facts: CallFacts
+    facts: RequestHeaders
     route: Route
     account: Account | None
     rank: tuple[int, int]
@@ -122,12 +122,12 @@
 
 def admit(context: RouterContext, request: CallerRequest) -> Admitted | Refusal:
     """Decide whether to take a request; its cost is spent if it is taken."""
-    facts = read_call(request.headers)
-    if isinstance(facts, BadHeaders):
+    facts = parse_request_headers(request.headers)
+    if isinstance(facts, InvalidHeaders):
         return Refusal(400, f"bad-headers: {facts.detail}", None, b"")
     now = context.clock()
     path = request.target.decode("latin-1")
-    access = context.configuration.check(facts.host, path, facts.key, now)
+    access = context.configuration.check(facts.host, path, facts.api_key, now)
     if isinstance(access, Denied):
         retry_after_s = RETRY_AFTER_UNREADY_S if access.status == 503 else None
         return Refusal(access.status, access.reason, retry_after_s, facts.request_id)
@@ -165,7 +165,9 @@
     )
 
 
-def _admitted(request: CallerRequest, facts: CallFacts, access: Allowed) -> Admitted:
+def _admitted(
+    request: CallerRequest, facts: RequestHeaders, access: Allowed
+) -> Admitted:
     route = access.route
     limit_s = route.timeout_s
     if facts.time_limit_s is not None:
@@ -188,9 +190,9 @@
     )
 
 
-def _cost(account: Account | None, facts: CallFacts) -> float:
+def _cost(account: Account | None, facts: RequestHeaders) -> float:
     if account is None:
         return 0.0
     if not account.counts_tokens:
         return 1.0
-    return float(facts.tokens or account.plain_cost)
+    return float(facts.total_tokens or account.plain_cost)
--- a/libs/direct/src/berylwalk/direct/_attempt.py
+++ b/libs/direct/src/berylwalk/direct/_attempt.py
@@ -6,8 +6,8 @@
 
 from berylwalk.direct._relay import Relay
 from berylwalk.dispatch import NOTHING_STATED, AttemptEnd, TargetStatement
-from berylwalk.forwarding import AnswerEnd, EventSplitter, Headers, header_value
-from berylwalk.platform import REQUEST_ID_HEADER, read_statement, says_not_run
+from berylwalk.forwarding import EventSplitter, Headers, ResponseEnd, header_value
+from berylwalk.platform import REQUEST_ID_HEADER, is_not_executed, parse_target_headers
 
 MAX_BUFFERED_BYTES = 8 * 1024 * 1024
 EVENTS_TOLD = 8
@@ -101,7 +101,7 @@
         """Take the status and headers."""
         self.status = status
         self.headers = headers
-        self.statement = read_statement(status, headers)
+        self.statement = parse_target_headers(status, headers)
         self._on_statement(self.statement, status)
         content_type = header_value(headers, b"content-type") or b""
         if self._expects_stream and status == 200 and EVENT_STREAM in content_type:
@@ -147,15 +147,15 @@
         self._events_told = self.events
         self._told_at = now
 
-    def on_end(self, end: AnswerEnd, detail: str) -> None:
+    def on_end(self, end: ResponseEnd, detail: str) -> None:
         """Take the end of the answer."""
         if self.end is not None:
             return
-        self.target_ended = end is AnswerEnd.CLOSED
-        if end is not AnswerEnd.COMPLETE:
+        self.target_ended = end is ResponseEnd.CLOSED
+        if end is not ResponseEnd.COMPLETE:
             self._finish(AttemptEnd.BROKEN, f"{end}: {detail}")
         elif self._splitter is not None:
-            if self._splitter.has_rest:
+            if self._splitter.has_partial_event:
                 self._finish(AttemptEnd.BROKEN, "the last event is not whole")
             else:
                 if self.last_event_at is not None:
@@ -191,7 +191,7 @@
         self._finish(end, detail)
 
     def _judge_whole_answer(self) -> tuple[AttemptEnd, str]:
-        if says_not_run(self.status, self.headers):
+        if is_not_executed(self.status, self.headers):
             return AttemptEnd.REFUSED, f"status {self.status}"
         if self.status >= 500:
             return AttemptEnd.FAILED, f"status {self.status}"
--- a/libs/direct/src/berylwalk/direct/_configuration_feed.py
+++ b/libs/direct/src/berylwalk/direct/_configuration_feed.py
@@ -18,7 +18,7 @@
 from berylwalk.direct._store_reach import StoreReach
 from berylwalk.platform import (
     CONFIGURATION_KEY,
-    FORMAT_ERRORS,
+    DECODE_ERRORS,
     OPERATORS_PREFIX,
     KeyValue,
     KeyValueClient,
@@ -164,7 +164,7 @@
             return
         try:
             configuration = decode_configuration(item.value)
-        except FORMAT_ERRORS as error:
+        except DECODE_ERRORS as error:
             # It may take keys away: what is in force is not confirmed by it.
             detail = f"revision {item.mod_revision}: {error!r}"
             self._findings.note(item.key.decode(), "not-readable", detail)
--- a/libs/direct/src/berylwalk/direct/_daemon.py
+++ b/libs/direct/src/berylwalk/direct/_daemon.py
@@ -103,7 +103,7 @@
             settings.caller_address,
             clock=context.clock,
             serve=self._serve,
-            on_gone=self._caller_left,
+            on_disconnect=self._caller_left,
             limits=self._limits,
         )
         self._readiness = Listener(
@@ -275,7 +275,7 @@
                 detail=repr(error),
                 traceback="".join(format_exception(error)),
             )
-            connection.cut()
+            connection.truncate_response()
         finally:
             if self._exchanges_by_connection.get(connection) is exchange:
                 del self._exchanges_by_connection[connection]
@@ -335,7 +335,7 @@
             self._context.note_suspension()
             for listener in (self._callers, self._readiness, self._metrics):
                 listener.sweep()
-            self._context.pool.sweep()
+            self._context.pool.close_stale()
             self._context.dispatcher.pump_all(self._context.clock())
             self._context.quarantine.sweep(self._context.clock())
             self._context.log.flush()
--- a/libs/direct/src/berylwalk/direct/_exchange.py
+++ b/libs/direct/src/berylwalk/direct/_exchange.py
@@ -313,7 +313,7 @@
 
     def _give_up(self, end: AttemptEnd, reason: str) -> None:
         if self._relay.started:
-            self._relay.cut()
+            self._relay.truncate_response()
             self._settle(NO_ANSWER, f"cut-{reason}")
             return
         status = self._attempts.final_status(end)
--- a/libs/direct/src/berylwalk/direct/_listeners.py
+++ b/libs/direct/src/berylwalk/direct/_listeners.py
@@ -34,7 +34,7 @@
         Time in seconds.
     serve : callable
         Answers one request.
-    on_gone : callable
+    on_disconnect : callable
         Told of callers that left before their answer.
     limits : callable
         Returns the limits in force.
@@ -47,14 +47,14 @@
         *,
         clock: Callable[[], float],
         serve: Serve,
-        on_gone: Callable[[CallerConnection], None] = lambda connection: None,
+        on_disconnect: Callable[[CallerConnection], None] = lambda connection: None,
         limits: Callable[[], CallerLimits] = CallerLimits,
     ) -> None:
         self._loop = loop
         self._address = address
         self._clock = clock
         self._serve = serve
-        self._on_gone = on_gone
+        self._on_disconnect = on_disconnect
         self._limits = limits
         self._server: Server | None = None
         self.connections: set[CallerConnection] = set()
@@ -108,7 +108,7 @@
     def _build(self) -> CallerConnection:
         connection = CallerConnection(
             serve=self._serve,
-            on_gone=self._on_gone,
+            on_disconnect=self._on_disconnect,
             limits=lambda: connection_limits(self._limits()),
             clock=self._clock,
             registry=self.connections,
--- a/libs/direct/src/berylwalk/direct/_membership.py
+++ b/libs/direct/src/berylwalk/direct/_membership.py
@@ -11,7 +11,7 @@
 from berylwalk.direct._peer_messages import MemberEntry
 from berylwalk.direct._store_reach import StoreReach
 from berylwalk.dispatch import Peer
-from berylwalk.platform import KeyValue, KeyValueClient, Lost, Unavailable
+from berylwalk.platform import KeyValue, KeyValueClient, OutcomeUnknown, Unavailable
 from berylwalk.reading import OrderedItems
 
 MEMBERS_PREFIX = b"berylwalk/routers/"
@@ -110,7 +110,7 @@
             "enter-membership",
             self._store.put(key, json.encode(entry), lease_id=lease.lease_id),
         )
-        if isinstance(written, Unavailable | Lost):
+        if isinstance(written, Unavailable | OutcomeUnknown):
             return False
         self._lease_id = lease.lease_id
         self._context.log.process("membership-entered", lease=lease.lease_id)
--- a/libs/direct/src/berylwalk/direct/_quarantine_note.py
+++ b/libs/direct/src/berylwalk/direct/_quarantine_note.py
@@ -19,7 +19,7 @@
     Conflict,
     KeyValue,
     KeyValueClient,
-    Lost,
+    OutcomeUnknown,
     Swapped,
     Unavailable,
 )
@@ -197,7 +197,7 @@
                 self._release(identity)
             case Conflict():
                 self._take(identity, result.current)
-            case Lost() | Unavailable():
+            case OutcomeUnknown() | Unavailable():
                 await self._reach.pause(1)
         return False
 
@@ -248,7 +248,7 @@
             "end-quarantine",
             self._store.delete_if(record_key(identity), known.revision),
         )
-        if isinstance(result, Unavailable | Lost):
+        if isinstance(result, Unavailable | OutcomeUnknown):
             return False
         if isinstance(result, Conflict) and result.current is not None:
             self._known[identity] = replace(known, revision=result.current.mod_revision)
--- a/libs/direct/src/berylwalk/direct/_relay.py
+++ b/libs/direct/src/berylwalk/direct/_relay.py
@@ -70,6 +70,6 @@
         self.started = True
         self._connection.respond(status, end_to_end(headers), body)
 
-    def cut(self) -> None:
+    def truncate_response(self) -> None:
         """Break off a stream that can't be completed."""
-        self._connection.cut()
+        self._connection.truncate_response()
--- a/libs/direct/src/berylwalk/direct/_rollout_note.py
+++ b/libs/direct/src/berylwalk/direct/_rollout_note.py
@@ -23,7 +23,7 @@
     EventKind,
     KeyValue,
     KeyValueClient,
-    Lost,
+    OutcomeUnknown,
     Swapped,
     Unavailable,
     WatchEvent,
@@ -276,7 +276,7 @@
                 self._revisions_by_service.pop(service, None)
             case Conflict():
                 self._take(result.current)
-            case Lost() | Unavailable():
+            case OutcomeUnknown() | Unavailable():
                 await self._reach.pause(1)
 
     # Telling operators.
--- a/libs/direct/src/berylwalk/direct/_sending.py
+++ b/libs/direct/src/berylwalk/direct/_sending.py
@@ -21,7 +21,7 @@
     expected_start,
 )
 from berylwalk.forwarding import TargetConnection, end_to_end, request_head
-from berylwalk.platform import for_target, resuming_after
+from berylwalk.platform import headers_for_target, headers_to_resume
 
 CHECK_S = 0.25
 """Time between two looks at an attempt that brings nothing."""
@@ -191,12 +191,12 @@
         request = self._admitted.request
         headers = end_to_end(request.headers)
         if self._relay.last_event_id > self._admitted.facts.last_event_id:
-            headers = resuming_after(headers, self._relay.last_event_id)
-        headers = for_target(
+            headers = headers_to_resume(headers, self._relay.last_event_id)
+        headers = headers_for_target(
             headers,
             target_id=target.entry.target_id,
             account=self._admitted.account_name,
-            left_s=self._admitted.ends_at - self._context.clock(),
+            remaining_s=self._admitted.ends_at - self._context.clock(),
         )
         if request.body or request.method not in (b"GET", b"HEAD"):
             headers.append((b"Content-Length", b"%d" % len(request.body)))
@@ -219,7 +219,7 @@
     ) -> None:
         self._relay.when_writable(None)
         if attempt.end in WHOLE_ENDS:
-            self._context.pool.give_back(target.entry.life_id, connection)
+            self._context.pool.release(target.entry.life_id, connection)
         else:
             # By this the target stops working on the request.
             connection.close()
--- a/libs/direct/src/berylwalk/direct/_spending_note.py
+++ b/libs/direct/src/berylwalk/direct/_spending_note.py
@@ -8,7 +8,7 @@
 from berylwalk.direct._context import RouterContext
 from berylwalk.direct._store_reach import StoreReach
 from berylwalk.dispatch import Knowledge
-from berylwalk.platform import KeyValue, KeyValueClient, Lost, Unavailable
+from berylwalk.platform import KeyValue, KeyValueClient, OutcomeUnknown, Unavailable
 
 NOTE_KEY = b"berylwalk/spending"
 NOTE_LEASE_S = 14.0
@@ -89,7 +89,7 @@
             "note-spending",
             self._store.put(NOTE_KEY, value, lease_id=self._lease_id),
         )
-        if isinstance(written, Unavailable | Lost):
+        if isinstance(written, Unavailable | OutcomeUnknown):
             self._lease_id = None
 
     async def _has_lease(self) -> bool:
--- a/libs/direct/src/berylwalk/direct/_store_reach.py
+++ b/libs/direct/src/berylwalk/direct/_store_reach.py
@@ -6,7 +6,7 @@
 from anyio import Event, move_on_after
 
 from berylwalk.direct._context import RouterContext
-from berylwalk.platform import Lost, Unavailable, UnavailableReason, backoff_s
+from berylwalk.platform import OutcomeUnknown, Unavailable, UnavailableReason, backoff_s
 
 CALL_TIMEOUT_S = 0.9
 """Bound of one call of the store: four times its answers when it is slow."""
@@ -248,7 +248,9 @@
             Whether this is the user that finds out when the store is back.
         """
         longest_s = LONGEST_PROBE_PAUSE_S if is_probe else LONGEST_PAUSE_S
-        pause_s = backoff_s(failures, first_s=FIRST_PAUSE_S, largest_s=longest_s)
+        pause_s = backoff_s(
+            failures, initial_delay_s=FIRST_PAUSE_S, max_delay_s=longest_s
+        )
         with move_on_after(pause_s):
             await self._returned.wait()
 
@@ -257,4 +259,4 @@
     """Return whether the store did not answer a call, as far as can be told."""
     if isinstance(result, Unavailable):
         return result.reason not in ANSWERS
-    return isinstance(result, Lost)
+    return isinstance(result, OutcomeUnknown)
--- a/libs/direct/tests/test_direct_store_reach.py
+++ b/libs/direct/tests/test_direct_store_reach.py
@@ -8,7 +8,7 @@
 from berylwalk.direct._metrics import RouterMetrics
 from berylwalk.direct._store_reach import StoreReach
 from berylwalk.dispatch import TargetEntry, TargetState, TargetTable
-from berylwalk.platform import Lost, Unavailable, UnavailableReason
+from berylwalk.platform import OutcomeUnknown, Unavailable, UnavailableReason
 
 pytestmark = pytest.mark.anyio
 ASKED_AT = 99.0
@@ -83,7 +83,7 @@
     def test_lost_answer_of_a_write_shows_no_return(self, reach):
         """It is no answer, although the write may have been made."""
         reach.note("list-targets", FAILED, ASKED_AT)
-        reach.note("note-speeds", Lost("no answer"), ASKED_AT)
+        reach.note("note-speeds", OutcomeUnknown("no answer"), ASKED_AT)
         assert reach.away_since is not None
 
     def test_failure_of_a_call_from_before_the_return_is_no_news(self, reach, clock):
@@ -254,8 +254,8 @@
         """Calls that fail are paid for."""
         bounds = []
 
-        def noted(failures, *, first_s, largest_s):
-            bounds.append(largest_s)
+        def noted(failures, *, initial_delay_s, max_delay_s):
+            bounds.append(max_delay_s)
             return 0.0
 
         monkeypatch.setattr("berylwalk.direct._store_reach.backoff_s", noted)
--- a/libs/direct/tests/virtual_rollout.py
+++ b/libs/direct/tests/virtual_rollout.py
@@ -37,7 +37,7 @@
     EventKind,
     KeyValue,
     Listing,
-    Lost,
+    OutcomeUnknown,
     Swapped,
     Unavailable,
     UnavailableReason,
@@ -147,7 +147,11 @@
             answer = await getattr(store, call)(*arguments, **options)
             if self._is_away() or play.random.random() < store.lost_share:
                 await sleep(LOST_CALL_S)
-                return Lost("no answer") if call == "compare_and_swap" else NO_ANSWER
+                return (
+                    OutcomeUnknown("no answer")
+                    if call == "compare_and_swap"
+                    else NO_ANSWER
+                )
             return answer
 
         return make
--- a/libs/direct/tests/virtual_statements.py
+++ b/libs/direct/tests/virtual_statements.py
@@ -37,7 +37,7 @@
     WindowedRetryBudget,
 )
 from berylwalk.forwarding import CallerRequest, TargetPool
-from berylwalk.platform import REQUEST_ID_HEADER, read_call
+from berylwalk.platform import REQUEST_ID_HEADER, parse_request_headers
 from berylwalk.quarantine import Quarantine
 from berylwalk.rollout import ExposureRules, Rollouts
 from statement_rules import Disturbances
@@ -72,7 +72,7 @@
     def end_stream(self):
         """Take the end."""
 
-    def cut(self):
+    def truncate_response(self):
         """Take a broken end."""
         self._done(0, [])
 
@@ -172,7 +172,7 @@
         headers = [(b"Attempt-Id", request_id), (b"X-Router", self.name.encode())]
         admitted = Admitted(
             request=CallerRequest(b"GET", b"/", headers, b"", b"", now, True),
-            facts=read_call(headers),
+            facts=parse_request_headers(headers),
             route=self.play.route,
             account=None,
             rank=(0, 0),
--- a/libs/forwarding/src/berylwalk/forwarding/__init__.py
+++ b/libs/forwarding/src/berylwalk/forwarding/__init__.py
@@ -13,21 +13,21 @@
     request_head,
 )
 from berylwalk.forwarding._target_connection import (
-    AnswerEnd,
-    AnswerSink,
+    ResponseEnd,
+    ResponseSink,
     TargetConnection,
 )
 from berylwalk.forwarding._target_pool import TargetPool
 
 __all__ = [
-    "AnswerEnd",
-    "AnswerSink",
     "CallerConnection",
     "CallerRequest",
     "ConnectionLimits",
     "Event",
     "EventSplitter",
     "Headers",
+    "ResponseEnd",
+    "ResponseSink",
     "TargetConnection",
     "TargetPool",
     "end_to_end",
--- a/libs/forwarding/src/berylwalk/forwarding/_caller_connection.py
+++ b/libs/forwarding/src/berylwalk/forwarding/_caller_connection.py
@@ -8,7 +8,7 @@
 
 import httptools
 
-from berylwalk.forwarding._heads import Headers, answer_head, header_value
+from berylwalk.forwarding._heads import Headers, header_value, response_head
 from berylwalk.quarantine import BodyHash
 
 QUEUED_REQUESTS = 4
@@ -87,7 +87,7 @@
     serve : callable
         Called with the connection and each request; it answers through the
         connection, once, and need not do so before it returns.
-    on_gone : callable
+    on_disconnect : callable
         Called when the caller left while its request was unanswered.
     limits : callable
         Returns the limits in force.
@@ -108,14 +108,14 @@
         self,
         *,
         serve: Callable[["CallerConnection", CallerRequest], None],
-        on_gone: Callable[["CallerConnection"], None],
+        on_disconnect: Callable[["CallerConnection"], None],
         limits: Callable[[], ConnectionLimits],
         clock: Callable[[], float],
         registry: set["CallerConnection"],
         call_later: Callable[..., Any],
     ) -> None:
         self._serve = serve
-        self._on_gone = on_gone
+        self._on_disconnect = on_disconnect
         self._limits = limits
         self._clock = clock
         self._registry = registry
@@ -177,7 +177,7 @@
         transport, self._transport = self._transport, None
         if self._active is not None and transport is not None:
             self._active = None
-            self._on_gone(self)
+            self._on_disconnect(self)
 
     def pause_writing(self) -> None:
         """Tell the writer of a stream that the caller does not keep up."""
@@ -274,7 +274,7 @@
         framing = [(b"Content-Length", b"%d" % len(body))]
         if not keep:
             framing.append((b"Connection", b"close"))
-        self._transport.write(answer_head(status, headers + framing) + body)
+        self._transport.write(response_head(status, headers + framing) + body)
         self._finish(keep)
 
     def start_stream(self, status: int, headers: Headers) -> None:
@@ -287,7 +287,7 @@
         if not self._keeps_connection():
             framing.append((b"Connection", b"close"))
         self._streaming = True
-        self._transport.write(answer_head(status, headers + framing))
+        self._transport.write(response_head(status, headers + framing))
 
     def write(self, data: bytes) -> None:
         """Send a part of a streamed answer at once."""
@@ -308,7 +308,7 @@
         self._streaming = False
         self._finish(keep)
 
-    def cut(self) -> None:
+    def truncate_response(self) -> None:
         """End the connection so that a begun answer shows to be incomplete."""
         self._active = None
         self.close()
@@ -367,7 +367,7 @@
 
     def _refuse(self, status: int) -> None:
         headers = [(b"Content-Length", b"0"), (b"Connection", b"close")]
-        self._transport.write(answer_head(status, headers))
+        self._transport.write(response_head(status, headers))
         self.close()
 
     def _check_head_size(self) -> None:
--- a/libs/forwarding/src/berylwalk/forwarding/_events.py
+++ b/libs/forwarding/src/berylwalk/forwarding/_events.py
@@ -33,7 +33,7 @@
         self._rest = b""
 
     @property
-    def has_rest(self) -> bool:
+    def has_partial_event(self) -> bool:
         """Whether a part of an event is left."""
         return bool(self._rest)
 
--- a/libs/forwarding/src/berylwalk/forwarding/_heads.py
+++ b/libs/forwarding/src/berylwalk/forwarding/_heads.py
@@ -53,7 +53,7 @@
     return b"".join(lines)
 
 
-def answer_head(status: int, headers: Headers) -> bytes:
+def response_head(status: int, headers: Headers) -> bytes:
     """Return the head of an answer."""
     reason = REASON_BY_STATUS.get(status, b"")
     lines = [b"HTTP/1.1 %d %s\r\n" % (status, reason)]
--- a/libs/forwarding/src/berylwalk/forwarding/_target_connection.py
+++ b/libs/forwarding/src/berylwalk/forwarding/_target_connection.py
@@ -18,7 +18,7 @@
 MAX_ANSWER_BYTES = 8 * 1024 * 1024
 
 
-class AnswerEnd(StrEnum):
+class ResponseEnd(StrEnum):
     """How an answer ended."""
 
     COMPLETE = "complete"
@@ -30,7 +30,7 @@
     """Bytes that are no answer, or none to this request."""
 
 
-class AnswerSink(Interface):
+class ResponseSink(Interface):
     """Takes an answer as it arrives."""
 
     def on_head(self, status: int, headers: Headers) -> None:
@@ -39,7 +39,7 @@
     def on_data(self, data: bytes) -> None:
         """Take a part of the body."""
 
-    def on_end(self, end: AnswerEnd, detail: str) -> None:
+    def on_end(self, end: ResponseEnd, detail: str) -> None:
         """Take the end; nothing follows."""
 
 
@@ -76,7 +76,7 @@
         self._clock = clock
         self._parser = httptools.HttpResponseParser(self)
         self._transport: Transport | None = None
-        self._sink: AnswerSink | None = None
+        self._sink: ResponseSink | None = None
         self._request_id = b""
         self._headers: Headers = []
         self._head_done = False
@@ -108,7 +108,7 @@
         is_recent = now - self._idle_since <= idle_limit_s
         return self.is_open and self.reusable and is_recent
 
-    def send(self, data: bytes, request_id: bytes, sink: AnswerSink) -> None:
+    def send(self, data: bytes, request_id: bytes, sink: ResponseSink) -> None:
         """Send a request; its answer goes to the sink."""
         self._sink = sink
         self._request_id = request_id
@@ -149,19 +149,19 @@
         try:
             self._parser.feed_data(data)
         except (httptools.HttpParserError, httptools.HttpParserUpgrade) as error:
-            self._end(AnswerEnd.INVALID, repr(error))
+            self._end(ResponseEnd.INVALID, repr(error))
 
     def eof_received(self) -> bool:
         """Complete an answer that ends with its connection."""
         if self._until_close and self._head_done and not self._skipping:
-            self._end(AnswerEnd.COMPLETE, "")
+            self._end(ResponseEnd.COMPLETE, "")
         return False
 
     def connection_lost(self, exc: Exception | None) -> None:
         """Tell that an answer won't be completed."""
         self._transport = None
         by_target = exc is None or isinstance(exc, ConnectionError)
-        end = AnswerEnd.CLOSED if by_target else AnswerEnd.UNREACHABLE
+        end = ResponseEnd.CLOSED if by_target else ResponseEnd.UNREACHABLE
         self._end(end, repr(exc) if exc else "closed")
 
     # The answer, as the parser sees it.
@@ -211,7 +211,7 @@
             return
         if not self._parser.should_keep_alive():
             self.reusable = False
-        self._end(AnswerEnd.COMPLETE, "")
+        self._end(ResponseEnd.COMPLETE, "")
 
     def _note_keep_alive(self, headers: Headers) -> None:
         value = header_value(headers, b"keep-alive")
@@ -222,8 +222,8 @@
             if name.lower() == b"timeout" and seconds.isdigit():
                 self._idle_limit_s = int(seconds) * IDLE_SHARE
 
-    def _end(self, end: AnswerEnd, detail: str) -> None:
-        if end is not AnswerEnd.COMPLETE:
+    def _end(self, end: ResponseEnd, detail: str) -> None:
+        if end is not ResponseEnd.COMPLETE:
             self.reusable = False
         transport = self._transport
         if transport is not None and transport.get_write_buffer_size():
--- a/libs/forwarding/src/berylwalk/forwarding/_target_pool.py
+++ b/libs/forwarding/src/berylwalk/forwarding/_target_pool.py
@@ -95,14 +95,14 @@
             return connection
         return None
 
-    def give_back(self, life_id: str, connection: TargetConnection) -> None:
+    def release(self, life_id: str, connection: TargetConnection) -> None:
         """Keep a connection whose answer is complete, if it may be used again."""
         if connection.reusable and connection.is_open:
             self._idle_by_id.setdefault(life_id, []).append(connection)
         else:
             connection.close()
 
-    def drop(self, life_id: str) -> None:
+    def close_idle(self, life_id: str) -> None:
         """Close the idle connections to a target."""
         for connection in self._idle_by_id.pop(life_id, []):
             connection.close()
@@ -111,9 +111,9 @@
         """Close the idle connections to all other lives."""
         for life_id in list(self._idle_by_id):
             if life_id not in life_ids:
-                self.drop(life_id)
+                self.close_idle(life_id)
 
-    def sweep(self) -> None:
+    def close_stale(self) -> None:
         """Close idle connections that are too old to be used again."""
         now = self._clock()
         for life_id, idle in list(self._idle_by_id.items()):
@@ -129,4 +129,4 @@
     def close(self) -> None:
         """Close all idle connections."""
         for life_id in list(self._idle_by_id):
-            self.drop(life_id)
+            self.close_idle(life_id)
--- a/libs/forwarding/tests/test_forwarding_connections.py
+++ b/libs/forwarding/tests/test_forwarding_connections.py
@@ -3,10 +3,10 @@
 import pytest
 
 from berylwalk.forwarding import (
-    AnswerEnd,
     CallerConnection,
     ConnectionLimits,
     EventSplitter,
+    ResponseEnd,
     TargetConnection,
     end_to_end,
 )
@@ -60,7 +60,7 @@
         self.transport = RecordedTransport()
         self.connection = CallerConnection(
             serve=lambda _, request: self.requests.append(request),
-            on_gone=lambda _: self.leave(),
+            on_disconnect=lambda _: self.leave(),
             limits=lambda: LIMITS,
             clock=lambda: self.now,
             registry=set(),
@@ -251,7 +251,7 @@
         caller.send(HEAD + b"Content-Length: 0\r\n\r\n")
         caller.connection.start_stream(200, [])
         caller.connection.write(b"event")
-        caller.connection.cut()
+        caller.connection.truncate_response()
         assert not caller.transport.written.endswith(b"0\r\n\r\n")
         assert caller.transport.closed
 
@@ -274,7 +274,7 @@
         target = Target()
         target.receive(ANSWER + b"Content-Length: 2\r\n\r\nok")
         assert (target.sink.status, target.sink.body) == (200, b"ok")
-        assert target.sink.end is AnswerEnd.COMPLETE
+        assert target.sink.end is ResponseEnd.COMPLETE
         assert target.connection.is_fresh(0.5)
 
     def test_answer_to_an_earlier_request_is_passed_over(self):
@@ -301,7 +301,7 @@
         target = Target()
         target.receive((ANSWER + b"Content-Length: 2\r\n\r\nok") * 2)
         assert target.sink.body == b"ok"
-        assert target.sink.end is AnswerEnd.COMPLETE
+        assert target.sink.end is ResponseEnd.COMPLETE
         target.receive(b"x")
         assert not target.connection.is_fresh(0.0)
 
@@ -314,15 +314,15 @@
         if received:
             target.receive(received)
         target.connection.connection_lost(None)
-        assert target.sink.end is AnswerEnd.CLOSED
+        assert target.sink.end is ResponseEnd.CLOSED
 
     @pytest.mark.parametrize(
         ("error", "end"),
         [
-            (ConnectionResetError(), AnswerEnd.CLOSED),
-            (BrokenPipeError(), AnswerEnd.CLOSED),
-            (TimeoutError(), AnswerEnd.UNREACHABLE),
-            (OSError(113, "no route to host"), AnswerEnd.UNREACHABLE),
+            (ConnectionResetError(), ResponseEnd.CLOSED),
+            (BrokenPipeError(), ResponseEnd.CLOSED),
+            (TimeoutError(), ResponseEnd.UNREACHABLE),
+            (OSError(113, "no route to host"), ResponseEnd.UNREACHABLE),
         ],
     )
     def test_who_ended_the_connection_is_told_apart(self, error, end):
@@ -335,12 +335,12 @@
         """They end the attempt and the connection."""
         target = Target()
         target.receive(b"\x00\x01garbage\r\n\r\n")
-        assert target.sink.end is AnswerEnd.INVALID
+        assert target.sink.end is ResponseEnd.INVALID
         assert target.transport.aborted
 
     @pytest.mark.parametrize(
         ("error", "end"),
-        [(None, AnswerEnd.COMPLETE), (ConnectionResetError(), AnswerEnd.CLOSED)],
+        [(None, ResponseEnd.COMPLETE), (ConnectionResetError(), ResponseEnd.CLOSED)],
     )
     def test_answer_without_a_length(self, error, end):
         """It ends with its connection, unless that was reset."""
@@ -356,7 +356,7 @@
         target = Target()
         target.transport.unsent = 1000
         target.receive(ANSWER + b"Content-Length: 0\r\n\r\n")
-        assert target.sink.end is AnswerEnd.COMPLETE
+        assert target.sink.end is ResponseEnd.COMPLETE
         assert target.transport.aborted
 
     @pytest.mark.parametrize(
@@ -388,7 +388,7 @@
             (1, b"id: 1\ndata: a\n\n"),
             (2, b"id: 2\r\ndata: b\r\n\r\n"),
         ]
-        assert splitter.has_rest
+        assert splitter.has_partial_event
 
     def test_event_without_an_end(self):
         """A target that never ends an event does not fill the memory."""
--- a/libs/model/src/berylwalk/model/__init__.py
+++ b/libs/model/src/berylwalk/model/__init__.py
@@ -1,9 +1,9 @@
-"""Shared types: requests, treatment, outcomes and findings."""
+"""Shared types: requests, service_policy, outcomes and findings."""
 
 from berylwalk.model._answers import (
-    AnswerSink,
-    CallerGoneError,
-    FinalAnswer,
+    CallerDisconnectedError,
+    FinalResponse,
+    ResponseSink,
     Submitter,
 )
 from berylwalk.model._findings import Finding, FindingsError
@@ -11,16 +11,15 @@
 from berylwalk.model._requests import (
     Request,
     RequestId,
+    ServicePolicy,
     TargetCall,
     TierPolicy,
-    Treatment,
     WorkEstimate,
 )
 
 __all__ = [
-    "AnswerSink",
-    "CallerGoneError",
-    "FinalAnswer",
+    "CallerDisconnectedError",
+    "FinalResponse",
     "Finding",
     "FindingsError",
     "Outcome",
@@ -28,9 +27,10 @@
     "RefusalReason",
     "Request",
     "RequestId",
+    "ResponseSink",
+    "ServicePolicy",
     "Submitter",
     "TargetCall",
     "TierPolicy",
-    "Treatment",
     "WorkEstimate",
 ]
--- a/libs/model/src/berylwalk/model/_answers.py
+++ b/libs/model/src/berylwalk/model/_answers.py
@@ -14,7 +14,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class FinalAnswer:
+class FinalResponse:
     """How a request ended.
 
     Parameters
@@ -35,7 +35,7 @@
     agent: str = ""
 
     @property
-    def told_outcome(self) -> Outcome:
+    def reported_outcome(self) -> Outcome:
         """What the caller is told.
 
         A request whose idempotency key belongs to another one did not run
@@ -46,10 +46,10 @@
         return _OUTCOME_BY_KEY_REASON.get(self.refusal.reason, self.outcome)
 
 
-class AnswerSink(Protocol):
+class ResponseSink(Protocol):
     """Where the target's answer goes, piece by piece.
 
-    Either method may raise `CallerGoneError` when the caller went away.
+    Either method may raise `CallerDisconnectedError` when the caller went away.
     """
 
     async def start(
@@ -70,7 +70,7 @@
         """
 
 
-class CallerGoneError(Exception):
+class CallerDisconnectedError(Exception):
     """The caller closed its connection before the answer was whole."""
 
 
@@ -80,7 +80,7 @@
     def new_request_id(self) -> RequestId:
         """Return the next request identifier."""
 
-    async def submit(self, request: Request, sink: AnswerSink) -> FinalAnswer:
+    async def submit(self, request: Request, sink: ResponseSink) -> FinalResponse:
         """Place a request, stream its answer into the sink, and return its end.
 
         Cancelling the call withdraws the request.
--- a/libs/model/src/berylwalk/model/_requests.py
+++ b/libs/model/src/berylwalk/model/_requests.py
@@ -60,7 +60,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Treatment:
+class ServicePolicy:
     """Effective settings of one client account and service.
 
     Parameters
@@ -130,7 +130,7 @@
     ----------
     request_id : RequestId
         Its name.
-    treatment : Treatment
+    service_policy : ServicePolicy
         Effective settings at arrival.
     call : TargetCall
         What the target will receive.
@@ -149,7 +149,7 @@
     """
 
     request_id: RequestId
-    treatment: Treatment
+    service_policy: ServicePolicy
     call: TargetCall
     estimate: WorkEstimate
     arrived_at: float
--- a/libs/orders/src/berylwalk/orders/_sender.py
+++ b/libs/orders/src/berylwalk/orders/_sender.py
@@ -7,7 +7,7 @@
 
 from berylwalk.orders._gate import lock_key
 from berylwalk.orders._messages import Order, OrderOutcome, OrderResult
-from berylwalk.platform import HeldLease, KeyValueStore, LockHeld
+from berylwalk.platform import KeyValueStore, LeasedLock, LockHeld
 
 LEASE_TTL_S = 15.0
 LEAST_REMAINING_S = 5.0
@@ -58,7 +58,7 @@
         OrderResult
             ``refused`` also when the lease can't be had.
         """
-        lease = await HeldLease.acquire(
+        lease = await LeasedLock.acquire(
             self._store,
             lock_key(order.target),
             owner=self._node_id,
@@ -67,14 +67,14 @@
         )
         if isinstance(lease, LockHeld):
             return _refused("another router sends an order to this target")
-        if not isinstance(lease, HeldLease):
+        if not isinstance(lease, LeasedLock):
             return _refused("the lease can't be taken: no key-value service")
         try:
             return await self._send_under(lease, order)
         finally:
             await lease.release()
 
-    async def _send_under(self, lease: HeldLease, order: Order) -> OrderResult:
+    async def _send_under(self, lease: LeasedLock, order: Order) -> OrderResult:
         if lease.remaining_s(self._clock()) < LEAST_REMAINING_S:
             return _refused("the lease nearly lapsed before the order was sent")
         numbered = msgspec.structs.replace(order, fencing=lease.fencing)
--- a/libs/orders/tests/test_orders_fencing.py
+++ b/libs/orders/tests/test_orders_fencing.py
@@ -10,7 +10,7 @@
     OrderSender,
     lock_key,
 )
-from berylwalk.platform import HeldLease
+from berylwalk.platform import LeasedLock
 from berylwalk.standins.memory import InMemoryKeyValue
 
 TARGET = "engine-1"
@@ -77,11 +77,11 @@
 
         async def scenario():
             store, target = InMemoryKeyValue(), FakeTarget()
-            old = await HeldLease.acquire(
+            old = await LeasedLock.acquire(
                 store, lock_key(TARGET), owner="r1", ttl_s=60.0
             )
             await old.release()
-            await HeldLease.acquire(store, lock_key(TARGET), owner="r2", ttl_s=60.0)
+            await LeasedLock.acquire(store, lock_key(TARGET), owner="r2", ttl_s=60.0)
             fresh = FencingGate(TARGET, store, target.carry_out)
             late = Order(TARGET, OrderKind.CHANGE_ROLE, "decode", fencing=old.fencing)
             result = await fresh.handle(late)
@@ -132,7 +132,7 @@
 
         async def scenario():
             store = InMemoryKeyValue()
-            await HeldLease.acquire(store, lock_key(TARGET), owner="r1", ttl_s=60.0)
+            await LeasedLock.acquire(store, lock_key(TARGET), owner="r1", ttl_s=60.0)
 
             async def transmit(order):
                 raise AssertionError("sent without the lease")
@@ -157,7 +157,7 @@
 
 
 async def _take_over(store, clock):
-    lease = await HeldLease.acquire(
+    lease = await LeasedLock.acquire(
         store, lock_key(TARGET), owner="r2", ttl_s=60.0, clock=clock
     )
-    assert isinstance(lease, HeldLease)
+    assert isinstance(lease, LeasedLock)
--- a/libs/router/src/berylwalk/router/_accounts.py
+++ b/libs/router/src/berylwalk/router/_accounts.py
@@ -2,19 +2,19 @@
 
 from collections.abc import Iterable
 
-from berylwalk.model import Refusal, RefusalReason, Treatment
+from berylwalk.model import Refusal, RefusalReason, ServicePolicy
 from berylwalk.router._config import DEFAULT_RETRY_AFTER_MS
 from berylwalk.router._request_state import RequestState
 
 
 def account_refusal(
-    treatment: Treatment, requests: Iterable[RequestState]
+    service_policy: ServicePolicy, requests: Iterable[RequestState]
 ) -> Refusal | None:
     """Return why the account may not add a request, or None.
 
     Parameters
     ----------
-    treatment : Treatment
+    service_policy : ServicePolicy
         Settings of the new request's account.
     requests : iterable of RequestState
         Requests of the account that have not ended.
@@ -22,9 +22,9 @@
     states = list(requests)
     running = sum(state.grant is not None for state in states)
     waiting = len(states) - running
-    if waiting >= treatment.max_waiting:
+    if waiting >= service_policy.max_waiting:
         return _over_limit(f"{waiting} requests of the account wait")
-    if running >= treatment.max_running:
+    if running >= service_policy.max_running:
         return _over_limit(f"{running} requests of the account run")
     return None
 
--- a/libs/router/src/berylwalk/router/_active_requests.py
+++ b/libs/router/src/berylwalk/router/_active_requests.py
@@ -6,7 +6,7 @@
 
 from anyio import CancelScope, Event
 
-from berylwalk.model import AnswerSink, FinalAnswer, Outcome, Request
+from berylwalk.model import FinalResponse, Outcome, Request, ResponseSink
 from berylwalk.router._stored_answers import AnswerCopy, StoredAnswer
 from berylwalk.telemetry import Hop
 from berylwalk.wire import Grant
@@ -39,7 +39,7 @@
     ----------
     request : Request
         The request.
-    sink : AnswerSink
+    sink : ResponseSink
         Where its answer goes.
     hop : Hop or None
         Span of the request.
@@ -49,7 +49,7 @@
         Monotonic clock, in seconds.
     ended : Event
         Set together with ``answer``.
-    answer : FinalAnswer or None
+    answer : FinalResponse or None
         As the state machine ended it.
     grant : ActiveGrant or None
         The last grant.
@@ -64,12 +64,12 @@
     """
 
     request: Request
-    sink: AnswerSink
+    sink: ResponseSink
     hop: Hop | None = None
     copy: AnswerCopy | None = None
     clock: Callable[[], float] = monotonic
     ended: Event = field(default_factory=Event)
-    answer: FinalAnswer | None = None
+    answer: FinalResponse | None = None
     grant: ActiveGrant | None = None
     agent: str = ""
     status: int = 0
@@ -106,7 +106,7 @@
         self._note_chunk(body)
         return True
 
-    def end(self, answer: FinalAnswer) -> None:
+    def end(self, answer: FinalResponse) -> None:
         """Note the end; a grant that is still open is closed."""
         self.answer = answer
         self.close_grant()
@@ -117,7 +117,7 @@
         if self.grant is not None and not self.grant.closed.is_set():
             self.grant.scope.cancel()
 
-    async def final_answer(self) -> FinalAnswer:
+    async def final_answer(self) -> FinalResponse:
         """Wait for the end, and until nobody calls the sink any more."""
         await self.ended.wait()
         if self.grant is not None:
@@ -133,10 +133,10 @@
         if self.copy is not None:
             self.copy.chunk(body)
 
-    async def _replay(self, stored: StoredAnswer) -> FinalAnswer:
+    async def _replay(self, stored: StoredAnswer) -> FinalResponse:
         # The record holds this answer already.
         self.copy = None
         await self.start(stored.status, stored.replay_headers(), stored.agent)
         if stored.body:
             await self.sink.chunk(stored.body)
-        return FinalAnswer(Outcome.COMPLETE, started=True, agent=stored.agent)
+        return FinalResponse(Outcome.COMPLETE, started=True, agent=stored.agent)
--- a/libs/router/src/berylwalk/router/_arrivals.py
+++ b/libs/router/src/berylwalk/router/_arrivals.py
@@ -3,7 +3,7 @@
 from functools import partial
 
 from berylwalk.model import (
-    FinalAnswer,
+    FinalResponse,
     Outcome,
     Refusal,
     RefusalReason,
@@ -31,7 +31,7 @@
     """Accept or refuse a request."""
     refusal = _refusal_at_arrival(core, request)
     if refusal is not None:
-        answer = FinalAnswer(Outcome.NOT_RUN, refusal)
+        answer = FinalResponse(Outcome.NOT_RUN, refusal)
         core.outbox.act(EndRequest(request.request_id, answer))
         return
     key = KeyState.PENDING if request.idempotency_key else KeyState.NOT_NEEDED
@@ -86,10 +86,10 @@
     if core.draining:
         detail = "the router is draining"
         return Refusal(RefusalReason.LEAVING, DEFAULT_RETRY_AFTER_MS, detail)
-    account = request.treatment.client_account
+    account = request.service_policy.client_account
     ids = core.ids_by_account.get(account, ())
     states = (core.requests_by_id[request_id] for request_id in ids)
-    return account_refusal(request.treatment, states)
+    return account_refusal(request.service_policy, states)
 
 
 def _on_deadline(core: RouterCore, request_id: RequestId, now: float) -> None:
--- a/libs/router/src/berylwalk/router/_core.py
+++ b/libs/router/src/berylwalk/router/_core.py
@@ -72,7 +72,7 @@
         """Take over a new request."""
         request = state.request
         self.requests_by_id[request.request_id] = state
-        account = request.treatment.client_account
+        account = request.service_policy.client_account
         self.ids_by_account[account].add(request.request_id)
 
     def remove(self, state: RequestState) -> None:
@@ -80,7 +80,7 @@
         request = state.request
         del self.requests_by_id[request.request_id]
         self.unplaced_ids.pop(request.request_id, None)
-        account = request.treatment.client_account
+        account = request.service_policy.client_account
         self.ids_by_account[account].discard(request.request_id)
         if not self.ids_by_account[account]:
             del self.ids_by_account[account]
--- a/libs/router/src/berylwalk/router/_ending.py
+++ b/libs/router/src/berylwalk/router/_ending.py
@@ -1,6 +1,6 @@
 """The end of a request."""
 
-from berylwalk.model import FinalAnswer, Outcome, Refusal, RefusalReason
+from berylwalk.model import FinalResponse, Outcome, Refusal, RefusalReason
 from berylwalk.router._config import DEFAULT_RETRY_AFTER_MS
 from berylwalk.router._core import RouterCore
 from berylwalk.router._events import EndRequest, ReleaseKey
@@ -37,7 +37,7 @@
     told = Refusal(refusal.reason, retry_after_ms, refusal.detail)
     drop_reservations(core, state)
     _release_key(core, state)
-    _end(core, state, FinalAnswer(Outcome.NOT_RUN, told))
+    _end(core, state, FinalResponse(Outcome.NOT_RUN, told))
 
 
 def end_unknown(core: RouterCore, state: RequestState, detail: str) -> None:
@@ -45,7 +45,7 @@
     grant = state.grant
     assert grant is not None
     refusal = Refusal(RefusalReason.LOST, DEFAULT_RETRY_AFTER_MS, detail)
-    answer = FinalAnswer(Outcome.UNKNOWN, refusal, grant.started, grant.agent)
+    answer = FinalResponse(Outcome.UNKNOWN, refusal, grant.started, grant.agent)
     _end(core, state, answer)
 
 
@@ -54,11 +54,11 @@
     grant = state.grant
     assert grant is not None
     core.budget.record_success()
-    answer = FinalAnswer(Outcome.COMPLETE, started=True, agent=grant.agent)
+    answer = FinalResponse(Outcome.COMPLETE, started=True, agent=grant.agent)
     _end(core, state, answer)
 
 
-def _end(core: RouterCore, state: RequestState, answer: FinalAnswer) -> None:
+def _end(core: RouterCore, state: RequestState, answer: FinalResponse) -> None:
     core.remove(state)
     core.outbox.act(EndRequest(state.request.request_id, answer))
 
--- a/libs/router/src/berylwalk/router/_events.py
+++ b/libs/router/src/berylwalk/router/_events.py
@@ -2,7 +2,7 @@
 
 from dataclasses import dataclass
 
-from berylwalk.model import FinalAnswer, Refusal, Request, RequestId
+from berylwalk.model import FinalResponse, Refusal, Request, RequestId
 from berylwalk.wire import ControlMessage, Datagram, Grant
 
 
@@ -189,7 +189,7 @@
     """The request ended; forget it and tell the caller."""
 
     request_id: RequestId
-    answer: FinalAnswer
+    answer: FinalResponse
 
 
 @dataclass(frozen=True, slots=True)
--- a/libs/router/src/berylwalk/router/_grants_http.py
+++ b/libs/router/src/berylwalk/router/_grants_http.py
@@ -7,7 +7,7 @@
 from absl import logging
 from anyio import CancelScope
 
-from berylwalk.model import CallerGoneError, Refusal, RefusalReason
+from berylwalk.model import CallerDisconnectedError, Refusal, RefusalReason
 from berylwalk.router._active_requests import ActiveGrant, ActiveRequest
 from berylwalk.router._events import (
     AnswerComplete,
@@ -119,7 +119,7 @@
             return GrantNotSent(grant.request_id, grant.attempt)
         try:
             return await self._post(active, grant, url)
-        except CallerGoneError:
+        except CallerDisconnectedError:
             return CallerGone(grant.request_id)
         except Exception:
             # Whatever went wrong, the agent may have dispatched.
--- a/libs/router/src/berylwalk/router/_idempotency.py
+++ b/libs/router/src/berylwalk/router/_idempotency.py
@@ -14,7 +14,7 @@
     Conflict,
     KeyValue,
     KeyValueStore,
-    Lost,
+    OutcomeUnknown,
     Swapped,
     SwapResult,
     Unavailable,
@@ -119,7 +119,9 @@
             if not _may_try_again(result):
                 break
         self._refuses_until = self._clock() + DOWN_S
-        return ClaimRefused(platform_down(), unsettled=isinstance(result, Lost))
+        return ClaimRefused(
+            platform_down(), unsettled=isinstance(result, OutcomeUnknown)
+        )
 
     def complete(
         self, request: Request, status: int, answer: StoredAnswer | None
@@ -171,13 +173,13 @@
         record = new_record(request)
         value = encode_record(record)
         result = await self._store.compare_and_swap(key, value, 0, lease_id=lease_id)
-        if isinstance(result, Lost):
+        if isinstance(result, OutcomeUnknown):
             result = await resolve_swap(
                 self._store,
                 key,
                 value,
                 0,
-                is_ours=partial(_is_of, request),
+                is_own_write=partial(_is_of, request),
                 lease_id=lease_id,
                 attempts=RESOLVE_ATTEMPTS,
                 pause=self._pause,
--- a/libs/router/src/berylwalk/router/_key_claims.py
+++ b/libs/router/src/berylwalk/router/_key_claims.py
@@ -5,7 +5,7 @@
 from absl import logging
 
 from berylwalk.model import (
-    FinalAnswer,
+    FinalResponse,
     Outcome,
     Refusal,
     RefusalReason,
@@ -60,7 +60,7 @@
         """Give up the key of a request that truly did not run."""
         self._records.release(request)
 
-    def close(self, active: ActiveRequest, final: FinalAnswer | None) -> None:
+    def close(self, active: ActiveRequest, final: FinalResponse | None) -> None:
         """Complete the record of a request that ended, or leave it to expire."""
         is_complete = final is not None and final.outcome is Outcome.COMPLETE
         if not is_complete or active.copy is None:
--- a/libs/router/src/berylwalk/router/_listeners.py
+++ b/libs/router/src/berylwalk/router/_listeners.py
@@ -9,7 +9,7 @@
 from berylwalk.model import Submitter
 from berylwalk.placement import prefix_hashes
 from berylwalk.router._readiness import Readiness
-from berylwalk.router._treatments import DocumentTreatments
+from berylwalk.router._service_policies import DocumentServicePolicies
 from berylwalk.settings import RouterSettings
 from berylwalk.telemetry import RouterMetrics, Tracing, ops_application
 from berylwalk.transport import Application, HttpLimits, HttpServer
@@ -26,7 +26,7 @@
     ----------
     submitter : Submitter
         Places requests.
-    treatments : DocumentTreatments
+    service_policies : DocumentServicePolicies
         Settings of client accounts.
     resources : callable
         Known models and services.
@@ -47,7 +47,7 @@
     """
 
     submitter: Submitter
-    treatments: DocumentTreatments
+    service_policies: DocumentServicePolicies
     resources: KnownResources
     settings_service: SettingsService
     fleet: FleetView
@@ -122,7 +122,7 @@
 def _caller_application(settings: RouterSettings, services: Services) -> Application:
     return caller_app(
         submitter=services.submitter,
-        treatments=services.treatments,
+        service_policies=services.service_policies,
         resources=services.resources,
         prefix_hashes=prefix_hashes,
         limits=CallerLimits.from_config(settings.caller),
--- a/libs/router/src/berylwalk/router/_observing.py
+++ b/libs/router/src/berylwalk/router/_observing.py
@@ -4,7 +4,7 @@
 from collections.abc import Callable, Iterable
 from time import monotonic
 
-from berylwalk.model import FinalAnswer, Outcome
+from berylwalk.model import FinalResponse, Outcome
 from berylwalk.router._active_requests import ActiveRequest
 from berylwalk.telemetry import HopStatus, Level, RouterMetrics, log_event
 
@@ -28,14 +28,14 @@
         self._metrics = metrics
         self._clock = clock
 
-    def finished(self, active: ActiveRequest, final: FinalAnswer | None) -> None:
+    def finished(self, active: ActiveRequest, final: FinalResponse | None) -> None:
         """Note the end of a request.
 
         Parameters
         ----------
         active : ActiveRequest
             The request.
-        final : FinalAnswer or None
+        final : FinalResponse or None
             How it ended; None when its caller went away.
         """
         self._count(active, final)
@@ -47,7 +47,7 @@
         waiting: Counter[str] = Counter()
         running: Counter[str] = Counter()
         for active in requests:
-            tier = active.request.treatment.tier.name
+            tier = active.request.service_policy.tier.name
             (running if active.started else waiting)[tier] += 1
         for gauge, count_by_tier in (
             (self._metrics.waiting, waiting),
@@ -57,9 +57,9 @@
             for tier, count in count_by_tier.items():
                 gauge.labels(tier).set(count)
 
-    def _count(self, active: ActiveRequest, final: FinalAnswer | None) -> None:
+    def _count(self, active: ActiveRequest, final: FinalResponse | None) -> None:
         request = active.request
-        tier = request.treatment.tier.name
+        tier = request.service_policy.tier.name
         self._metrics.requests.labels(tier, _outcome(final)).inc()
         if final is not None and final.refusal is not None:
             reason = final.refusal.reason.value
@@ -74,16 +74,16 @@
             prompt_tokens = request.estimate.prompt_tokens
             self._metrics.wasted_prefill_tokens.inc(prompt_tokens)
 
-    def _log(self, active: ActiveRequest, final: FinalAnswer | None) -> None:
+    def _log(self, active: ActiveRequest, final: FinalResponse | None) -> None:
         request = active.request
         refusal = final.refusal if final is not None else None
         log_event(
             Level.INFO,
             FINISHED_EVENT,
             request_id=str(request.request_id),
-            client_account=request.treatment.client_account,
-            service=request.treatment.service,
-            tier=request.treatment.tier.name,
+            client_account=request.service_policy.client_account,
+            service=request.service_policy.service,
+            tier=request.service_policy.tier.name,
             resource=request.call.resource,
             outcome=_outcome(final),
             reason=refusal.reason.value if refusal is not None else "",
@@ -93,7 +93,7 @@
             duration_ms=round((self._clock() - request.arrived_at) * 1000, 1),
         )
 
-    def _end_hop(self, active: ActiveRequest, final: FinalAnswer | None) -> None:
+    def _end_hop(self, active: ActiveRequest, final: FinalResponse | None) -> None:
         if active.hop is None:
             return
         active.hop.set_attributes(
@@ -103,9 +103,9 @@
         active.hop.end(status, _outcome(final))
 
 
-def _outcome(final: FinalAnswer | None) -> str:
-    return "caller-gone" if final is None else final.told_outcome.value
+def _outcome(final: FinalResponse | None) -> str:
+    return "caller-gone" if final is None else final.reported_outcome.value
 
 
-def _is_complete(final: FinalAnswer | None) -> bool:
+def _is_complete(final: FinalResponse | None) -> bool:
     return final is not None and final.outcome is Outcome.COMPLETE
--- a/libs/router/src/berylwalk/router/_records.py
+++ b/libs/router/src/berylwalk/router/_records.py
@@ -51,7 +51,7 @@
 
 def record_key(request: Request) -> bytes:
     """Return the key under which a request's record is stored."""
-    account = request.treatment.client_account.strip("/")
+    account = request.service_policy.client_account.strip("/")
     digest = sha256(request.idempotency_key.encode()).hexdigest()
     return f"{RECORDS_PREFIX}/{account}/{digest}".encode()
 
--- a/libs/router/src/berylwalk/router/_request_state.py
+++ b/libs/router/src/berylwalk/router/_request_state.py
@@ -142,7 +142,7 @@
         """Size of the request, for placement."""
         request = self.request
         return Work(
-            tier_rank=request.treatment.tier.rank,
+            tier_rank=request.service_policy.tier.rank,
             prompt_tokens=request.estimate.prompt_tokens,
             output_tokens=request.estimate.output_tokens,
             prefix=request.prefix,
--- a/libs/router/src/berylwalk/router/_treatments.py
+++ b/libs/router/src/berylwalk/router/_service_policies.py
@@ -2,14 +2,14 @@
 
 from collections.abc import Callable
 
-from berylwalk.model import Treatment
+from berylwalk.model import ServicePolicy
 from berylwalk.settings import SettingsDocument
 
 CREDENTIAL_KEY = "credential_sha256"
 
 
-class DocumentTreatments:
-    """Implements `berylwalk.caller.TreatmentSource` over the latest document.
+class DocumentServicePolicies:
+    """Implements `berylwalk.caller.ServicePolicySource` over the latest document.
 
     Parameters
     ----------
@@ -31,7 +31,7 @@
             self._index(document)
         return self._account_by_digest.get(sha256_hex)
 
-    def treatment(self, account: str, service: str) -> Treatment | None:
+    def service_policy(self, account: str, service: str) -> ServicePolicy | None:
         """Return the effective settings of a service node, or None without one."""
         document = self._document()
         if document is None:
--- a/libs/router/src/berylwalk/router/_services.py
+++ b/libs/router/src/berylwalk/router/_services.py
@@ -11,8 +11,8 @@
 from berylwalk.router._readiness import Readiness
 from berylwalk.router._request_parts import RequestParts
 from berylwalk.router._resources import ResourceCache
+from berylwalk.router._service_policies import DocumentServicePolicies
 from berylwalk.router._settings_sync import SettingsSync
-from berylwalk.router._treatments import DocumentTreatments
 from berylwalk.settings import RouterSettings
 
 
@@ -48,7 +48,7 @@
     )
     return Services(
         submitter=requests.shell,
-        treatments=DocumentTreatments(lambda: replica.document),
+        service_policies=DocumentServicePolicies(lambda: replica.document),
         resources=ResourceCache(requests.machine, fleet.members),
         settings_service=RouterSettingsService(replica, sync, store),
         fleet=_fleet_view(settings, fleet, requests),
--- a/libs/router/src/berylwalk/router/_settings_store.py
+++ b/libs/router/src/berylwalk/router/_settings_store.py
@@ -3,7 +3,7 @@
 from berylwalk.platform import (
     Conflict,
     KeyValueStore,
-    Lost,
+    OutcomeUnknown,
     Swapped,
     Unavailable,
 )
@@ -12,7 +12,7 @@
 _RESULT_BY_TYPE = {
     Swapped: SwapResult.SWAPPED,
     Conflict: SwapResult.CONFLICT,
-    Lost: SwapResult.LOST,
+    OutcomeUnknown: SwapResult.LOST,
     Unavailable: SwapResult.UNAVAILABLE,
 }
 
--- a/libs/router/src/berylwalk/router/_shell.py
+++ b/libs/router/src/berylwalk/router/_shell.py
@@ -9,13 +9,13 @@
 from anyio import Event, get_cancelled_exc_class, sleep
 
 from berylwalk.model import (
-    AnswerSink,
-    FinalAnswer,
+    FinalResponse,
     Outcome,
     Refusal,
     RefusalReason,
     Request,
     RequestId,
+    ResponseSink,
 )
 from berylwalk.process import NEVER, TickLoop
 from berylwalk.router._active_requests import ActiveRequest
@@ -151,13 +151,13 @@
         """Return the next request identifier."""
         return RequestId(self._router, self._incarnation, next(self._serials))
 
-    async def submit(self, request: Request, sink: AnswerSink) -> FinalAnswer:
+    async def submit(self, request: Request, sink: ResponseSink) -> FinalResponse:
         """Place a request, stream its answer into the sink, and return its end.
 
         Cancelling the call withdraws the request.
         """
         active = self._activate(request, sink)
-        final: FinalAnswer | None = None
+        final: FinalResponse | None = None
         try:
             self.handle(RequestArrived(active.request))
             final = await active.final_answer()
@@ -197,7 +197,7 @@
         while self._active_by_id:
             await sleep(0.02)
 
-    def _activate(self, request: Request, sink: AnswerSink) -> ActiveRequest:
+    def _activate(self, request: Request, sink: ResponseSink) -> ActiveRequest:
         hop = self._tracing.start_hop(
             request.traceparent,
             "router.request",
@@ -208,7 +208,7 @@
         self._active_by_id[request.request_id] = active
         return active
 
-    def _deactivate(self, active: ActiveRequest, final: FinalAnswer | None) -> None:
+    def _deactivate(self, active: ActiveRequest, final: FinalResponse | None) -> None:
         request_id = active.request.request_id
         self._active_by_id.pop(request_id, None)
         active.close_grant()
@@ -225,7 +225,7 @@
         if active is None or active.answer is not None:
             return
         refusal = Refusal(RefusalReason.LOST, DEFAULT_RETRY_AFTER_MS, detail)
-        active.end(FinalAnswer(Outcome.UNKNOWN, refusal))
+        active.end(FinalResponse(Outcome.UNKNOWN, refusal))
 
     def _end_request(self, action: EndRequest) -> None:
         active = self._active_by_id.get(action.request_id)
--- a/libs/router/src/berylwalk/router/_views.py
+++ b/libs/router/src/berylwalk/router/_views.py
@@ -134,7 +134,7 @@
     running: defaultdict[str, int] = defaultdict(int)
     for state in core.requests_by_id.values():
         counts = waiting if state.grant is None else running
-        counts[state.request.treatment.tier.name] += 1
+        counts[state.request.service_policy.tier.name] += 1
     tiers = sorted(waiting.keys() | running.keys())
     return {tier: TierCounts(tier, waiting[tier], running[tier]) for tier in tiers}
 
@@ -174,9 +174,9 @@
         agents = (state.grant.agent,)
     return RequestView(
         request_id=str(request.request_id),
-        client_account=request.treatment.client_account,
-        service=request.treatment.service,
-        tier=request.treatment.tier.name,
+        client_account=request.service_policy.client_account,
+        service=request.service_policy.service,
+        tier=request.service_policy.tier.name,
         resource=request.call.resource,
         phase=state.phase,
         agents=agents,
--- a/libs/router/tests/test_router_idempotency.py
+++ b/libs/router/tests/test_router_idempotency.py
@@ -9,9 +9,9 @@
     RefusalReason,
     Request,
     RequestId,
+    ServicePolicy,
     TargetCall,
     TierPolicy,
-    Treatment,
     WorkEstimate,
 )
 from berylwalk.router._claim_results import Claimed, ClaimRefused
@@ -63,7 +63,7 @@
     """Build a request with the key ``"k"``."""
     return Request(
         request_id=RequestId(router, 1, 1),
-        treatment=Treatment("/box", "", TierPolicy("counter", 0)),
+        service_policy=ServicePolicy("/box", "", TierPolicy("counter", 0)),
         call=TargetCall("POST", "/pull", "service:boxes", body=b"{}"),
         estimate=WorkEstimate(),
         arrived_at=1000.0,
--- a/libs/router/tests/test_router_machine.py
+++ b/libs/router/tests/test_router_machine.py
@@ -11,9 +11,9 @@
     RefusalReason,
     Request,
     RequestId,
+    ServicePolicy,
     TargetCall,
     TierPolicy,
-    Treatment,
     WorkEstimate,
 )
 from berylwalk.router._config import RouterConfig
@@ -59,9 +59,9 @@
 STEP_S = 0.01
 
 
-def treatment(**changes):
+def service_policy(**changes):
     """Return the settings of the account."""
-    return Treatment(client_account="acme", service="", tier=TIER, **changes)
+    return ServicePolicy(client_account="acme", service="", tier=TIER, **changes)
 
 
 class Driver:
@@ -129,7 +129,7 @@
         self.serial += 1
         request = Request(
             request_id=RequestId("r1", 1, self.serial),
-            treatment=settings or treatment(),
+            service_policy=settings or service_policy(),
             call=TargetCall("POST", "/v1/completions", resource),
             estimate=WorkEstimate(prompt_tokens=10, output_tokens=10),
             arrived_at=self.now,
@@ -510,7 +510,7 @@
         driver = Driver("a")
         if limit == "max_waiting":
             driver.fill("a")
-        settings = treatment(**{limit: 1})
+        settings = service_policy(**{limit: 1})
         driver.arrive(settings=settings)
         driver.arrive(settings=settings)
         refusal = driver.end().refusal
--- a/libs/router/tests/test_router_machine_fuzz.py
+++ b/libs/router/tests/test_router_machine_fuzz.py
@@ -13,9 +13,9 @@
     RefusalReason,
     Request,
     RequestId,
+    ServicePolicy,
     TargetCall,
     TierPolicy,
-    Treatment,
     WorkEstimate,
 )
 from berylwalk.router._config import RouterConfig
@@ -58,7 +58,7 @@
 
 AGENTS = ("a", "b", "c")
 RESOURCE = "model:m"
-TREATMENT = Treatment("acme", "", TierPolicy("urgent", 0), max_waiting=6)
+SERVICE_POLICY = ServicePolicy("acme", "", TierPolicy("urgent", 0), max_waiting=6)
 LONGEST_DEADLINE_S = 20.0
 STEP_S = 0.25
 
@@ -228,7 +228,7 @@
         self.known[request_id] = Known(keyed)
         request = Request(
             request_id=request_id,
-            treatment=TREATMENT,
+            service_policy=SERVICE_POLICY,
             call=TargetCall("POST", "/v1/completions", RESOURCE),
             estimate=WorkEstimate(),
             arrived_at=self.now,
--- a/libs/router/tests/test_router_shell.py
+++ b/libs/router/tests/test_router_shell.py
@@ -7,16 +7,16 @@
 import pytest
 
 from berylwalk.model import (
-    CallerGoneError,
-    FinalAnswer,
+    CallerDisconnectedError,
+    FinalResponse,
     Outcome,
     Refusal,
     RefusalReason,
     Request,
     RequestId,
+    ServicePolicy,
     TargetCall,
     TierPolicy,
-    Treatment,
     WorkEstimate,
 )
 from berylwalk.router import (
@@ -69,7 +69,7 @@
     now = anyio.current_time()
     return Request(
         request_id=RequestId("r1", 1, serial),
-        treatment=Treatment("/box", "", TierPolicy("counter", 0)),
+        service_policy=ServicePolicy("/box", "", TierPolicy("counter", 0)),
         call=TargetCall("POST", "/pull", "service:boxes", body=b"{}"),
         estimate=WorkEstimate(),
         arrived_at=now,
@@ -132,7 +132,7 @@
         return []
 
     def _end(self, request_id, outcome, refusal=None) -> EndRequest:
-        return EndRequest(request_id, FinalAnswer(outcome, refusal))
+        return EndRequest(request_id, FinalResponse(outcome, refusal))
 
     def kinds(self) -> list[type]:
         """Return the types of the events after the arrival."""
@@ -181,7 +181,7 @@
     async def chunk(self, body: bytes) -> None:
         """Note a piece."""
         if self.leaves:
-            raise CallerGoneError
+            raise CallerDisconnectedError
         self.body += body
         self.got_chunk.set()
 
@@ -241,7 +241,7 @@
         sink = Sink()
         async with running_shell(dispatch) as (shell, machine):
             final = await shell.submit(make_request(), sink)
-        assert final == FinalAnswer(Outcome.COMPLETE, None, True, "agent-1")
+        assert final == FinalResponse(Outcome.COMPLETE, None, True, "agent-1")
         assert seen == [True]
         assert (sink.status, sink.body) == (418, b"one two")
         assert sink.headers[b"x-kind"] == b"tea"
--- a/libs/router/tests/test_router_subsets.py
+++ b/libs/router/tests/test_router_subsets.py
@@ -7,9 +7,9 @@
 from berylwalk.model import (
     Request,
     RequestId,
+    ServicePolicy,
     TargetCall,
     TierPolicy,
-    Treatment,
     WorkEstimate,
 )
 from berylwalk.router import (
@@ -28,7 +28,7 @@
 from berylwalk.wire import Datagram, Digest, Hello
 
 STEP_S = 0.05
-TREATMENT = Treatment("acme", "", TierPolicy("urgent", 0), max_running=10_000)
+SERVICE_POLICY = ServicePolicy("acme", "", TierPolicy("urgent", 0), max_running=10_000)
 
 
 class Fleet:
@@ -81,7 +81,7 @@
         self.serial += 1
         request = Request(
             request_id=RequestId("r1", 1, self.serial),
-            treatment=TREATMENT,
+            service_policy=SERVICE_POLICY,
             call=TargetCall("POST", "/v1/completions", f"model:{model}"),
             estimate=WorkEstimate(10, 10),
             arrived_at=self.now,
--- a/libs/settings/src/berylwalk/settings/_tree.py
+++ b/libs/settings/src/berylwalk/settings/_tree.py
@@ -5,7 +5,7 @@
 from types import MappingProxyType
 from typing import Self
 
-from berylwalk.model import FindingsError, TierPolicy, Treatment
+from berylwalk.model import FindingsError, ServicePolicy, TierPolicy
 from berylwalk.settings._checks import Sections, Value, check_sections
 from berylwalk.settings._explanation import Explanation
 from berylwalk.settings._keys import (
@@ -25,7 +25,7 @@
 
 DOCUMENT_SOURCE = "settings"
 _BUILT_IN_TIER = TierPolicy(name="default", rank=0)
-_TREATMENT_KEYS = (
+_SERVICE_POLICY_KEYS = (
     "weight",
     "deadline_s",
     "max_waiting",
@@ -58,8 +58,8 @@
             for section, values in self._sections.items()
             for credential in values.get(CREDENTIAL_KEY, ())
         }
-        # The tree never changes, so treatments of its nodes are computed once.
-        self._treatment_by_path: dict[str, Treatment] = {}
+        # The tree never changes, so service_policies of its nodes are computed once.
+        self._policy_by_path: dict[str, ServicePolicy] = {}
 
     @classmethod
     def from_sections(
@@ -149,7 +149,7 @@
         found = (self._explain_key(path, key) for key in NodeKeys.model_fields)
         return tuple(explanation for explanation in found if explanation is not None)
 
-    def evaluate(self, path: str) -> Treatment:
+    def evaluate(self, path: str) -> ServicePolicy:
         """Compute how requests of a node are treated.
 
         Parameters
@@ -159,20 +159,20 @@
 
         Returns
         -------
-        Treatment
+        ServicePolicy
             ``client_account`` is the nearest account at or above the path (the
             path itself without one), ``service`` the rest of the path.
         """
-        known = self._treatment_by_path.get(path)
+        known = self._policy_by_path.get(path)
         if known is not None:
             return known
-        treatment = self._compute_treatment(path)
+        service_policy = self._compute_service_policy(path)
         # Paths outside the tree come from callers and would fill the memory.
         if path in self._sections:
-            self._treatment_by_path[path] = treatment
-        return treatment
+            self._policy_by_path[path] = service_policy
+        return service_policy
 
-    def treatment_for(self, account: str, service: str = "") -> Treatment:
+    def service_policy_for(self, account: str, service: str = "") -> ServicePolicy:
         """Compute how a service of a client account is treated.
 
         Parameters
@@ -184,7 +184,7 @@
 
         Returns
         -------
-        Treatment
+        ServicePolicy
             That of the account itself when it has no such node.
         """
         path = child_path(account, service)
@@ -204,14 +204,16 @@
         (source, value), *overrides = setting
         return Explanation(key, value, source, source != path, tuple(overrides))
 
-    def _compute_treatment(self, path: str) -> Treatment:
-        found = {key: self.lookup(path, key) for key in _TREATMENT_KEYS}
+    def _compute_service_policy(self, path: str) -> ServicePolicy:
+        found = {key: self.lookup(path, key) for key in _SERVICE_POLICY_KEYS}
         values = {key: value for key, value in found.items() if value is not None}
         tier = self._tier(self.lookup(path, "tier"))
         values.setdefault("deadline_s", tier.deadline_s)
         account = self.account_of(path) or path
         service = path.removeprefix(account).removeprefix(ROOT)
-        return Treatment(client_account=account, service=service, tier=tier, **values)
+        return ServicePolicy(
+            client_account=account, service=service, tier=tier, **values
+        )
 
     def _tier(self, name: Value | None) -> TierPolicy:
         if name is not None:
--- a/libs/settings/tests/test_settings_tree.py
+++ b/libs/settings/tests/test_settings_tree.py
@@ -69,14 +69,16 @@
     def test_agrees_with_naive_evaluation(self, tree, path):
         """Each key has the value of the nearest node that sets it."""
         expected = _naive(tree.sections, path)
-        treatment = tree.evaluate(path)
+        service_policy = tree.evaluate(path)
         tier = TIERS[f"tier {expected.get('tier', 'batch')}"]
-        assert treatment.tier.rank == tier["rank"]
-        assert treatment.deadline_s == expected.get("deadline_s", tier["deadline_s"])
-        assert treatment.weight == expected.get("weight", 1.0)
-        assert treatment.max_waiting == expected.get("max_waiting", 1000)
-        assert treatment.models == expected.get("models", ())
-        assert treatment.idempotent == expected.get("idempotent", True)
+        assert service_policy.tier.rank == tier["rank"]
+        assert service_policy.deadline_s == expected.get(
+            "deadline_s", tier["deadline_s"]
+        )
+        assert service_policy.weight == expected.get("weight", 1.0)
+        assert service_policy.max_waiting == expected.get("max_waiting", 1000)
+        assert service_policy.models == expected.get("models", ())
+        assert service_policy.idempotent == expected.get("idempotent", True)
         explained = {entry.key: entry.value for entry in tree.explain(path)}
         assert explained == expected
 
@@ -111,12 +113,12 @@
 
     def test_service_below_account(self):
         """A service inherits from its account but is no account itself."""
-        treatment = self.TREE.treatment_for("/p/field", "logs")
-        assert treatment.client_account == "/p/field"
-        assert treatment.service == "logs"
-        assert treatment.tier.name == "urgent"
-        assert treatment.weight == 3
-        assert treatment.target_service == "readback"
+        service_policy = self.TREE.service_policy_for("/p/field", "logs")
+        assert service_policy.client_account == "/p/field"
+        assert service_policy.service == "logs"
+        assert service_policy.tier.name == "urgent"
+        assert service_policy.weight == 3
+        assert service_policy.target_service == "readback"
         assert self.TREE.evaluate("/p/field/logs/x").target_service == ""
         assert self.TREE.lookup("/p/field/logs", "target_service") == "readback"
         assert self.TREE.lookup("/p/field/logs/x", "target_service") is None
@@ -124,9 +126,9 @@
     @pytest.mark.parametrize("service", ["", "unknown", "../../p", "a b\n"])
     def test_other_services_are_treated_as_the_account(self, service):
         """A service without a node, or with a bad name, gets the account's settings."""
-        treatment = self.TREE.treatment_for("/p/field", service)
-        assert treatment == self.TREE.evaluate("/p/field")
-        assert treatment.service == ""
+        service_policy = self.TREE.service_policy_for("/p/field", service)
+        assert service_policy == self.TREE.evaluate("/p/field")
+        assert service_policy.service == ""
 
 
 class TestIni:
--- a/libs/standins/src/berylwalk/standins/memory.py
+++ b/libs/standins/src/berylwalk/standins/memory.py
@@ -10,7 +10,7 @@
     EventKind,
     KeyValue,
     Lease,
-    Lost,
+    OutcomeUnknown,
     Swapped,
     SwapResult,
     Unavailable,
@@ -158,11 +158,11 @@
             return DOWN
         if self.lose_writes > 0:
             self.lose_writes -= 1
-            return Lost("the write was lost")
+            return OutcomeUnknown("the write was lost")
         result = self._apply_if(key, expected_mod_revision, apply)
         if self.lose_answers > 0:
             self.lose_answers -= 1
-            return Lost("the answer was lost")
+            return OutcomeUnknown("the answer was lost")
         return result
 
     def _apply_if(
--- a/tests/fuzz/faults.py
+++ b/tests/fuzz/faults.py
@@ -365,9 +365,9 @@
         (
             Edit(
                 "router/_ending",
-                "    answer = FinalAnswer(Outcome.UNKNOWN,",
+                "    answer = FinalResponse(Outcome.UNKNOWN,",
                 "    _release_key(core, state)\n"
-                "    answer = FinalAnswer(Outcome.UNKNOWN,",
+                "    answer = FinalResponse(Outcome.UNKNOWN,",
             ),
         ),
         REQUESTS,
--- a/tests/fuzz/oracle.py
+++ b/tests/fuzz/oracle.py
@@ -7,7 +7,7 @@
 from simulated_network import WHOLE_ANSWER, Piece
 
 from berylwalk.admission import EntryState
-from berylwalk.model import FinalAnswer, Outcome, RefusalReason, Request, RequestId
+from berylwalk.model import FinalResponse, Outcome, RefusalReason, Request, RequestId
 from berylwalk.wire import Grant
 
 SHED_REASONS = frozenset(
@@ -34,7 +34,7 @@
     requests_by_id: dict[RequestId, Request] = field(default_factory=dict)
     dispatches_by_id: Counter = field(default_factory=Counter)
     dispatches_by_key: Counter = field(default_factory=Counter)
-    answers_by_id: dict[RequestId, FinalAnswer] = field(default_factory=dict)
+    answers_by_id: dict[RequestId, FinalResponse] = field(default_factory=dict)
     relayed_by_id: dict[RequestId, list[Piece]] = field(default_factory=dict)
     refused_by_id: dict[RequestId, set[Incarnation]] = field(default_factory=dict)
     draining: set[Incarnation] = field(default_factory=set)
@@ -79,7 +79,7 @@
             return
         self.refused_by_id.setdefault(request_id, set()).add(agent)
         if reason in SHED_REASONS:
-            rank = self.requests_by_id[request_id].treatment.tier.rank
+            rank = self.requests_by_id[request_id].service_policy.tier.rank
             lower = [e for e in _parked_or_queued(waiting) if e.rank > rank]
             assert not lower, "shed while a lower tier waits"
 
@@ -95,7 +95,7 @@
             assert not higher, "a lower tier had its turn first"
 
     def ended(
-        self, request_id: RequestId, answer: FinalAnswer, reachable: set[Incarnation]
+        self, request_id: RequestId, answer: FinalResponse, reachable: set[Incarnation]
     ) -> None:
         """A router gave the final answer."""
         assert request_id not in self.answers_by_id, "two final answers"
--- a/tests/fuzz/test_fuzz_idempotency.py
+++ b/tests/fuzz/test_fuzz_idempotency.py
@@ -12,12 +12,12 @@
 from berylwalk.model import (
     Request,
     RequestId,
+    ServicePolicy,
     TargetCall,
     TierPolicy,
-    Treatment,
     WorkEstimate,
 )
-from berylwalk.platform import Lost
+from berylwalk.platform import OutcomeUnknown
 from berylwalk.router._idempotency import Claimed, ClaimRefused, IdempotencyRecords
 from berylwalk.router._record_leases import RecordLeases
 from berylwalk.standins.memory import InMemoryKeyValue
@@ -57,7 +57,7 @@
         if self.delay_writes and not self.down:
             self.delay_writes -= 1
             self.late.append((args, kwargs))
-            return Lost("the write is under way")
+            return OutcomeUnknown("the write is under way")
         return await super().compare_and_swap(*args, **kwargs)
 
     async def land_late(self) -> None:
@@ -142,7 +142,7 @@
         self.serial += 1
         return Request(
             request_id=RequestId(router, 1, self.serial),
-            treatment=Treatment("/box", "", TierPolicy("counter", 0)),
+            service_policy=ServicePolicy("/box", "", TierPolicy("counter", 0)),
             call=TargetCall("POST", "/pull", "service:boxes", body=b"{}"),
             estimate=WorkEstimate(),
             arrived_at=self.now,
--- a/tests/fuzz/test_fuzz_orders.py
+++ b/tests/fuzz/test_fuzz_orders.py
@@ -136,7 +136,7 @@
 
 # Waiting between reads of a lost write would take real time.
 @patch(
-    "berylwalk.platform._held_lease.resolve_swap",
+    "berylwalk.platform._leased_lock.resolve_swap",
     partial(resolve_swap, pause=_no_pause),
 )
 @settings(
--- a/tests/fuzz/world.py
+++ b/tests/fuzz/world.py
@@ -19,7 +19,7 @@
 from berylwalk.agent import DrainRequested as AgentDrainRequested
 from berylwalk.agent import RefuseGrant, SendToRouter, StartDispatch
 from berylwalk.agent import Tick as AgentTick
-from berylwalk.model import Request, RequestId, TargetCall, Treatment, WorkEstimate
+from berylwalk.model import Request, RequestId, ServicePolicy, TargetCall, WorkEstimate
 from berylwalk.router import (
     AbandonGrant,
     AgentsListed,
@@ -166,7 +166,7 @@
         arrived_at = self.now + node.clock_offset
         request = Request(
             request_id=RequestId(router, node.incarnation, self.serial),
-            treatment=Treatment(account, "", TIERS[rank]),
+            service_policy=ServicePolicy(account, "", TIERS[rank]),
             call=TargetCall("POST", "/v1/completions", RESOURCE),
             estimate=WorkEstimate(prompt_tokens=20, output_tokens=1 + 10 * rank),
             arrived_at=arrived_at,
--- a/tests/platform/test_platform_clients.py
+++ b/tests/platform/test_platform_clients.py
@@ -8,10 +8,10 @@
 from berylwalk.platform import (
     Conflict,
     EventKind,
-    HeldLease,
     KeyValueClient,
+    LeasedLock,
     LockHeld,
-    Lost,
+    OutcomeUnknown,
     Swapped,
     Unavailable,
     UnavailableReason,
@@ -105,10 +105,10 @@
         setattr(faults, fault, 1)
         lost = await store.compare_and_swap(KEY, b"id-1", 0)
         settled = await resolve_swap(
-            store, KEY, b"id-1", 0, is_ours=lambda kv: kv.value == b"id-1"
+            store, KEY, b"id-1", 0, is_own_write=lambda kv: kv.value == b"id-1"
         )
         current = await store.get(KEY)
-        assert isinstance(lost, Lost)
+        assert isinstance(lost, OutcomeUnknown)
         assert settled == Swapped(current.mod_revision)
         assert current.create_revision == current.mod_revision
 
@@ -119,9 +119,9 @@
         faults.lose_answers = 1
         lost = await store.compare_and_swap(KEY, b"ours", 0)
         settled = await resolve_swap(
-            store, KEY, b"ours", 0, is_ours=lambda kv: kv.value == b"ours"
+            store, KEY, b"ours", 0, is_own_write=lambda kv: kv.value == b"ours"
         )
-        assert isinstance(lost, Lost)
+        assert isinstance(lost, OutcomeUnknown)
         assert isinstance(settled, Conflict)
         assert settled.current.value == b"theirs"
 
@@ -133,7 +133,7 @@
         assert isinstance(await store.get_prefix(b""), Unavailable)
         assert isinstance(await store.keep_alive(1), Unavailable)
         written = await store.compare_and_swap(KEY, b"one", 0)
-        assert isinstance(written, Lost | Unavailable)
+        assert isinstance(written, OutcomeUnknown | Unavailable)
 
     async def test_prefix_is_read_in_order(self, faulty_store):
         """Only the keys of the prefix are read."""
@@ -175,7 +175,8 @@
         assert result.reason is UnavailableReason.NOT_SENT
 
     @pytest.mark.parametrize(
-        ("status", "expected"), [(500, Lost), (503, Unavailable), (429, Unavailable)]
+        ("status", "expected"),
+        [(500, OutcomeUnknown), (503, Unavailable), (429, Unavailable)],
     )
     async def test_error_after_the_call_was_taken_up_is_not_a_no(
         self, status, expected
@@ -216,10 +217,10 @@
         """A second owner waits for the first, and gets a higher number."""
         async with running_platform() as (standin, store):
             standin.faults.lose_answers = 1
-            first = await HeldLease.acquire(store, KEY, owner="a", ttl_s=60)
-            refused = await HeldLease.acquire(store, KEY, owner="b", ttl_s=60)
+            first = await LeasedLock.acquire(store, KEY, owner="a", ttl_s=60)
+            refused = await LeasedLock.acquire(store, KEY, owner="b", ttl_s=60)
             await first.release()
-            second = await HeldLease.acquire(store, KEY, owner="b", ttl_s=60)
+            second = await LeasedLock.acquire(store, KEY, owner="b", ttl_s=60)
         assert isinstance(refused, LockHeld)
         assert refused.holder.value.startswith(b"a ")
         assert second.fencing > first.fencing
--- a/tests/platform/test_platform_formats.py
+++ b/tests/platform/test_platform_formats.py
@@ -16,18 +16,18 @@
     Work,
 )
 from berylwalk.platform import (
-    BadHeaders,
     EntryProblem,
+    InvalidHeaders,
     KeyValue,
     UnusableEntry,
     decode_configuration,
     decode_target,
     decode_vm_settings,
-    for_target,
-    read_call,
+    headers_for_target,
+    headers_to_resume,
+    is_not_executed,
+    parse_request_headers,
     refusal_headers,
-    resuming_after,
-    says_not_run,
 )
 from berylwalk.platform._store_messages import decode_items, decode_range
 
@@ -315,9 +315,13 @@
 
     def test_facts_of_a_call(self):
         """Sizes, key and time limit."""
-        facts = read_call(CALL)
-        assert (facts.request_id, facts.key, facts.time_limit_s) == (b"a1", "k1", 1.5)
-        assert facts.tokens == 1540
+        facts = parse_request_headers(CALL)
+        assert (facts.request_id, facts.api_key, facts.time_limit_s) == (
+            b"a1",
+            "k1",
+            1.5,
+        )
+        assert facts.total_tokens == 1540
         assert facts.work == Work(1460, 80, SharedPrefix(PARTS_HASH, 1210))
         assert facts.prefix_problem == ""
 
@@ -332,7 +336,7 @@
     )
     def test_shared_parts_of_a_prompt(self, value, tokens):
         """All but the last one, which is the request's own, unless it is alone."""
-        facts = read_call([*NO_PARTS, (b"Prompt-Prefix", value)])
+        facts = parse_request_headers([*NO_PARTS, (b"Prompt-Prefix", value)])
         assert facts.work.shared_prefix.tokens == tokens
         assert facts.prefix_problem == ""
 
@@ -340,7 +344,9 @@
         """Whatever the request's own part is; other parts have another one."""
 
         def prefix_of(value):
-            return read_call([*NO_PARTS, (b"Prompt-Prefix", value)]).work.shared_prefix
+            return parse_request_headers(
+                [*NO_PARTS, (b"Prompt-Prefix", value)]
+            ).work.shared_prefix
 
         assert prefix_of(b"a:60,b:600,x:9") == prefix_of(b"a:60,b:600,y:5")
         assert prefix_of(b"a:60,b:600,x:9").key != prefix_of(b"a:60,c:600,x:9").key
@@ -360,13 +366,13 @@
     )
     def test_parts_that_make_no_sense_are_told_and_passed_over(self, value):
         """The request is placed without regard to them: its target judges them."""
-        facts = read_call([*NO_PARTS, (b"Prompt-Prefix", value)])
+        facts = parse_request_headers([*NO_PARTS, (b"Prompt-Prefix", value)])
         assert facts.work == Work(1460, 80)
         assert facts.prefix_problem
 
     def test_request_without_parts_shares_none(self):
         """Most plain calls."""
-        facts = read_call(NO_PARTS)
+        facts = parse_request_headers(NO_PARTS)
         assert facts.work == Work(1460, 80)
         assert facts.prefix_problem == ""
 
@@ -382,11 +388,11 @@
     )
     def test_senseless_headers(self, header):
         """They are refused rather than guessed at."""
-        assert isinstance(read_call([*CALL, header]), BadHeaders)
+        assert isinstance(parse_request_headers([*CALL, header]), InvalidHeaders)
 
     def test_two_keys_are_none(self):
         """It is not for the router to choose one."""
-        assert read_call([*CALL, (b"x-api-key", b"k2")]).key is None
+        assert parse_request_headers([*CALL, (b"x-api-key", b"k2")]).key is None
 
     def test_callers_cannot_set_what_the_system_sets(self):
         """Forged headers don't reach a target; the key stays here."""
@@ -402,7 +408,9 @@
                 b"Expect-Instance",
             )
         ]
-        sent = for_target([*CALL, *forged], target_id="i-1", account="t1", left_s=0.25)
+        sent = headers_for_target(
+            [*CALL, *forged], target_id="i-1", account="t1", remaining_s=0.25
+        )
         values = {name.lower(): value for name, value in sent}
         assert b"forged" not in values.values()
         assert b"x-api-key" not in values
@@ -412,7 +420,7 @@
 
     def test_resuming_replaces_the_callers_own_event(self):
         """A stream goes on after the last event that was passed on."""
-        resumed = resuming_after([(b"last-event-id", b"3")], 12)
+        resumed = headers_to_resume([(b"last-event-id", b"3")], 12)
         assert resumed == [(b"Last-Event-Id", b"12")]
 
     @pytest.mark.parametrize(
@@ -426,7 +434,7 @@
     )
     def test_only_a_statement_counts_as_not_run(self, status, headers, not_run):
         """Any other answer may follow a run."""
-        assert says_not_run(status, headers) is not_run
+        assert is_not_executed(status, headers) is not_run
 
     def test_refusal_tells_when_to_return(self):
         """Seconds with fractions."""
--- a/tests/platform/test_platform_held_lease.py
+++ b/tests/platform/test_platform_held_lease.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from berylwalk.platform import HeldLease, Lost, Swapped, resolve_swap
+from berylwalk.platform import LeasedLock, OutcomeUnknown, Swapped, resolve_swap
 from berylwalk.standins.memory import InMemoryKeyValue
 
 KEY = b"orders/target-1"
@@ -36,7 +36,7 @@
 
 async def acquire(store, clock, owner="a"):
     """Take the lock."""
-    return await HeldLease.acquire(
+    return await LeasedLock.acquire(
         store, KEY, owner=owner, ttl_s=TTL_S, margin_s=MARGIN_S, clock=clock
     )
 
@@ -92,11 +92,11 @@
         store.lose_answers = 1
         first = await store.compare_and_swap(KEY, b"ours", 0)
         store.down = True
-        settle = {"is_ours": lambda kv: kv.value == b"ours", "pause": pause}
+        settle = {"is_own_write": lambda kv: kv.value == b"ours", "pause": pause}
         during = await resolve_swap(store, KEY, b"ours", 0, attempts=3, **settle)
         store.down = False
         after = await resolve_swap(store, KEY, b"ours", 0, **settle)
-        assert isinstance(first, Lost)
-        assert isinstance(during, Lost)
+        assert isinstance(first, OutcomeUnknown)
+        assert isinstance(during, OutcomeUnknown)
         assert len(pauses) == 3
         assert isinstance(after, Swapped)
--- a/tests/platform/test_platform_target_statements.py
+++ b/tests/platform/test_platform_target_statements.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from berylwalk.platform import read_statement
+from berylwalk.platform import parse_target_headers
 
 DATE = "Thu, 03 Dec 2026 08:00:00 GMT"
 DATE_S = 1796284800.0
@@ -11,7 +11,7 @@
 def read(*headers, status=200):
     """Return what an answer with some headers states."""
     encoded = [(name.encode(), value.encode()) for name, value in headers]
-    return read_statement(status, encoded, wall_clock=lambda: DATE_S)
+    return parse_target_headers(status, encoded, wall_clock=lambda: DATE_S)
 
 
 class TestLimit:
