--- a/tests/platform/test_platform_formats.py
+++ b/tests/platform/test_platform_formats.py
@@ -392,7 +392,7 @@
 
     def test_two_keys_are_none(self):
         """It is not for the router to choose one."""
-        assert parse_request_headers([*CALL, (b"x-api-key", b"k2")]).key is None
+        assert parse_request_headers([*CALL, (b"x-api-key", b"k2")]).api_key is None
 
     def test_callers_cannot_set_what_the_system_sets(self):
         """Forged headers don't reach a target; the key stays here."""
