--- a/libs/direct/src/berylwalk/direct/__main__.py
+++ b/libs/direct/src/berylwalk/direct/__main__.py
@@ -21,7 +21,7 @@
 
             async def reload() -> None:
                 async for _ in reloads:
-                    router.note_reload()
+                    router.log_reload()
 
             tasks.start_soon(reload)
             await router.run(stops)
--- a/libs/direct/src/berylwalk/direct/_admission.py
+++ b/libs/direct/src/berylwalk/direct/_admission.py
@@ -11,7 +11,7 @@
 
 TIMEOUT_MARGIN_S = 0.03
 """Time before the end of a caller's limit at which an answer is sent."""
-HELD_BACK = "targets-ended-under-it"
+QUARANTINED = "targets-ended-under-it"
 """Reason, in logs and metrics, for a request that is held back."""
 RETRY_AFTER_UNREADY_S = 1.0
 """When a request should come back that came while no configuration may be used."""
@@ -43,7 +43,7 @@
         What it has in common with its returns.
     is_trial : bool
         Whether it is held back unless a trial is permitted.
-    spent : Spent or None
+    charge : Spent or None
         The allowance that its cost was taken from; None where there is no limit.
     """
 
@@ -57,7 +57,7 @@
     ends_at: float
     identity: Identity
     is_trial: bool = False
-    spent: "Spent | None" = None
+    charge: "Spent | None" = None
 
     @property
     def request_id(self) -> bytes:
@@ -84,7 +84,7 @@
         When it may come back, in seconds.
     request_id : bytes
         Empty if the request has none.
-    spent : Spent or None
+    charge : Spent or None
         The allowance that does not suffice, if that is why.
     identity : bytes or None
         Of a request that is held back for the targets that ended under it.
@@ -94,12 +94,12 @@
     reason: str
     retry_after_s: float | None
     request_id: bytes
-    spent: "Spent | None" = None
+    charge: "Spent | None" = None
     identity: Identity | None = None
 
 
 @dataclass(frozen=True, slots=True)
-class Spent:
+class Charge:
     """A request and the allowance that pays for it, or that does not suffice.
 
     Parameters
@@ -134,7 +134,7 @@
     admitted = _admitted(request, facts, access)
     match context.quarantine.standing(admitted.identity, context.clock()):
         case Standing.BLAMED:
-            return held_back(context, admitted)
+            return quarantine_refusal(context, admitted)
         case Standing.TRIAL:
             admitted = replace(admitted, is_trial=True)
     if admitted.account is None:
@@ -142,13 +142,13 @@
     account, route, cost = admitted.account, admitted.route, admitted.cost
     wait_s = context.allowances.take(account, cost, route.priority, now)
     state = context.allowances.state(account, now)
-    spent = Spent(account.name, route, cost, state)
+    charge = Charge(account.name, route, cost, state)
     if wait_s > 0:
-        return Refusal(429, "allowance-spent", wait_s, facts.request_id, spent)
-    return replace(admitted, spent=spent) if account.rate_per_s > 0 else admitted
+        return Refusal(429, "allowance-spent", wait_s, facts.request_id, charge)
+    return replace(admitted, charge=charge) if account.rate_per_s > 0 else admitted
 
 
-def held_back(context: RouterContext, admitted: Admitted) -> Refusal:
+def quarantine_refusal(context: RouterContext, admitted: Admitted) -> Refusal:
     """Return the refusal of a request under which targets ended.
 
     It has not run and never will under this id. A status by which clients don't come
@@ -158,7 +158,7 @@
     retry_after_s = context.quarantine.retry_after_s(admitted.identity, now)
     return Refusal(
         503,
-        HELD_BACK,
+        QUARANTINED,
         retry_after_s,
         admitted.request_id,
         identity=admitted.identity,
--- a/libs/direct/src/berylwalk/direct/_attempt.py
+++ b/libs/direct/src/berylwalk/direct/_attempt.py
@@ -4,13 +4,13 @@
 
 from anyio import Event as Signal
 
-from berylwalk.direct._relay import Relay
+from berylwalk.direct._response_writer import ResponseWriter
 from berylwalk.dispatch import NOTHING_STATED, AttemptEnd, TargetStatement
 from berylwalk.forwarding import AnswerEnd, EventSplitter, Headers, header_value
 from berylwalk.platform import REQUEST_ID_HEADER, read_statement, says_not_run
 
 MAX_BUFFERED_BYTES = 8 * 1024 * 1024
-EVENTS_TOLD = 8
+SPEED_REPORT_EVENTS = 8
 """Events of a stream after which its speed is told: a slow target shows within a
 second or less, and not only at the end of a long answer."""
 EVENT_STREAM = b"text/event-stream"
@@ -45,7 +45,7 @@
         Set at the end.
     end : AttemptEnd or None
         How it ended.
-    by_target : bool
+    target_unreachable : bool
         Whether it was given up since the target seems not to be there.
     target_ended : bool
         Whether the target seems to have ended while it ran the request.
@@ -53,7 +53,7 @@
 
     def __init__(
         self,
-        relay: Relay,
+        relay: ResponseWriter,
         *,
         request_id: bytes,
         expects_stream: bool,
@@ -62,15 +62,15 @@
         on_output: Callable[[int, float], None],
         on_statement: Callable[[TargetStatement, int], None],
     ) -> None:
-        self._relay = relay
+        self._response_writer = relay
         self._request_id = request_id
         self._expects_stream = expects_stream
         self._clock = clock
         self._on_first_event = on_first_event
         self._on_output = on_output
         self._on_statement = on_statement
-        self._events_told = 0
-        self._told_at = 0.0
+        self._events_reported = 0
+        self._reported_at = 0.0
         self._splitter: EventSplitter | None = None
         self._body: list[bytes] = []
         self._body_bytes = 0
@@ -80,7 +80,7 @@
         self.done = Signal()
         self.end: AttemptEnd | None = None
         self.detail = ""
-        self.by_target = False
+        self.target_unreachable = False
         self.target_ended = False
         self.events = 0
         self.longest_pause_s = 0.0
@@ -132,20 +132,20 @@
             self.longest_pause_s = max(self.longest_pause_s, now - self.last_event_at)
         self.last_event_at = now
         if self.first_event_at is None:
-            self.first_event_at = self._told_at = now
-            self._events_told = len(events)
+            self.first_event_at = self._reported_at = now
+            self._events_reported = len(events)
             self._on_first_event()
         self.events += len(events)
-        if self.events - self._events_told >= EVENTS_TOLD:
-            self._tell_output(now)
-        self._relay.pass_on(self.status, self.headers, events)
+        if self.events - self._events_reported >= SPEED_REPORT_EVENTS:
+            self._report_output(now)
+        self._response_writer.write_events(self.status, self.headers, events)
 
-    def _tell_output(self, now: float) -> None:
-        events = self.events - self._events_told
+    def _report_output(self, now: float) -> None:
+        events = self.events - self._events_reported
         if events > 0:
-            self._on_output(events, now - self._told_at)
-        self._events_told = self.events
-        self._told_at = now
+            self._on_output(events, now - self._reported_at)
+        self._events_reported = self.events
+        self._reported_at = now
 
     def on_end(self, end: AnswerEnd, detail: str) -> None:
         """Take the end of the answer."""
@@ -159,23 +159,25 @@
                 self._finish(AttemptEnd.BROKEN, "the last event is not whole")
             else:
                 if self.last_event_at is not None:
-                    self._tell_output(self.last_event_at)
+                    self._report_output(self.last_event_at)
                 self._finish(AttemptEnd.ANSWERED, "")
         else:
-            self._finish(*self._judge_whole_answer())
+            self._finish(*self._classify_answer())
 
-    def note_whole_answer(self) -> None:
+    def record_buffered_answer(self) -> None:
         """Count an answer that is no stream as its own first event."""
         self.first_event_at = self._clock()
         self._on_first_event()
 
-    def note_target_ended(self, detail: str) -> None:
+    def abort_target_ended(self, detail: str) -> None:
         """End it, for the target has ended."""
         if self.end is None:
             self.target_ended = True
             self._finish(AttemptEnd.BROKEN, detail)
 
-    def give_up(self, end: AttemptEnd, detail: str, *, by_target: bool = False) -> None:
+    def abandon(
+        self, end: AttemptEnd, detail: str, *, target_unreachable: bool = False
+    ) -> None:
         """End it without waiting for the target.
 
         Parameters
@@ -184,13 +186,13 @@
             How it ends.
         detail : str
             Why, for logs.
-        by_target : bool
+        target_unreachable : bool
             Whether the target seems not to be there.
         """
-        self.by_target = by_target
+        self.target_unreachable = target_unreachable
         self._finish(end, detail)
 
-    def _judge_whole_answer(self) -> tuple[AttemptEnd, str]:
+    def _classify_answer(self) -> tuple[AttemptEnd, str]:
         if says_not_run(self.status, self.headers):
             return AttemptEnd.REFUSED, f"status {self.status}"
         if self.status >= 500:
--- a/libs/direct/src/berylwalk/direct/_lesson.py
+++ b/libs/direct/src/berylwalk/direct/_attempt_feedback.py
@@ -6,16 +6,16 @@
 from berylwalk.direct._exchange_log import ExchangeLog
 from berylwalk.dispatch import AttemptEnd, Target, TargetState
 
-FULL_PAUSE_S = 0.1
+FULL_BACKOFF_S = 0.1
 """Time for which a target that refused work gets none."""
 
-TURNED_AWAY = 429
+STATUS_TOO_MANY_REQUESTS = 429
 """Status by which a target says that this caller asks too much."""
-MISDIRECTED = 421
+STATUS_MISDIRECTED_REQUEST = 421
 """Status by which a target says that it is not the life that is meant."""
 
 
-class Lesson:
+class AttemptFeedback:
     """Learns from one send; made when it begins.
 
     Parameters
@@ -34,22 +34,22 @@
         self._context = context
         self._admitted = admitted
         self._log = log
-        self._began_at = context.clock()
+        self._started_at = context.clock()
         self._suspended_before_s = context.suspension.total_s
 
-    def note_alive(self, target: Target) -> None:
+    def record_alive(self, target: Target) -> None:
         """Note that the target has answered: it had not ended when this began."""
         context = self._context
         life_id = target.entry.life_id
-        context.quarantine.note_alive(life_id, self._began_at, context.clock())
+        context.quarantine.record_alive(life_id, self._started_at, context.clock())
 
-    def taken_s(self, since: float) -> float:
+    def elapsed_s(self, since: float) -> float:
         """Return the time since a moment, in seconds; not that of a suspension."""
         self._context.note_suspension()
         suspended_s = self._context.suspension.total_s - self._suspended_before_s
         return max(0.0, self._context.clock() - since - suspended_s)
 
-    def take(self, target: Target, attempt: Attempt, sent_at: float) -> None:
+    def record(self, target: Target, attempt: Attempt, sent_at: float) -> None:
         """Learn from the end of the send.
 
         Parameters
@@ -61,38 +61,38 @@
         sent_at : float
             When it was sent, on the clock of the loop.
         """
-        self._learn_of_ends(target, attempt)
+        self._record_in_quarantine(target, attempt)
         now = self._context.clock()
-        if attempt.by_target:
+        if attempt.target_unreachable:
             target.note_unreachable(now)
         match attempt.end:
             case AttemptEnd.ANSWERED:
                 target.note_success()
-                self._learn_speed(target, attempt, sent_at)
+                self._record_timing(target, attempt, sent_at)
             case AttemptEnd.BROKEN:
                 target.note_error()
                 if attempt.status == 0:
                     target.note_unreachable(now)
             case AttemptEnd.FAILED:
                 target.note_error()
-            case AttemptEnd.REFUSED if attempt.status == MISDIRECTED:
+            case AttemptEnd.REFUSED if attempt.status == STATUS_MISDIRECTED_REQUEST:
                 target.note_replaced()
             case AttemptEnd.REFUSED:
-                target.note_full(now, FULL_PAUSE_S)
+                target.note_full(now, FULL_BACKOFF_S)
 
-    def _learn_of_ends(self, target: Target, attempt: Attempt) -> None:
+    def _record_in_quarantine(self, target: Target, attempt: Attempt) -> None:
         """Note whether the target ended under the request, or outlived it."""
         quarantine, now = self._context.quarantine, self._context.clock()
         identity = self._admitted.identity
-        if attempt.target_ended and self._was_in_use(target):
+        if attempt.target_ended and self._was_active(target):
             if quarantine.note_ended(identity, target.entry.life_id, now):
-                self._log.tell_target_ended(self._admitted, target)
+                self._log.log_target_ended(self._admitted, target)
         elif attempt.end in (AttemptEnd.ANSWERED, AttemptEnd.FAILED):
-            self.note_alive(target)
+            self.record_alive(target)
             if quarantine.note_answered(identity, now):
-                self._log.tell_cleared(self._admitted, target)
+                self._log.log_cleared(self._admitted, target)
 
-    def _was_in_use(self, target: Target) -> bool:
+    def _was_active(self, target: Target) -> bool:
         """Return whether a target has not said that it leaves, nor has left.
 
         One that leaves ends by itself while it still has requests. One that is listed
@@ -101,14 +101,14 @@
         is_listed = target.entry.target_id in self._context.targets.by_id
         return is_listed and target.entry.state is TargetState.READY
 
-    def _learn_speed(self, target: Target, attempt: Attempt, sent_at: float) -> None:
+    def _record_timing(self, target: Target, attempt: Attempt, sent_at: float) -> None:
         if not attempt.is_stream:
-            attempt.note_whole_answer()
-            target.note_slot_time(self.taken_s(sent_at))
+            attempt.record_buffered_answer()
+            target.note_slot_time(self.elapsed_s(sent_at))
             return
         started_at = attempt.first_event_at
         if started_at is None:
             return
-        target.note_slot_time(self.taken_s(started_at))
+        target.note_slot_time(self.elapsed_s(started_at))
         longest_s = self._admitted.route.longest_pause_s
         target.note_paused(attempt.longest_pause_s > longest_s > 0)
--- a/libs/direct/src/berylwalk/direct/_sending.py
+++ b/libs/direct/src/berylwalk/direct/_attempt_runner.py
@@ -4,12 +4,16 @@
 
 from berylwalk.direct._admission import Admitted
 from berylwalk.direct._attempt import Attempt
+from berylwalk.direct._attempt_feedback import (
+    STATUS_MISDIRECTED_REQUEST,
+    STATUS_TOO_MANY_REQUESTS,
+    AttemptFeedback,
+)
 from berylwalk.direct._context import RouterContext
 from berylwalk.direct._exchange_log import ExchangeLog
-from berylwalk.direct._lesson import MISDIRECTED, TURNED_AWAY, Lesson
-from berylwalk.direct._relay import Relay
-from berylwalk.direct._statements import take_statement
-from berylwalk.direct._version_watch import VersionWatch
+from berylwalk.direct._response_writer import ResponseWriter
+from berylwalk.direct._statements import apply_statement
+from berylwalk.direct._version_observer import VersionObserver
 from berylwalk.dispatch import (
     AttemptEnd,
     Attempts,
@@ -23,16 +27,16 @@
 from berylwalk.forwarding import TargetConnection, end_to_end, request_head
 from berylwalk.platform import for_target, resuming_after
 
-CHECK_S = 0.25
+PROGRESS_CHECK_INTERVAL_S = 0.25
 """Time between two looks at an attempt that brings nothing."""
-LONGEST_PAUSE_FACTOR = 2.0
+SILENT_PAUSE_FACTOR = 2.0
 """Pauses of a stream, as a multiple of the longest one on time, after which a
 target that is silent to all is taken for dark."""
-WHOLE_ENDS = (AttemptEnd.ANSWERED, AttemptEnd.REFUSED, AttemptEnd.FAILED)
+REUSABLE_ENDS = (AttemptEnd.ANSWERED, AttemptEnd.REFUSED, AttemptEnd.FAILED)
 """Ends after which the connection to the target may be used again."""
 
 
-class Sending:
+class AttemptRunner:
     """Makes the attempts of one request.
 
     Parameters
@@ -54,24 +58,24 @@
         context: RouterContext,
         admitted: Admitted,
         *,
-        relay: Relay,
+        relay: ResponseWriter,
         attempts: Attempts,
         log: ExchangeLog,
     ) -> None:
         self._context = context
         self._admitted = admitted
-        self._relay = relay
+        self._response_writer = relay
         self._attempts = attempts
         self._log = log
-        self._lesson = Lesson(context, admitted, log)
-        self._version_watch: VersionWatch | None = None
+        self._attempt_feedback = AttemptFeedback(context, admitted, log)
+        self._version_observer: VersionObserver | None = None
 
     async def send(self, target: Target) -> Attempt:
         """Send it to a target at which it is counted, until the attempt ends."""
         context = self._context
         context.on_placed(target)
         sent_at = context.clock()
-        self._lesson = Lesson(context, self._admitted, self._log)
+        self._attempt_feedback = AttemptFeedback(context, self._admitted, self._log)
         attempt = self._attempt(target, sent_at)
         connection = None
         try:
@@ -79,15 +83,17 @@
             if connection is None:
                 connection = await context.pool.open(target.entry)
             if connection is None:
-                attempt.give_up(AttemptEnd.NOT_SENT, "no connection", by_target=True)
-            elif not self._may_still_send(target):
-                attempt.give_up(AttemptEnd.NOT_SENT, "no longer allowed")
+                attempt.abandon(
+                    AttemptEnd.NOT_SENT, "no connection", target_unreachable=True
+                )
+            elif not self._is_still_allowed(target):
+                attempt.abandon(AttemptEnd.NOT_SENT, "no longer allowed")
             else:
                 await self._transfer(target, connection, attempt)
         finally:
             if connection is not None:
                 self._end_connection(target, connection, attempt)
-            self._note_end(target, attempt, sent_at)
+            self._record_end(target, attempt, sent_at)
         return attempt
 
     def _attempt(self, target: Target, sent_at: float) -> Attempt:
@@ -97,28 +103,30 @@
         held_tokens = prefix_reads.held_tokens(work).get(life_id, 0)
         start = expected_start(target, work, held_tokens=held_tokens)
         prefix_reads.note_sent(work, life_id)
-        self._log.tell_placed(self._admitted, target, start)
-        self._watch_version(target, start)
+        self._log.log_placed(self._admitted, target, start)
+        self._observe_version(target, start)
 
         def on_first_event() -> None:
-            target.note_first_event(work, start, self._lesson.taken_s(sent_at))
-            self._lesson.note_alive(target)
+            target.note_first_event(
+                work, start, self._attempt_feedback.elapsed_s(sent_at)
+            )
+            self._attempt_feedback.record_alive(target)
 
-        def on_output(events: int, taken_s: float) -> None:
+        def on_output(events: int, elapsed_s: float) -> None:
             tokens = self._tokens_per_event() * events
-            target.note_output(tokens, events, taken_s)
+            target.note_output(tokens, events, elapsed_s)
 
         def on_statement(statement: TargetStatement, status: int) -> None:
-            if status != MISDIRECTED:
+            if status != STATUS_MISDIRECTED_REQUEST:
                 # What another life at this address states is not said of this one.
-                self._log.tell_statement(self._admitted, target, statement)
-                take_statement(self._context, target, statement, sent_at)
-                if status < 500 and status != TURNED_AWAY:
+                self._log.log_statement(self._admitted, target, statement)
+                apply_statement(self._context, target, statement, sent_at)
+                if status < 500 and status != STATUS_TOO_MANY_REQUESTS:
                     slots = target.entry.slots
                     target.needs.rest.note_taken(slots, sent_at=sent_at)
 
         return Attempt(
-            self._relay,
+            self._response_writer,
             request_id=self._admitted.request_id,
             expects_stream=self._admitted.route.kind is RouteKind.STREAMING,
             clock=self._context.clock,
@@ -127,14 +135,14 @@
             on_statement=on_statement,
         )
 
-    def _watch_version(self, target: Target, start: ExpectedStart) -> None:
+    def _observe_version(self, target: Target, start: ExpectedStart) -> None:
         """Note the send for the judgement of versions, while one is not proved."""
         context, admitted = self._context, self._admitted
-        self._version_watch = None
+        self._version_observer = None
         if context.rollouts.is_watched(admitted.service):
-            self._version_watch = VersionWatch(context, admitted, target, start)
+            self._version_observer = VersionObserver(context, admitted, target, start)
 
-    def _may_still_send(self, target: Target) -> bool:
+    def _is_still_allowed(self, target: Target) -> bool:
         """Return whether the wait has not made the request's sending wrong."""
         configuration = self._context.configuration
         is_keyed = self._admitted.account is not None
@@ -161,37 +169,43 @@
                 connection.pause()
 
         def on_life_ended() -> None:
-            attempt.note_target_ended("the target started again")
+            attempt.abort_target_ended("the target started again")
 
-        self._relay.when_writable(on_writable)
-        connection.send(self._encoded(target), self._admitted.request_id, attempt)
+        self._response_writer.set_on_writable(on_writable)
+        connection.send(
+            self._encode_request(target), self._admitted.request_id, attempt
+        )
         target.on_life_ended.add(on_life_ended)
         try:
-            await self._until_ended(target, attempt)
+            await self._wait_for_end(target, attempt)
         finally:
             target.on_life_ended.discard(on_life_ended)
 
-    async def _until_ended(self, target: Target, attempt: Attempt) -> None:
+    async def _wait_for_end(self, target: Target, attempt: Attempt) -> None:
         clock, ends_at = self._context.clock, self._admitted.ends_at
         sent_at = clock()
         while attempt.end is None:
             self._context.note_suspension()
             now = clock()
             if now >= ends_at:
-                attempt.give_up(AttemptEnd.SILENT, "timeout")
-            elif self._seems_dark(target, attempt, now):
-                attempt.give_up(AttemptEnd.SILENT, "target is silent", by_target=True)
+                attempt.abandon(AttemptEnd.SILENT, "timeout")
+            elif self._seems_unreachable(target, attempt, now):
+                attempt.abandon(
+                    AttemptEnd.SILENT, "target is silent", target_unreachable=True
+                )
             else:
-                if self._version_watch is not None:
-                    self._version_watch.look(attempt, self._lesson.taken_s(sent_at))
-                with move_on_after(min(CHECK_S, ends_at - now)):
+                if self._version_observer is not None:
+                    self._version_observer.check_progress(
+                        attempt, self._attempt_feedback.elapsed_s(sent_at)
+                    )
+                with move_on_after(min(PROGRESS_CHECK_INTERVAL_S, ends_at - now)):
                     await attempt.done.wait()
 
-    def _encoded(self, target: Target) -> bytes:
+    def _encode_request(self, target: Target) -> bytes:
         request = self._admitted.request
         headers = end_to_end(request.headers)
-        if self._relay.last_event_id > self._admitted.facts.last_event_id:
-            headers = resuming_after(headers, self._relay.last_event_id)
+        if self._response_writer.last_event_id > self._admitted.facts.last_event_id:
+            headers = resuming_after(headers, self._response_writer.last_event_id)
         headers = for_target(
             headers,
             target_id=target.entry.target_id,
@@ -202,7 +216,7 @@
             headers.append((b"Content-Length", b"%d" % len(request.body)))
         return request_head(request.method, request.target, headers) + request.body
 
-    def _seems_dark(self, target: Target, attempt: Attempt, now: float) -> bool:
+    def _seems_unreachable(self, target: Target, attempt: Attempt, now: float) -> bool:
         """Return whether to go on elsewhere; only where that is allowed."""
         route = self._admitted.route
         if not route.repeatable or not target.is_silent(now):
@@ -211,29 +225,31 @@
             return False
         if attempt.last_event_at is None:
             return True
-        longest_s = LONGEST_PAUSE_FACTOR * max(route.longest_pause_s, CHECK_S)
+        longest_s = SILENT_PAUSE_FACTOR * max(
+            route.longest_pause_s, PROGRESS_CHECK_INTERVAL_S
+        )
         return now - attempt.last_event_at > longest_s
 
     def _end_connection(
         self, target: Target, connection: TargetConnection, attempt: Attempt
     ) -> None:
-        self._relay.when_writable(None)
-        if attempt.end in WHOLE_ENDS:
+        self._response_writer.set_on_writable(None)
+        if attempt.end in REUSABLE_ENDS:
             self._context.pool.give_back(target.entry.life_id, connection)
         else:
             # By this the target stops working on the request.
             connection.close()
 
-    def _note_end(self, target: Target, attempt: Attempt, sent_at: float) -> None:
+    def _record_end(self, target: Target, attempt: Attempt, sent_at: float) -> None:
         context, admitted = self._context, self._admitted
-        self._lesson.take(target, attempt, sent_at)
-        if self._version_watch is not None:
-            taken_s = self._lesson.taken_s(sent_at)
-            self._version_watch.take(attempt, taken_s, self._tokens_per_event())
+        self._attempt_feedback.record(target, attempt, sent_at)
+        if self._version_observer is not None:
+            elapsed_s = self._attempt_feedback.elapsed_s(sent_at)
+            self._version_observer.record(attempt, elapsed_s, self._tokens_per_event())
         if attempt.end is not None:
             self._attempts.note(attempt.end)
             context.metrics.attempts.labels(admitted.service, attempt.end).inc()
-        self._log.note_attempt(target, attempt, sent_at)
+        self._log.record_attempt(target, attempt, sent_at)
         target.note_left(
             admitted.facts.work, had_first_event=attempt.first_event_at is not None
         )
--- a/libs/direct/src/berylwalk/direct/_configuration_feed.py
+++ b/libs/direct/src/berylwalk/direct/_configuration_feed.py
@@ -5,17 +5,17 @@
 """
 
 from berylwalk.direct._context import RouterContext
-from berylwalk.direct._entry_findings import EntryFindings
+from berylwalk.direct._invalid_items import InvalidItemLog
 from berylwalk.direct._mirrored_prefix import (
-    SENDING_S,
-    SHORTEST_HOLD_S,
-    TELLING_S,
+    MIN_WATCH_HOLD_S,
+    PEER_PROPAGATION_S,
+    SEND_LATENCY_S,
     MirroredPrefix,
     MirrorRules,
-    ReadingRole,
-    lean_s,
+    ReadRole,
+    peer_data_max_age_s,
 )
-from berylwalk.direct._store_reach import StoreReach
+from berylwalk.direct._store_health import StoreHealth
 from berylwalk.platform import (
     CONFIGURATION_KEY,
     FORMAT_ERRORS,
@@ -29,12 +29,12 @@
 )
 from berylwalk.rollout import Order
 
-LONGEST_CONFIRM_S = 1.9
+MAX_CONFIRM_INTERVAL_S = 1.9
 """Time between confirming reads: two may fail before keys are no longer trusted, and
 one before this router asks for no new callers."""
-ABSENT_S = 0.15
+ABSENT_READ_INTERVAL_S = 0.15
 """Time between reads while there is no configuration yet."""
-OLDEST_S = 2.9
+TARGET_MAX_AGE_S = 2.9
 """Age that it should never have while the store is well: this router would ask for no
 new callers soon after."""
 
@@ -48,7 +48,7 @@
         The router's state.
     store : KeyValueClient
         The platform's store.
-    reach : StoreReach
+    store_health : StoreReach
         Notes how calls end.
     role : ReadingRole
         Whether this router reads the store for itself only.
@@ -63,36 +63,36 @@
         self,
         context: RouterContext,
         store: KeyValueClient,
-        reach: StoreReach,
-        role: ReadingRole,
+        store_health: StoreHealth,
+        role: ReadRole,
     ) -> None:
         self._context = context
         self._role = role
         bound_s = context.settings.configuration_s
-        self._confirm_s = min(
-            LONGEST_CONFIRM_S, max(SHORTEST_HOLD_S, bound_s - SENDING_S)
+        self._confirm_interval_s = min(
+            MAX_CONFIRM_INTERVAL_S, max(MIN_WATCH_HOLD_S, bound_s - SEND_LATENCY_S)
         )
-        self._lean_s = lean_s(min(bound_s, OLDEST_S))
-        self._revision_in_force = 0
-        self._findings = EntryFindings(context, "configuration-invalid")
-        self._order_findings = EntryFindings(context, "rollout-order-invalid")
+        self._peer_data_max_age_s = peer_data_max_age_s(min(bound_s, TARGET_MAX_AGE_S))
+        self._active_revision = 0
+        self._invalid_items = InvalidItemLog(context, "configuration-invalid")
+        self._invalid_orders = InvalidItemLog(context, "rollout-order-invalid")
         self._order_revisions: dict[bytes, int] = {}
         rules = MirrorRules(
             prefix=OPERATORS_PREFIX,
             name="configuration",
             list_gap_s=self._list_gap_s,
-            lean_s=self._lean_s,
+            peer_data_max_age_s=self._peer_data_max_age_s,
             is_probe=True,
             is_steady=True,
         )
         self.mirror = MirroredPrefix(
             store,
-            reach,
+            store_health,
             rules,
             clock=context.clock,
-            on_list=self._take_read,
-            on_changes=self._take_changes,
-            on_known=self._take_known,
+            on_list=self._apply_list,
+            on_changes=self._apply_changes,
+            on_known=self._apply_known,
             role=role,
         )
 
@@ -102,39 +102,47 @@
 
     def _list_gap_s(self) -> float:
         if self._context.configuration.current is None:
-            return ABSENT_S
-        if self._role.reads_for_others():
-            return max(SHORTEST_HOLD_S, min(self._confirm_s, self._lean_s) - TELLING_S)
-        return self._confirm_s
+            return ABSENT_READ_INTERVAL_S
+        if self._role.serves_peers():
+            return max(
+                MIN_WATCH_HOLD_S,
+                min(self._confirm_interval_s, self._peer_data_max_age_s)
+                - PEER_PROPAGATION_S,
+            )
+        return self._confirm_interval_s
 
-    def _take_read(self, items: list[KeyValue], revision: int, asked_at: float) -> None:
-        self._take_known(items, asked_at)
+    def _apply_list(
+        self, items: list[KeyValue], revision: int, asked_at: float
+    ) -> None:
+        self._apply_known(items, asked_at)
 
-    def _take_known(self, items: list[KeyValue], known_at: float) -> None:
+    def _apply_known(self, items: list[KeyValue], known_at: float) -> None:
         for item in items:
             if item.key == CONFIGURATION_KEY:
-                self._take(item, known_at)
-        self._take_orders([item for item in items if is_rollout_order(item.key)])
+                self._apply(item, known_at)
+        self._apply_orders([item for item in items if is_rollout_order(item.key)])
         self._context.rollouts.versions.note_orders_known(self.mirror.revision)
 
-    def _take_changes(self, events: list[WatchEvent], known_at: float) -> None:
+    def _apply_changes(self, events: list[WatchEvent], known_at: float) -> None:
         changed = {event.key_value.key for event in events}
         items = self.mirror.items
         if CONFIGURATION_KEY in changed or self._order_revisions.keys() & changed:
-            self._take_known(items, known_at)
+            self._apply_known(items, known_at)
         else:
             orders = [item for item in items if is_rollout_order(item.key)]
-            self._take_orders(orders)
+            self._apply_orders(orders)
 
-    def _take_orders(self, items: list[KeyValue]) -> None:
+    def _apply_orders(self, items: list[KeyValue]) -> None:
         """Take all orders of roll-outs; one that can't be followed changes nothing."""
         revisions = {item.key: item.mod_revision for item in items}
         if revisions == self._order_revisions:
             return
         self._order_revisions = revisions
         rollouts, now = self._context.rollouts, self._context.clock()
-        self._order_findings.keep_only(set(map(bytes.decode, revisions)))
-        orders = [order for item in items if (order := self._order(item)) is not None]
+        self._invalid_orders.keep_only(set(map(bytes.decode, revisions)))
+        orders = [
+            order for item in items if (order := self._decode_order(item)) is not None
+        ]
         if rollouts.set_orders(orders, now):
             for order in orders:
                 self._context.log.process(
@@ -145,21 +153,21 @@
                     revision=order.revision,
                 )
 
-    def _order(self, item: KeyValue) -> Order | None:
+    def _decode_order(self, item: KeyValue) -> Order | None:
         """Return an order; the one before it if it can't be followed."""
         order = decode_rollout_order(item)
         if isinstance(order, Order):
-            self._order_findings.clear(item.key.decode())
+            self._invalid_orders.clear(item.key.decode())
             return order
-        self._order_findings.note(item.key.decode(), order.problem, order.detail)
+        self._invalid_orders.report(item.key.decode(), order.problem, order.detail)
         for progress in self._context.rollouts.progresses:
             if item.key.endswith(b"/" + progress.order.service.encode()):
                 return progress.order
         return None
 
-    def _take(self, item: KeyValue, asked_at: float) -> None:
+    def _apply(self, item: KeyValue, asked_at: float) -> None:
         state = self._context.configuration
-        if item.mod_revision == self._revision_in_force:
+        if item.mod_revision == self._active_revision:
             state.confirm(None, asked_at)
             return
         try:
@@ -167,9 +175,9 @@
         except FORMAT_ERRORS as error:
             # It may take keys away: what is in force is not confirmed by it.
             detail = f"revision {item.mod_revision}: {error!r}"
-            self._findings.note(item.key.decode(), "not-readable", detail)
+            self._invalid_items.report(item.key.decode(), "not-readable", detail)
             return
-        self._findings.clear(item.key.decode())
+        self._invalid_items.clear(item.key.decode())
         if state.confirm(configuration, asked_at):
             self._context.allowances.set_accounts(
                 configuration.accounts, self._context.clock()
@@ -182,4 +190,4 @@
                 routes=sum(map(len, configuration.routes_by_host.values())),
             )
         if state.current.version == configuration.version:
-            self._revision_in_force = item.mod_revision
+            self._active_revision = item.mod_revision
--- a/libs/direct/src/berylwalk/direct/_context.py
+++ b/libs/direct/src/berylwalk/direct/_context.py
@@ -5,7 +5,7 @@
 
 from berylwalk.direct._decision_log import DecisionLog
 from berylwalk.direct._metrics import RouterMetrics
-from berylwalk.direct._suspension import SuspensionWatch
+from berylwalk.direct._suspension_detector import SuspensionDetector
 from berylwalk.dispatch import (
     Allowances,
     ConfigurationState,
@@ -57,7 +57,7 @@
         Time that goes on while the VM is suspended, in seconds.
     on_placed : callable
         Called with the target of each send.
-    on_statement_news : callable
+    on_statement_change : callable
         Called when a target has stated something new of itself.
     """
 
@@ -73,17 +73,17 @@
     pool: TargetPool
     log: DecisionLog
     metrics: RouterMetrics
-    suspension: SuspensionWatch
+    suspension: SuspensionDetector
     clock: Callable[[], float]
     on_placed: Callable[[Target], None] = lambda _: None
-    on_statement_news: Callable[[], None] = lambda: None
+    on_statement_change: Callable[[], None] = lambda: None
 
     def note_suspension(self) -> None:
         """Take a suspension of the VM for no silence of targets; asked before judging.
 
         All that has an age has grown older by it: the clock counts it.
         """
-        suspended_s = self.suspension.look()
+        suspended_s = self.suspension.poll()
         if suspended_s:
             self.targets.note_suspended(suspended_s)
             self.metrics.suspended_s.inc(suspended_s)
--- a/libs/direct/src/berylwalk/direct/_daemon.py
+++ b/libs/direct/src/berylwalk/direct/_daemon.py
@@ -17,14 +17,14 @@
 from berylwalk.direct._gauges import refresh_gauges
 from berylwalk.direct._listeners import Listener
 from berylwalk.direct._metrics import RouterMetrics
-from berylwalk.direct._mirrored_prefix import ReadingRole
+from berylwalk.direct._mirrored_prefix import ReadRole
 from berylwalk.direct._peering import Peering
-from berylwalk.direct._quarantine_note import QuarantineNote
-from berylwalk.direct._rollout_note import RolloutNote
-from berylwalk.direct._speed_note import SpeedNote
-from berylwalk.direct._spending_note import SpendingNote
-from berylwalk.direct._store_reach import CALL_TIMEOUT_S, StoreReach
-from berylwalk.direct._suspension import SuspensionWatch
+from berylwalk.direct._quarantine_store import QuarantineStore
+from berylwalk.direct._rollout_coordinator import RolloutCoordinator
+from berylwalk.direct._speed_store import SpeedStore
+from berylwalk.direct._spending_store import SpendingStore
+from berylwalk.direct._store_health import CALL_TIMEOUT_S, StoreHealth
+from berylwalk.direct._suspension_detector import SuspensionDetector
 from berylwalk.direct._target_feed import TargetFeed
 from berylwalk.dispatch import (
     Allowances,
@@ -44,13 +44,13 @@
 
 KEY_TRUST_MARGIN_S = 0.5
 """Time before the bound on revoked keys at which they are no longer trusted."""
-READY_AGE_S = 3.0
+READY_MAX_AGE_S = 3.0
 """Age of the configuration from which this router asks for no new callers."""
-SWEEP_S = 0.25
-NEW_WORK_AFTER_STOP_S = 3.0
+SWEEP_INTERVAL_S = 0.25
+STOP_ACCEPT_S = 3.0
 """Time after the request to stop for which new requests are still taken: the
 balancer needs two questions, a second apart, to see that this router leaves."""
-STOP_MARGIN_S = 0.35
+KILL_MARGIN_S = 0.35
 """Time before the platform kills the process at which it ends by itself."""
 
 
@@ -72,29 +72,30 @@
         settings = context.settings
         self._context = context
         self._store = store
-        reach = StoreReach(context)
-        self._peering = Peering(context, store, reach)
-        self._spending_note = SpendingNote(context, store, reach)
-        self._speed_note = SpeedNote(context, store, reach)
-        self._quarantine_note = QuarantineNote(context, store, reach)
-        context.quarantine.on_news = self._peering.tell_soon
-        context.quarantine.on_change = self._note_quarantine_change
-        context.rollouts.on_judged = self._note_judged
-        reading = self._peering.reading
-        role = ReadingRole(
-            leans=reading.leans, reads_for_others=reading.reads_for_others
+        store_health = StoreHealth(context)
+        self._peering = Peering(context, store, store_health)
+        self._spending_store = SpendingStore(context, store, store_health)
+        self._speed_store = SpeedStore(context, store, store_health)
+        self._quarantine_store = QuarantineStore(context, store, store_health)
+        context.quarantine.on_news = self._peering.send_soon
+        context.quarantine.on_change = self._on_quarantine_change
+        context.rollouts.on_judged = self._on_version_rejected
+        shared_reads = self._peering.shared_reads
+        role = ReadRole(
+            follows_peers=shared_reads.follows_peers,
+            serves_peers=shared_reads.serves_peers,
         )
-        self._configuration_feed = ConfigurationFeed(context, store, reach, role)
-        self._target_feed = TargetFeed(context, store, reach, role)
+        self._configuration_feed = ConfigurationFeed(context, store, store_health, role)
+        self._target_feed = TargetFeed(context, store, store_health, role)
         for feed in (self._configuration_feed, self._target_feed):
-            reading.add(feed.mirror)
-        self._rollout_note = RolloutNote(
-            context, store, reach, reading=reading, role=role
+            shared_reads.add(feed.mirror)
+        self._rollout_coordinator = RolloutCoordinator(
+            context, store, store_health, shared_reads=shared_reads, role=role
         )
-        context.on_placed = self._peering.tell_placed
-        context.on_statement_news = self._peering.tell_soon
-        context.rollouts.on_news = self._peering.tell_soon
-        context.rollouts.on_orders = self._rollout_note.wake
+        context.on_placed = self._peering.announce_placement
+        context.on_statement_change = self._peering.send_soon
+        context.rollouts.on_news = self._peering.send_soon
+        context.rollouts.on_orders = self._rollout_coordinator.wake
         self._exchanges_by_connection: dict[CallerConnection, Exchange] = {}
         self._tasks: TaskGroup | None = None
         self._stopping_since: float | None = None
@@ -103,7 +104,7 @@
             settings.caller_address,
             clock=context.clock,
             serve=self._serve,
-            on_gone=self._caller_left,
+            on_gone=self._on_caller_disconnected,
             limits=self._limits,
         )
         self._readiness = Listener(
@@ -130,7 +131,7 @@
         )
         targets = TargetTable()
 
-        def note_bytes(life_id: str) -> None:
+        def record_bytes(life_id: str) -> None:
             target = targets.by_life_id.get(life_id)
             if target is not None:
                 target.note_heard(clock())
@@ -165,12 +166,12 @@
                 loop,
                 clock=clock,
                 id_header=REQUEST_ID_HEADER,
-                on_bytes=note_bytes,
+                on_bytes=record_bytes,
                 on_opened=metrics.connections.inc,
             ),
             log=DecisionLog.to_stdout(settings.name, clock=clock),
             metrics=metrics,
-            suspension=SuspensionWatch(clock),
+            suspension=SuspensionDetector(clock),
             clock=clock,
         )
         if not counts_suspension:
@@ -200,10 +201,10 @@
                 self._configuration_feed.run,
                 self._target_feed.run,
                 self._peering.run,
-                self._spending_note.run,
-                self._speed_note.run,
-                self._quarantine_note.run,
-                self._rollout_note.run,
+                self._spending_store.run,
+                self._speed_store.run,
+                self._quarantine_store.run,
+                self._rollout_coordinator.run,
                 self._sweep,
             ):
                 tasks.start_soon(run)
@@ -230,9 +231,9 @@
         context.log.process(
             "stopping", open_requests=len(self._exchanges_by_connection)
         )
-        self._callers.say_closing()
-        ends_at = now + context.settings.stop_grace_s - STOP_MARGIN_S
-        await sleep(NEW_WORK_AFTER_STOP_S)
+        self._callers.announce_closing()
+        ends_at = now + context.settings.stop_grace_s - KILL_MARGIN_S
+        await sleep(STOP_ACCEPT_S)
         self._callers.close()
         while context.clock() < ends_at:
             self._callers.close_idle()
@@ -244,7 +245,7 @@
         # What was written to callers and not sent yet.
         await sleep(0.05)
 
-    def note_reload(self) -> None:
+    def log_reload(self) -> None:
         """Note that the settings file has changed.
 
         Addresses are those of the process's life; all else that may change
@@ -257,7 +258,7 @@
             self._context,
             connection,
             request,
-            take_trial=self._quarantine_note.take_trial,
+            acquire_trial_permit=self._quarantine_store.acquire_trial_permit,
         )
         self._exchanges_by_connection[connection] = exchange
         self._tasks.start_soon(self._run_exchange, connection, exchange)
@@ -280,15 +281,15 @@
             if self._exchanges_by_connection.get(connection) is exchange:
                 del self._exchanges_by_connection[connection]
 
-    def _note_quarantine_change(self, change: Change) -> None:
+    def _on_quarantine_change(self, change: Change) -> None:
         self._context.log.process(
             f"request-{change.kind}",
             identity=change.identity.hex(),
             ended=list(change.ended),
         )
-        self._quarantine_note.wake()
+        self._quarantine_store.wake()
 
-    def _note_judged(self, judged: Judged) -> None:
+    def _on_version_rejected(self, judged: Judged) -> None:
         self._context.log.process(
             "rollout-judged-bad",
             service=judged.order.service,
@@ -297,9 +298,9 @@
             route=judged.verdict.route,
             heard=judged.heard,
         )
-        self._rollout_note.wake()
+        self._rollout_coordinator.wake()
 
-    def _caller_left(self, connection: CallerConnection) -> None:
+    def _on_caller_disconnected(self, connection: CallerConnection) -> None:
         exchange = self._exchanges_by_connection.get(connection)
         if exchange is not None:
             exchange.cancel()
@@ -320,7 +321,7 @@
             return False
         context = self._context
         age_s = context.configuration.age_s(context.clock())
-        return age_s <= READY_AGE_S
+        return age_s <= READY_MAX_AGE_S
 
     def _answer_metrics(
         self, connection: CallerConnection, request: CallerRequest
@@ -331,7 +332,7 @@
 
     async def _sweep(self) -> None:
         while True:
-            await sleep(SWEEP_S)
+            await sleep(SWEEP_INTERVAL_S)
             self._context.note_suspension()
             for listener in (self._callers, self._readiness, self._metrics):
                 listener.sweep()
--- a/libs/direct/src/berylwalk/direct/_decision_log.py
+++ b/libs/direct/src/berylwalk/direct/_decision_log.py
@@ -8,10 +8,10 @@
 
 from msgspec.json import Encoder
 
-LINES_PER_S = 400.0
+MAX_LINES_PER_S = 400.0
 """Ten times the decisions of a router at the load it is made for."""
 BURST_LINES = 800.0
-OWN_SHARE = 0.25
+PROCESS_RESERVE_SHARE = 0.25
 """Part of the burst kept for lines about the process rather than a request."""
 MAX_PENDING_BYTES = 256 * 1024
 
@@ -48,10 +48,10 @@
         self._clock = clock
         self._wall_clock = wall_clock
         self._encoder = Encoder(enc_hook=str, decimal_format="number")
-        self._level = BURST_LINES
+        self._budget = BURST_LINES
         self._updated_at = clock()
         self._pending = b""
-        self._untold = 0
+        self._unreported = 0
         self.dropped = 0
 
     @classmethod
@@ -63,7 +63,7 @@
 
     def request(self, event: str, request_id: bytes, **fields: object) -> None:
         """Log a decision that touches a request."""
-        if self._admit(BURST_LINES * OWN_SHARE):
+        if self._admit(BURST_LINES * PROCESS_RESERVE_SHARE):
             known = {"request_id": request_id.decode("latin-1")}
             self._emit(event, known | fields)
 
@@ -79,14 +79,14 @@
 
     def _admit(self, reserve: float) -> bool:
         now = self._clock()
-        earned = (now - self._updated_at) * LINES_PER_S
-        self._level = min(BURST_LINES, self._level + earned)
+        earned = (now - self._updated_at) * MAX_LINES_PER_S
+        self._budget = min(BURST_LINES, self._budget + earned)
         self._updated_at = now
-        if self._level - 1 < reserve or len(self._pending) > MAX_PENDING_BYTES:
+        if self._budget - 1 < reserve or len(self._pending) > MAX_PENDING_BYTES:
             self.dropped += 1
-            self._untold += 1
+            self._unreported += 1
             return False
-        self._level -= 1
+        self._budget -= 1
         return True
 
     def _emit(self, event: str, fields: dict[str, object]) -> None:
@@ -96,9 +96,9 @@
             "event": event,
         }
         line.update(fields)
-        if self._untold:
-            line["lines_dropped"] = self._untold
-            self._untold = 0
+        if self._unreported:
+            line["lines_dropped"] = self._unreported
+            self._unreported = 0
         self._send(self._encoder.encode(line) + b"\n")
 
     def _send(self, data: bytes) -> None:
--- a/libs/direct/src/berylwalk/direct/_elapsed_time.py
+++ b/libs/direct/src/berylwalk/direct/_elapsed_time.py
@@ -6,7 +6,7 @@
 Clock = Callable[[], float]
 
 
-def elapsed_clock(*, otherwise: Clock = time.monotonic) -> tuple[Clock, bool]:
+def elapsed_clock(*, fallback: Clock = time.monotonic) -> tuple[Clock, bool]:
     """Return a clock for ages that others go by, and whether it counts suspension.
 
     The steady clock of the loop stands still while a VM is suspended: by it, what is
@@ -14,14 +14,14 @@
 
     Parameters
     ----------
-    otherwise : callable
+    fallback : callable
         Used where the platform has no such clock, in seconds.
     """
     boot_clock = getattr(time, "CLOCK_BOOTTIME", None)
     if boot_clock is None:
-        return otherwise, False
+        return fallback, False
     try:
         time.clock_gettime(boot_clock)
     except OSError:
-        return otherwise, False
+        return fallback, False
     return lambda: time.clock_gettime(boot_clock), True
--- a/libs/direct/src/berylwalk/direct/_exchange.py
+++ b/libs/direct/src/berylwalk/direct/_exchange.py
@@ -6,12 +6,12 @@
 
 from anyio import CancelScope, Event, move_on_after
 
-from berylwalk.direct._admission import HELD_BACK, Admitted, Refusal, admit
+from berylwalk.direct._admission import QUARANTINED, Admitted, Refusal, admit
 from berylwalk.direct._attempt import Attempt
+from berylwalk.direct._attempt_runner import AttemptRunner
 from berylwalk.direct._context import RouterContext
 from berylwalk.direct._exchange_log import ExchangeLog
-from berylwalk.direct._relay import Relay
-from berylwalk.direct._sending import Sending
+from berylwalk.direct._response_writer import ResponseWriter
 from berylwalk.dispatch import (
     AttemptEnd,
     Attempts,
@@ -26,13 +26,13 @@
 from berylwalk.platform import refusal_headers
 from berylwalk.quarantine import Identity, Standing
 
-TakeTrial = Callable[[Identity], Awaitable[bool]]
+AcquireTrialPermit = Callable[[Identity], Awaitable[bool]]
 """Asks for the permit to send a request once under which targets ended."""
-LOOK_S = 0.1
+PLACEMENT_CHECK_INTERVAL_S = 0.1
 """Time between two looks at whether a request may still find a place."""
-OPENING_MARGIN_S = 0.001
+TIMER_MARGIN_S = 0.001
 """Timers of the loop may be early by its resolution."""
-NO_ANSWER = 0
+NO_STATUS = 0
 """Logged in place of a status where the caller got no whole answer."""
 
 
@@ -47,7 +47,7 @@
         Where the answer goes.
     request : CallerRequest
         The whole request.
-    take_trial : callable
+    acquire_trial_permit : callable
         Asks for the permit of a trial.
     """
 
@@ -57,12 +57,12 @@
         connection: CallerConnection,
         request: CallerRequest,
         *,
-        take_trial: TakeTrial,
+        acquire_trial_permit: AcquireTrialPermit,
     ) -> None:
         self._context = context
         self._connection = connection
         self._request = request
-        self._take_trial = take_trial
+        self._acquire_trial_permit = acquire_trial_permit
         self._scope = CancelScope()
         self._log = ExchangeLog(context, request.arrived_at)
 
@@ -75,7 +75,7 @@
         self._context.note_suspension()
         admitted = admit(self._context, self._request)
         if isinstance(admitted, Refusal):
-            self._log.tell_refused(admitted)
+            self._log.log_refused(admitted)
             headers = refusal_headers(admitted.request_id, admitted.retry_after_s)
             self._connection.respond(admitted.status, headers, b"")
             return
@@ -84,12 +84,12 @@
             self._connection,
             admitted,
             self._log,
-            take_trial=self._take_trial,
+            acquire_trial_permit=self._acquire_trial_permit,
         )
         with self._scope:
             await lifecycle.run()
-        if self._scope.cancelled_caught and not lifecycle.is_settled:
-            self._log.tell_ended(admitted, NO_ANSWER, "caller-left")
+        if self._scope.cancelled_caught and not lifecycle.is_finished:
+            self._log.log_ended(admitted, NO_STATUS, "caller-left")
 
 
 class RequestLifecycle:
@@ -105,7 +105,7 @@
         The request.
     log : ExchangeLog
         Tells of it.
-    take_trial : callable
+    acquire_trial_permit : callable
         Asks for the permit of a trial.
     """
 
@@ -116,52 +116,60 @@
         admitted: Admitted,
         log: ExchangeLog,
         *,
-        take_trial: TakeTrial,
+        acquire_trial_permit: AcquireTrialPermit,
     ) -> None:
         self._context = context
         self._connection = connection
         self._admitted = admitted
         self._log = log
-        self._take_trial = take_trial
+        self._acquire_trial_permit = acquire_trial_permit
         self._attempts = Attempts()
         self._excluded: set[str] = set()
-        self._relay = Relay(connection, last_event_id=admitted.facts.last_event_id)
-        self._sending = Sending(
-            context, admitted, relay=self._relay, attempts=self._attempts, log=log
+        self._response_writer = ResponseWriter(
+            connection, last_event_id=admitted.facts.last_event_id
+        )
+        self._attempt_runner = AttemptRunner(
+            context,
+            admitted,
+            relay=self._response_writer,
+            attempts=self._attempts,
+            log=log,
         )
         self._opens_at = float("-inf")
-        self.is_settled = False
+        self.is_finished = False
 
     async def run(self) -> None:
         """Try targets until one answers or none may be tried any more."""
         context, admitted = self._context, self._admitted
-        if admitted.is_trial and not await self._take_trial(admitted.identity):
-            self._give_up(AttemptEnd.NOT_SENT, HELD_BACK)
+        if admitted.is_trial and not await self._acquire_trial_permit(
+            admitted.identity
+        ):
+            self._fail(AttemptEnd.NOT_SENT, QUARANTINED)
             return
         context.retries.record_request(admitted.service, context.clock())
         patience = patience_at_arrival(
             admitted.request.arrived_at, admitted.route.objective_s, admitted.ends_at
         )
         while True:
-            target = await self._place(patience)
+            target = await self._acquire_target(patience)
             if target is None:
-                self._give_up(AttemptEnd.NOT_SENT, "no-place")
+                self._fail(AttemptEnd.NOT_SENT, "no-place")
                 return
-            attempt = await self._sending.send(target)
+            attempt = await self._attempt_runner.send(target)
             if attempt.end is AttemptEnd.ANSWERED:
                 self._complete(attempt)
                 return
-            reason = self._reason_not_to_repeat(attempt)
+            reason = self._reason_not_to_retry(attempt)
             if reason:
-                self._end_failed(attempt, reason)
+                self._respond_failure(attempt, reason)
                 return
             self._excluded.add(target.entry.life_id)
             patience = patience_after_failure(context.clock(), admitted.ends_at)
-            self._log.tell_repeated(
-                admitted, target, attempt, self._relay.last_event_id
+            self._log.log_retried(
+                admitted, target, attempt, self._response_writer.last_event_id
             )
 
-    def _reason_not_to_repeat(self, attempt: Attempt) -> str:
+    def _reason_not_to_retry(self, attempt: Attempt) -> str:
         """Return why no other target is tried, or an empty text."""
         now = self._context.clock()
         if now >= self._admitted.ends_at:
@@ -169,15 +177,15 @@
         if not self._attempts.may_repeat(self._admitted.route, attempt.end):
             return f"attempt-{attempt.end}"
         is_unused_trial = self._admitted.is_trial and attempt.end is AttemptEnd.NOT_SENT
-        if self._is_held_back() and not is_unused_trial:
-            return HELD_BACK
+        if self._is_quarantined() and not is_unused_trial:
+            return QUARANTINED
         if attempt.end is AttemptEnd.NOT_SENT:
             return ""
         if not self._context.retries.take(self._admitted.service, now):
             return "retry-budget"
         return ""
 
-    def _is_held_back(self) -> bool:
+    def _is_quarantined(self) -> bool:
         """Return whether it is known by now to end the targets that run it."""
         return self._standing().is_held_back
 
@@ -185,7 +193,7 @@
         context = self._context
         return context.quarantine.standing(self._admitted.identity, context.clock())
 
-    async def _place(self, patience: Patience) -> Target | None:
+    async def _acquire_target(self, patience: Patience) -> Target | None:
         """Return a target at which the request is counted, or None."""
         context, admitted = self._context, self._admitted
         placed = Event()
@@ -204,38 +212,36 @@
             target = context.dispatcher.submit(ticket, started_at)
         if target is not None:
             target.note_sent(admitted.facts.work, started_at)
-            self._log.note_waited(admitted, 0.0)
+            self._log.record_wait(admitted, 0.0)
             return target
         try:
-            await self._until_placed(placed, ticket, patience)
+            await self._wait_for_placement(placed, ticket, patience)
         except BaseException:
             if not context.dispatcher.withdraw(ticket) and granted:
                 granted[0].note_left(admitted.facts.work, had_first_event=False)
                 context.dispatcher.pump(admitted.service, context.clock())
             raise
-        self._log.note_waited(admitted, context.clock() - started_at)
+        self._log.record_wait(admitted, context.clock() - started_at)
         if granted:
             return granted[0]
         context.dispatcher.withdraw(ticket)
-        self._log.tell_not_placed(admitted, ticket)
+        self._log.log_not_placed(admitted, ticket)
         return None
 
-    async def _until_placed(
+    async def _wait_for_placement(
         self, placed: Event, ticket: Ticket, patience: Patience
     ) -> None:
         """Wait for a place; no longer than there may be one in time."""
         clock = self._context.clock
         while not placed.is_set():
             now = clock()
-            wait_until = self._worth_waiting_until(ticket, patience, now)
+            wait_until = self._wait_deadline(ticket, patience, now)
             if wait_until <= now:
                 return
-            with move_on_after(min(wait_until - now, LOOK_S)):
+            with move_on_after(min(wait_until - now, PLACEMENT_CHECK_INTERVAL_S)):
                 await placed.wait()
 
-    def _worth_waiting_until(
-        self, ticket: Ticket, patience: Patience, now: float
-    ) -> float:
+    def _wait_deadline(self, ticket: Ticket, patience: Patience, now: float) -> float:
         """Return until when to wait for a place; no longer than it can help.
 
         Where all targets have said from when on they take requests, the first of them
@@ -248,7 +254,7 @@
             return now
         if opens_at > now:
             get_running_loop().call_later(
-                opens_at - now + OPENING_MARGIN_S,
+                opens_at - now + TIMER_MARGIN_S,
                 lambda: dispatcher.pump(service, context.clock()),
             )
         return patience.wait_until
@@ -267,10 +273,10 @@
             return None
         version = rollouts.progress(service).order.version
         targets = self._context.targets.of_service(service)
-        lives = [
+        life_ids = [
             each.entry.life_id for each in targets if each.entry.version == version
         ]
-        group = rollouts.group(service, lives, len(targets) - len(lives), now)
+        group = rollouts.group(service, life_ids, len(targets) - len(life_ids), now)
         target = self._context.dispatcher.place_among(ticket, group, now)
         if target is None:
             rollouts.give_back_canary(service, route)
@@ -287,54 +293,58 @@
             longest_pause_s=admitted.route.longest_pause_s,
             on_place=on_place,
             excluded=self._excluded,
-            apart_as=admitted.identity if self._runs_apart() else b"",
+            apart_as=admitted.identity if self._must_run_isolated() else b"",
             arrived_at=admitted.request.arrived_at,
             version_draw=random(),
         )
 
-    def _runs_apart(self) -> bool:
+    def _must_run_isolated(self) -> bool:
         """Return whether its target may end under it, with all others there."""
         return self._admitted.is_trial or self._standing() is Standing.SUSPECTED
 
     def _complete(self, attempt: Attempt) -> None:
         if attempt.is_stream:
-            self._relay.end(attempt.status, attempt.headers)
+            self._response_writer.end(attempt.status, attempt.headers)
         else:
-            self._relay.answer(attempt.status, attempt.headers, attempt.body)
-        self._settle(attempt.status, "answered")
+            self._response_writer.write_response(
+                attempt.status, attempt.headers, attempt.body
+            )
+        self._finish(attempt.status, "answered")
 
-    def _end_failed(self, attempt: Attempt, reason: str) -> None:
-        if attempt.end is AttemptEnd.FAILED and not self._relay.started:
+    def _respond_failure(self, attempt: Attempt, reason: str) -> None:
+        if attempt.end is AttemptEnd.FAILED and not self._response_writer.started:
             # The target's own answer says most; it has run there.
-            self._relay.answer(attempt.status, attempt.headers, attempt.body)
-            self._settle(attempt.status, reason)
+            self._response_writer.write_response(
+                attempt.status, attempt.headers, attempt.body
+            )
+            self._finish(attempt.status, reason)
         else:
-            self._give_up(attempt.end, reason)
+            self._fail(attempt.end, reason)
 
-    def _give_up(self, end: AttemptEnd, reason: str) -> None:
-        if self._relay.started:
-            self._relay.cut()
-            self._settle(NO_ANSWER, f"cut-{reason}")
+    def _fail(self, end: AttemptEnd, reason: str) -> None:
+        if self._response_writer.started:
+            self._response_writer.cut()
+            self._finish(NO_STATUS, f"cut-{reason}")
             return
         status = self._attempts.final_status(end)
         retry_after_s = None
         if status == 503:
-            retry_after_s = self._not_run(reason)
+            retry_after_s = self._refund(reason)
         headers = refusal_headers(self._admitted.request_id, retry_after_s)
         self._connection.respond(status, headers, b"")
-        self._settle(status, reason)
+        self._finish(status, reason)
 
-    def _not_run(self, reason: str) -> float:
+    def _refund(self, reason: str) -> float:
         """Give the cost back; returns when the caller should come back, in seconds."""
         admitted, now = self._admitted, self._context.clock()
         if admitted.account is not None:
             self._context.allowances.give_back(admitted.account, admitted.cost, now)
-        if reason == HELD_BACK:
+        if reason == QUARANTINED:
             return self._context.quarantine.retry_after_s(
                 admitted.identity, self._context.clock()
             )
         return return_time_s(admitted.ends_at - now, opens_in_s=self._opens_at - now)
 
-    def _settle(self, status: int, reason: str) -> None:
-        self.is_settled = True
-        self._log.tell_ended(self._admitted, status, reason)
+    def _finish(self, status: int, reason: str) -> None:
+        self.is_finished = True
+        self._log.log_ended(self._admitted, status, reason)
--- a/libs/direct/src/berylwalk/direct/_exchange_log.py
+++ b/libs/direct/src/berylwalk/direct/_exchange_log.py
@@ -2,16 +2,16 @@
 
 from dataclasses import dataclass, field
 
-from berylwalk.direct._admission import Admitted, Refusal, Spent
+from berylwalk.direct._admission import Admitted, Charge, Refusal
 from berylwalk.direct._attempt import Attempt
 from berylwalk.direct._context import RouterContext
 from berylwalk.dispatch import ExpectedStart, Target, TargetStatement, Ticket
 from berylwalk.quarantine import Identity
 
-UNKNOWN_KIND = "unknown"
+UNKNOWN_ROUTE_KIND = "unknown"
 """Kind of a request that no route was found for."""
-LONGEST_AGE_S = 1e6
-LOWEST_RANK = -1
+MAX_AGE_S = 1e6
+NO_RANK = -1
 """Rank, in metrics, of a request that was not taken."""
 
 
@@ -33,12 +33,12 @@
     waited_s: float = 0.0
     first_event_at: float | None = None
 
-    def note_waited(self, admitted: Admitted, waited_s: float) -> None:
+    def record_wait(self, admitted: Admitted, waited_s: float) -> None:
         """Note that it waited for a place."""
         self.waited_s += waited_s
         self.context.metrics.waited_s.labels(admitted.service).observe(waited_s)
 
-    def tell_not_placed(self, admitted: Admitted, ticket: Ticket) -> None:
+    def log_not_placed(self, admitted: Admitted, ticket: Ticket) -> None:
         """Tell why it found no place."""
         context = self.context
         now = context.clock()
@@ -53,7 +53,7 @@
             routers_heard=context.peers.heard(now),
         )
 
-    def tell_placed(
+    def log_placed(
         self, admitted: Admitted, target: Target, start: ExpectedStart
     ) -> None:
         """Tell where it goes, and what decided that."""
@@ -75,7 +75,7 @@
             error_share=round(target.errors, 3),
         )
 
-    def note_attempt(self, target: Target, attempt: Attempt, sent_at: float) -> None:
+    def record_attempt(self, target: Target, attempt: Attempt, sent_at: float) -> None:
         """Note how an attempt ended."""
         if self.first_event_at is None:
             self.first_event_at = attempt.first_event_at
@@ -96,7 +96,7 @@
             }
         )
 
-    def tell_statement(
+    def log_statement(
         self, admitted: Admitted, target: Target, statement: TargetStatement
     ) -> None:
         """Tell what a target states of itself, where that has changed."""
@@ -111,7 +111,7 @@
             **_statement_fields(statement),
         )
 
-    def tell_repeated(
+    def log_retried(
         self, admitted: Admitted, target: Target, attempt: Attempt, last_event_id: int
     ) -> None:
         """Tell that another target is tried."""
@@ -124,21 +124,21 @@
             last_event_id=last_event_id,
         )
 
-    def tell_refused(self, refusal: Refusal) -> None:
+    def log_refused(self, refusal: Refusal) -> None:
         """Tell that it was not taken."""
         reason = refusal.reason.partition(":")[0]
         self.context.metrics.requests.labels(
-            UNKNOWN_KIND, LOWEST_RANK, refusal.status, reason
+            UNKNOWN_ROUTE_KIND, NO_RANK, refusal.status, reason
         ).inc()
-        self._tell_ended(
+        self._log_ended(
             refusal.request_id,
             status=refusal.status,
             reason=refusal.reason,
-            **_spent_fields(refusal.spent),
-            **self._held_back_fields(refusal.identity),
+            **_refused_charge_fields(refusal.charge),
+            **self._quarantine_fields(refusal.identity),
         )
 
-    def tell_target_ended(self, admitted: Admitted, target: Target) -> None:
+    def log_target_ended(self, admitted: Admitted, target: Target) -> None:
         """Tell that a target seems to have ended while it ran the request."""
         self.context.metrics.ends_under_requests.labels(admitted.service).inc()
         self.context.log.request(
@@ -149,7 +149,7 @@
             ended=self.context.quarantine.ended(admitted.identity),
         )
 
-    def tell_cleared(self, admitted: Admitted, target: Target) -> None:
+    def log_cleared(self, admitted: Admitted, target: Target) -> None:
         """Tell that the request has run, and that its target goes on."""
         self.context.log.request(
             "request-cleared",
@@ -158,7 +158,7 @@
             identity=admitted.identity.hex(),
         )
 
-    def _held_back_fields(self, identity: Identity | None) -> dict[str, object]:
+    def _quarantine_fields(self, identity: Identity | None) -> dict[str, object]:
         """Return why a request is held back: the targets that ended under it."""
         if identity is None:
             return {}
@@ -172,7 +172,7 @@
             fields["trials"] = blame.trials
         return fields
 
-    def tell_ended(self, admitted: Admitted, status: int, reason: str) -> None:
+    def log_ended(self, admitted: Admitted, status: int, reason: str) -> None:
         """Tell how it ended; status 0 if the caller got no whole answer."""
         metrics = self.context.metrics
         kind, rank = admitted.route.kind, admitted.rank[-1]
@@ -182,7 +182,7 @@
             first_event_s = self.first_event_at - self.arrived_at
             first_event_ms = _ms(first_event_s)
             metrics.first_event_s.labels(kind, rank).observe(first_event_s)
-        self._tell_ended(
+        self._log_ended(
             admitted.request_id,
             status=status,
             reason=reason,
@@ -195,7 +195,7 @@
             prompt_tokens=admitted.facts.work.prompt_tokens,
             output_tokens=admitted.facts.work.output_tokens,
             **_prefix_fields(admitted),
-            **_allowance_fields(admitted.spent),
+            **_charge_fields(admitted.charge),
             objective_ms=_ms(admitted.route.objective_s),
             longest_pause_allowed_ms=_ms(admitted.route.longest_pause_s),
             limit_ms=_ms(admitted.ends_at - admitted.request.arrived_at),
@@ -204,7 +204,7 @@
             attempts=self.attempts,
         )
 
-    def _tell_ended(self, request_id: bytes, **fields: object) -> None:
+    def _log_ended(self, request_id: bytes, **fields: object) -> None:
         context = self.context
         now = context.clock()
         state = context.configuration
@@ -213,7 +213,7 @@
             request_id,
             **fields,
             version=0 if state.current is None else state.current.version,
-            version_age_ms=_ms(min(state.age_s(now), LONGEST_AGE_S)),
+            version_age_ms=_ms(min(state.age_s(now), MAX_AGE_S)),
             total_ms=_ms(now - self.arrived_at),
         )
 
@@ -228,29 +228,29 @@
     return {"shared_prefix": f"{prefix.key:08x}", "shared_tokens": prefix.tokens}
 
 
-def _spent_fields(spent: Spent | None) -> dict[str, object]:
+def _refused_charge_fields(charge: Charge | None) -> dict[str, object]:
     """Return who could not pay for a request that was refused, and why."""
-    if spent is None:
+    if charge is None:
         return {}
     return {
-        "account": spent.account_name,
-        "route": spent.route.name,
-        "kind": spent.route.kind,
-        "priority": spent.route.priority,
-        **_allowance_fields(spent),
+        "account": charge.account_name,
+        "route": charge.route.name,
+        "kind": charge.route.kind,
+        "priority": charge.route.priority,
+        **_charge_fields(charge),
     }
 
 
-def _allowance_fields(spent: Spent | None) -> dict[str, object]:
+def _charge_fields(charge: Charge | None) -> dict[str, object]:
     """Return what a request costs and what was counted of its account."""
-    if spent is None:
+    if charge is None:
         return {}
     return {
-        "cost": round(spent.cost),
-        "limit": round(spent.state.limit),
-        "unknown": round(spent.state.unknown),
-        "counted": round(spent.state.counted),
-        "share": round(spent.state.share, 3),
+        "cost": round(charge.cost),
+        "limit": round(charge.state.limit),
+        "unknown": round(charge.state.unknown),
+        "counted": round(charge.state.counted),
+        "share": round(charge.state.share, 3),
     }
 
 
--- a/libs/direct/src/berylwalk/direct/_gauges.py
+++ b/libs/direct/src/berylwalk/direct/_gauges.py
@@ -3,7 +3,7 @@
 from berylwalk.direct._context import RouterContext
 from berylwalk.dispatch import Target
 
-LONGEST_AGE_S = 1e6
+MAX_AGE_S = 1e6
 """Shown for what was never heard."""
 NO_LIMIT = -1.0
 """Shown for a target that names none: a limit of 0 is one."""
@@ -13,9 +13,9 @@
     """Write the present beliefs of a router into its gauges."""
     metrics = context.metrics
     now = context.clock()
-    age_s = min(context.configuration.age_s(now), LONGEST_AGE_S)
+    age_s = min(context.configuration.age_s(now), MAX_AGE_S)
     metrics.configuration_age_s.set(age_s)
-    targets_age_s = min(now - context.targets.confirmed_at, LONGEST_AGE_S)
+    targets_age_s = min(now - context.targets.confirmed_at, MAX_AGE_S)
     metrics.targets_age_s.set(targets_age_s)
     for service, length in context.dispatcher.lengths().items():
         metrics.waiting.labels(service).set(length)
@@ -25,7 +25,7 @@
         metrics.peer_in_flight.labels(target_id).set(target.peer_in_flight)
         metrics.target_token_s.labels(target_id).set(target.output_token_s or 0.0)
         metrics.target_errors.labels(target_id).set(target.errors)
-        heard_s = min(now - target.heard_at, LONGEST_AGE_S)
+        heard_s = min(now - target.heard_at, MAX_AGE_S)
         metrics.target_heard_age_s.labels(target_id).set(heard_s)
         _refresh_needs(context, target, now)
     for name, spent in context.allowances.spent_in_window(now).items():
--- a/libs/direct/src/berylwalk/direct/_listeners.py
+++ b/libs/direct/src/berylwalk/direct/_listeners.py
@@ -69,7 +69,7 @@
             If the address cannot be bound.
         """
         self._server = await self._loop.create_server(
-            self._build,
+            self._create_connection,
             self._address.host,
             self._address.port,
             backlog=BACKLOG,
@@ -87,7 +87,7 @@
         for connection in list(self.connections):
             connection.abort()
 
-    def say_closing(self) -> None:
+    def announce_closing(self) -> None:
         """Tell callers with their next answers to go elsewhere."""
         self.closing = True
         for connection in self.connections:
@@ -105,7 +105,7 @@
         for connection in list(self.connections):
             connection.close_if_overdue(now)
 
-    def _build(self) -> CallerConnection:
+    def _create_connection(self) -> CallerConnection:
         connection = CallerConnection(
             serve=self._serve,
             on_gone=self._on_gone,
--- a/libs/direct/src/berylwalk/direct/_membership.py
+++ b/libs/direct/src/berylwalk/direct/_membership.py
@@ -7,9 +7,9 @@
 from msgspec import DecodeError, json
 
 from berylwalk.direct._context import RouterContext
-from berylwalk.direct._entry_findings import EntryFindings
+from berylwalk.direct._invalid_items import InvalidItemLog
 from berylwalk.direct._peer_messages import MemberEntry
-from berylwalk.direct._store_reach import StoreReach
+from berylwalk.direct._store_health import StoreHealth
 from berylwalk.dispatch import Peer
 from berylwalk.platform import KeyValue, KeyValueClient, Lost, Unavailable
 from berylwalk.reading import OrderedItems
@@ -17,9 +17,9 @@
 MEMBERS_PREFIX = b"berylwalk/routers/"
 LEASE_S = 6.0
 """Time after which a router that is gone is no longer counted."""
-RENEW_S = 2.0
-LIST_S = 4.0
-FIRST_LIST_S = 1.0
+RENEW_INTERVAL_S = 2.0
+LIST_INTERVAL_S = 4.0
+FIRST_LIST_INTERVAL_S = 1.0
 """Time to the second list of a router that found no other one: routers that start at
 the same moment enter the list within less, and until it knows them it reads all of the
 store itself."""
@@ -34,7 +34,7 @@
         The router's state.
     store : KeyValueClient
         The platform's store.
-    reach : StoreReach
+    store_health : StoreReach
         Paces calls of it that failed.
     life : str
         Identifies this life of the process.
@@ -46,19 +46,19 @@
         self,
         context: RouterContext,
         store: KeyValueClient,
-        reach: StoreReach,
+        store_health: StoreHealth,
         *,
         life: str,
         on_ended: Callable[[Peer], None],
     ) -> None:
         self._context = context
         self._store = store
-        self._reach = reach
+        self._store_health = store_health
         self._life = life
         self._on_ended = on_ended
         self._lease_id: int | None = None
         self._ordered = OrderedItems()
-        self._findings = EntryFindings(context, "member-invalid")
+        self._invalid_items = InvalidItemLog(context, "member-invalid")
 
     async def leave(self) -> None:
         """Leave the list of routers."""
@@ -74,16 +74,16 @@
     async def _register(self) -> None:
         failures = 0
         while True:
-            if await self._renew_or_enter():
+            if await self._renew_or_register():
                 failures = 0
-                await sleep(RENEW_S)
+                await sleep(RENEW_INTERVAL_S)
             else:
                 failures += 1
-                await self._reach.pause(failures)
+                await self._store_health.back_off(failures)
 
-    async def _renew_or_enter(self) -> bool:
+    async def _renew_or_register(self) -> bool:
         if self._lease_id is not None:
-            left_s = await self._reach.ask(
+            left_s = await self._store_health.track(
                 "renew-membership", self._store.keep_alive(self._lease_id)
             )
             if isinstance(left_s, Unavailable):
@@ -93,7 +93,7 @@
             self._context.log.process("membership-lapsed", lease=self._lease_id)
         self._lease_id = None
         lease_s = max(LEASE_S, self._context.settings.shortest_lease_s)
-        lease = await self._reach.ask(
+        lease = await self._store_health.track(
             "lease-membership", self._store.grant_lease(lease_s)
         )
         if isinstance(lease, Unavailable):
@@ -106,7 +106,7 @@
             settings.failure_domain,
         )
         key = MEMBERS_PREFIX + settings.name.encode()
-        written = await self._reach.ask(
+        written = await self._store_health.track(
             "enter-membership",
             self._store.put(key, json.encode(entry), lease_id=lease.lease_id),
         )
@@ -120,24 +120,24 @@
         is_first = True
         failures = 0
         while True:
-            listing = await self._reach.ask(
+            listing = await self._store_health.track(
                 "list-members",
                 self._store.list_prefix(MEMBERS_PREFIX, stale_ok=not is_first),
             )
             if isinstance(listing, Unavailable):
                 failures += 1
-                await self._reach.pause(failures)
+                await self._store_health.back_off(failures)
                 continue
             failures = 0
             # A cheap list may be older than the one before.
             if self._ordered.take_list(listing):
-                self._take(self._ordered.items)
+                self._apply(self._ordered.items)
             is_alone = self._context.peers.known() == 1
-            gap_s = FIRST_LIST_S if is_first and is_alone else LIST_S
+            gap_s = FIRST_LIST_INTERVAL_S if is_first and is_alone else LIST_INTERVAL_S
             is_first = is_alone
             await sleep(gap_s)
 
-    def _take(self, items: list[KeyValue]) -> None:
+    def _apply(self, items: list[KeyValue]) -> None:
         listed = []
         for item in items:
             name = item.key[len(MEMBERS_PREFIX) :].decode()
@@ -145,9 +145,9 @@
                 entry = json.decode(item.value, type=MemberEntry)
                 ip_address(entry.host)
             except (DecodeError, ValueError, RecursionError) as error:
-                self._findings.note(name, "not-readable", repr(error))
+                self._invalid_items.report(name, "not-readable", repr(error))
                 continue
-            self._findings.clear(name)
+            self._invalid_items.clear(name)
             listed.append(
                 Peer(name, entry.host, entry.port, entry.life, entry.failure_domain)
             )
--- a/libs/direct/src/berylwalk/direct/_mirrored_prefix.py
+++ b/libs/direct/src/berylwalk/direct/_mirrored_prefix.py
@@ -5,7 +5,7 @@
 
 from anyio import Event, create_task_group, move_on_after, sleep
 
-from berylwalk.direct._store_reach import CALL_TIMEOUT_S, StoreReach
+from berylwalk.direct._store_health import CALL_TIMEOUT_S, StoreHealth
 from berylwalk.platform import (
     KeyValue,
     KeyValueClient,
@@ -15,26 +15,26 @@
 )
 from berylwalk.reading import OrderedItems, Word
 
-LONGEST_HOLD_S = 8.0
+MAX_WATCH_HOLD_S = 8.0
 """Longest time that the store holds a watch back: each answer is paid for."""
-SHORTEST_HOLD_S = 0.3
+MIN_WATCH_HOLD_S = 0.3
 """The same of the shortest: a router makes three such calls a second at most."""
-SENDING_S = 0.1
+SEND_LATENCY_S = 0.1
 """Time from the look at what is known to the arrival at a target of what was sent
 by it."""
-UNLISTED_S = 0.15
+FIRST_LIST_POLL_S = 0.15
 """Time between looks for a first list."""
-LOOK_S = 0.3
+LIST_POLL_S = 0.3
 """Time between looks whether a list is due."""
-LEAST_SLEEP_S = 0.01
+MIN_SLEEP_S = 0.01
 """Bound from below of a sleep until something is due: what is left may be a rounding
 error of the clock."""
-TELLING_S = 0.6
+PEER_PROPAGATION_S = 0.6
 """Time from an answer of the store to the moment at which a router that asks another
 one each 0.4 s knows of it; it may lie behind the other one's next question."""
 
 
-def lean_s(bound_s: float, gather_s: float = 0.0) -> float:
+def peer_data_max_age_s(bound_s: float, batch_s: float = 0.0) -> float:
     """Return the age up to which the word of other routers is enough.
 
     From then on the store is asked. If the first answer is lost, the second one still
@@ -42,13 +42,13 @@
 
     Parameters
     ----------
-    bound_s, gather_s : float
-        As in `hold_s`.
+    bound_s, batch_s : float
+        As in `watch_hold_s`.
     """
-    return max(0.0, bound_s - gather_s - CALL_TIMEOUT_S - SENDING_S)
+    return max(0.0, bound_s - batch_s - CALL_TIMEOUT_S - SEND_LATENCY_S)
 
 
-def hold_s(bound_s: float, gathered_s: float = 0.0) -> float:
+def watch_hold_s(bound_s: float, batched_s: float = 0.0) -> float:
     """Return for how long a watch may be held back.
 
     The answer of any watch may be lost without a sign. The next one is answered at
@@ -59,22 +59,22 @@
     ----------
     bound_s : float
         Time after which what is known must not be used, in seconds.
-    gathered_s : float
+    batched_s : float
         Time since the answer before, in seconds.
     """
-    longest_s = bound_s - gathered_s - CALL_TIMEOUT_S - SENDING_S
-    return min(LONGEST_HOLD_S, max(SHORTEST_HOLD_S, longest_s))
+    max_hold_s = bound_s - batched_s - CALL_TIMEOUT_S - SEND_LATENCY_S
+    return min(MAX_WATCH_HOLD_S, max(MIN_WATCH_HOLD_S, max_hold_s))
 
 
-def oldest_s(bound_s: float, gather_s: float) -> float:
+def max_age_s(bound_s: float, batch_s: float) -> float:
     """Return how old what is known may be, in seconds; over the bound if it is short.
 
     Parameters
     ----------
-    bound_s, gather_s : float
-        As in `hold_s`.
+    bound_s, batch_s : float
+        As in `watch_hold_s`.
     """
-    return gather_s + hold_s(bound_s, gather_s) + CALL_TIMEOUT_S + SENDING_S
+    return batch_s + watch_hold_s(bound_s, batch_s) + CALL_TIMEOUT_S + SEND_LATENCY_S
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
@@ -90,11 +90,11 @@
     bound_s : float or None
         Time after which what a watch has told must not be used, in seconds; None if
         lists keep it fresh.
-    gather_s : float
+    batch_s : float
         Time for which changes gather at the store before they are asked for again.
     list_gap_s : callable
         Returns the time between two lists now, in seconds; None if a watch is enough.
-    lean_s : float
+    peer_data_max_age_s : float
         Age up to which the word of other routers is enough, in seconds: a call of the
         store whose answer is lost then still fits into the bound.
     is_probe : bool
@@ -106,27 +106,27 @@
     prefix: bytes
     name: str
     bound_s: float | None = None
-    gather_s: float = 0.0
+    batch_s: float = 0.0
     list_gap_s: Callable[[], float | None]
-    lean_s: float = 0.0
+    peer_data_max_age_s: float = 0.0
     is_probe: bool = False
     is_steady: bool = False
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class ReadingRole:
+class ReadRole:
     """Whether a router reads the store for itself only.
 
     Parameters
     ----------
-    leans : callable
+    follows_peers : callable
         Returns whether it takes the word of others in place of own calls.
-    reads_for_others : callable
+    serves_peers : callable
         Returns whether others take its word: what it knows has to be fresher then.
     """
 
-    leans: Callable[[], bool] = lambda: False
-    reads_for_others: Callable[[], bool] = lambda: False
+    follows_peers: Callable[[], bool] = lambda: False
+    serves_peers: Callable[[], bool] = lambda: False
 
 
 class MirroredPrefix:
@@ -136,7 +136,7 @@
     ----------
     store : KeyValueClient
         The platform's store.
-    reach : StoreReach
+    store_health : StoreReach
         Notes how calls end.
     rules : MirrorRules
         What is mirrored, and how often the store is asked.
@@ -156,17 +156,17 @@
     def __init__(
         self,
         store: KeyValueClient,
-        reach: StoreReach,
+        store_health: StoreHealth,
         rules: MirrorRules,
         *,
         clock: Callable[[], float],
         on_list: Callable[[list[KeyValue], int, float], None],
         on_changes: Callable[[list[WatchEvent], float], None],
         on_known: Callable[[list[KeyValue], float], None],
-        role: ReadingRole,
+        role: ReadRole,
     ) -> None:
         self._store = store
-        self._reach = reach
+        self._store_health = store_health
         self._rules = rules
         self._clock = clock
         self._on_list = on_list
@@ -175,7 +175,7 @@
         self._role = role
         self._ordered = OrderedItems(is_steady=rules.is_steady)
         self._is_listed = False
-        self._wanted = Event()
+        self._list_requested = Event()
 
     @property
     def name(self) -> str:
@@ -199,7 +199,7 @@
     @property
     def is_fresh(self) -> bool:
         """Whether the word of others would be enough in place of a call."""
-        return self._is_listed and self.age_s() < self._rules.lean_s
+        return self._is_listed and self.age_s() < self._rules.peer_data_max_age_s
 
     def word(self, since: int) -> Word | None:
         """Return what is known, for a router that knows all up to a revision."""
@@ -221,20 +221,20 @@
             return False
         news = self._ordered.take_word(word, asked_at)
         if news is None:
-            self._wanted.set()
+            self._list_requested.set()
             return False
-        self._tell(news)
+        self._publish(news)
         return True
 
-    def _tell(self, news: list[WatchEvent]) -> None:
+    def _publish(self, news: list[WatchEvent]) -> None:
         if news:
             self._on_changes(news, self._ordered.known_at)
         else:
             self._on_known(self._ordered.items, self._ordered.known_at)
 
     @property
-    def _is_told(self) -> bool:
-        return self._role.leans() and self.is_fresh
+    def _is_served_by_peers(self) -> bool:
+        return self._role.follows_peers() and self.is_fresh
 
     async def run(self) -> None:
         """List and watch for ever."""
@@ -247,52 +247,52 @@
         failures = 0
         while True:
             asked_at = self._clock()
-            listing = await self._reach.ask(
+            listing = await self._store_health.track(
                 f"list-{rules.name}", self._store.list_prefix(rules.prefix)
             )
             if isinstance(listing, Unavailable):
                 failures += 1
-                await self._reach.pause(failures, is_probe=rules.is_probe)
+                await self._store_health.back_off(failures, is_probe=rules.is_probe)
                 continue
             failures = 0
-            self._wanted = Event()
+            self._list_requested = Event()
             if self._ordered.take_list(listing, known_at=asked_at):
                 self._on_list(self._ordered.items, listing.revision, asked_at)
             self._is_listed = True
-            await self._until_due()
+            await self._wait_until_list_due()
 
-    async def _until_due(self) -> None:
+    async def _wait_until_list_due(self) -> None:
         """Wait until a list is due or wanted."""
         listed_at = self._clock()
-        while not self._wanted.is_set():
+        while not self._list_requested.is_set():
             gap_s = self._rules.list_gap_s()
-            left_s = LOOK_S
-            if gap_s is not None and not self._is_told:
-                left_s = min(LOOK_S, listed_at + gap_s - self._clock())
+            left_s = LIST_POLL_S
+            if gap_s is not None and not self._is_served_by_peers:
+                left_s = min(LIST_POLL_S, listed_at + gap_s - self._clock())
             if left_s <= 0:
                 return
             with move_on_after(left_s):
-                await self._wanted.wait()
+                await self._list_requested.wait()
 
     async def _watch(self) -> None:
         rules = self._rules
         failures = 0
-        gathered_s = 0.0
+        batched_s = 0.0
         while True:
             if not self._is_listed:
-                await sleep(UNLISTED_S)
+                await sleep(FIRST_LIST_POLL_S)
                 continue
-            held_s = self._hold_s(gathered_s)
-            if gathered_s and self._role.reads_for_others():
+            held_s = self._watch_hold_s(batched_s)
+            if batched_s and self._role.serves_peers():
                 # When the changes came can't be told from their answer, so that others
                 # would take it for as old as its call.
                 held_s = 0.0
-            if self._is_told:
-                await self._until_not_told()
+            if self._is_served_by_peers:
+                await self._wait_until_peer_data_stale()
                 # What changed meanwhile has to be known at once.
                 held_s = 0.0
             asked_at = self._clock()
-            changes = await self._reach.ask(
+            changes = await self._store_health.track(
                 f"watch-{rules.name}",
                 self._store.changes(
                     rules.prefix, self._ordered.revision, wait_s=held_s
@@ -303,34 +303,34 @@
                 failures += 1
                 if changes.reason is UnavailableReason.HISTORY_GONE:
                     self._is_listed = False
-                    self._wanted.set()
+                    self._list_requested.set()
                 if failures > 1:
                     # The first is asked again at once: its answer may be lost alone.
-                    await self._reach.pause(failures - 1)
+                    await self._store_health.back_off(failures - 1)
                 continue
             failures = 0
             if changes.unreadable:
                 # Which keys changed can't be told: a list shows what is left.
-                self._wanted.set()
+                self._list_requested.set()
             # An answer without changes was held back for the whole time.
-            is_calm = not changes.events and not changes.unreadable
-            known_at = asked_at + (held_s if is_calm else 0.0)
+            is_unchanged = not changes.events and not changes.unreadable
+            known_at = asked_at + (held_s if is_unchanged else 0.0)
             news = self._ordered.take_changes(changes, known_at=known_at)
-            self._tell(news)
-            gathered_s = rules.gather_s if news else 0.0
-            if gathered_s:
-                await sleep(gathered_s)
+            self._publish(news)
+            batched_s = rules.batch_s if news else 0.0
+            if batched_s:
+                await sleep(batched_s)
 
-    def _hold_s(self, gathered_s: float) -> float:
+    def _watch_hold_s(self, batched_s: float) -> float:
         rules = self._rules
         if rules.bound_s is None:
-            return LONGEST_HOLD_S
+            return MAX_WATCH_HOLD_S
         bound_s = rules.bound_s
-        if self._role.reads_for_others():
-            bound_s -= TELLING_S
-        return hold_s(bound_s, gathered_s)
-
-    async def _until_not_told(self) -> None:
-        while self._is_told:
-            left_s = self._rules.lean_s - self.age_s()
-            await sleep(min(LOOK_S, max(LEAST_SLEEP_S, left_s)))
+        if self._role.serves_peers():
+            bound_s -= PEER_PROPAGATION_S
+        return watch_hold_s(bound_s, batched_s)
+
+    async def _wait_until_peer_data_stale(self) -> None:
+        while self._is_served_by_peers:
+            left_s = self._rules.peer_data_max_age_s - self.age_s()
+            await sleep(min(LIST_POLL_S, max(MIN_SLEEP_S, left_s)))
--- a/libs/direct/src/berylwalk/direct/_peer_messages.py
+++ b/libs/direct/src/berylwalk/direct/_peer_messages.py
@@ -5,7 +5,7 @@
 
 from msgspec import Struct, field
 
-from berylwalk.direct._statements import StatementNews
+from berylwalk.direct._statements import StatementUpdate
 from berylwalk.dispatch import Peer
 from berylwalk.quarantine import QuarantineNews
 from berylwalk.rollout import RolloutNews
@@ -26,7 +26,7 @@
     failure_domain: str = ""
 
 
-class RouterNews(Struct, array_like=True):
+class RouterUpdate(Struct, array_like=True):
     """What is new of one router.
 
     Parameters
@@ -43,9 +43,9 @@
         Grows with each message of a life.
     spent : dict
         Units spent since the start, by client account.
-    asked : dict
+    demand : dict
         Likewise the most urgent rank that was seen, and the units that it asked.
-    store_well_s : float
+    store_healthy_s : float
         For how long the store has been well for it, in seconds.
     rollouts : list of RolloutNews
         What it knows of roll-outs that are under way.
@@ -59,8 +59,8 @@
     age_s: float
     sequence: int
     spent: dict[str, int]
-    asked: dict[str, tuple[int, int]] = field(default_factory=dict)
-    store_well_s: float = 0.0
+    demand: dict[str, tuple[int, int]] = field(default_factory=dict)
+    store_healthy_s: float = 0.0
     rollouts: list[RolloutNews] = field(default_factory=list)
 
     def to_peer(self) -> Peer:
@@ -84,9 +84,9 @@
         Of the sender.
     loads : dict
         What the sender has at targets.
-    asks : str or None
+    history_from : str or None
         Name of the peer that shall tell what was spent before the sender's start.
-    recent : dict or None
+    spending_history : dict or None
         Units that all routers spent in the window, by account and bin of time: the
         answer to one that asked.
     reads : list of (int, str)
@@ -97,13 +97,13 @@
         What targets said to the sender.
     """
 
-    news: RouterNews
+    news: RouterUpdate
     loads: Loads
-    asks: str | None = None
-    recent: dict[str, list[float]] | None = None
+    history_from: str | None = None
+    spending_history: dict[str, list[float]] | None = None
     reads: Reads = field(default_factory=list)
     quarantine: QuarantineNews = field(default_factory=QuarantineNews)
-    statements: list[StatementNews] = field(default_factory=list)
+    statements: list[StatementUpdate] = field(default_factory=list)
 
 
 class DomainMessage(Struct, array_like=True, tag=2):
@@ -117,7 +117,7 @@
         The routers there that the relay hears, itself included.
     loads : dict
         What they have at targets, in all.
-    is_passed_on : bool
+    is_forwarded : bool
         Whether it comes from a router of the receiver's own failure domain, which
         passes it on to all there.
     reads : list of (int, str)
@@ -129,12 +129,12 @@
     """
 
     failure_domain: str
-    routers: list[RouterNews]
+    routers: list[RouterUpdate]
     loads: Loads
-    is_passed_on: bool = False
+    is_forwarded: bool = False
     reads: Reads = field(default_factory=list)
     quarantine: QuarantineNews = field(default_factory=QuarantineNews)
-    statements: list[StatementNews] = field(default_factory=list)
+    statements: list[StatementUpdate] = field(default_factory=list)
 
 
 class LoadMessage(Struct, array_like=True, tag=5):
--- a/libs/direct/src/berylwalk/direct/_peering.py
+++ b/libs/direct/src/berylwalk/direct/_peering.py
@@ -24,38 +24,38 @@
     Loads,
     PeerMessage,
     PeerSocket,
-    RouterNews,
+    RouterUpdate,
 )
-from berylwalk.direct._shared_reading import SharedReading
+from berylwalk.direct._shared_reads import SharedReads
+from berylwalk.direct._statement_aggregate import StatementAggregate
 from berylwalk.direct._statements import (
-    hear_statements,
+    merge_statements,
     own_statements,
-    share_limits,
+    update_limit_shares,
 )
-from berylwalk.direct._statements_to_relay import StatementsToRelay
-from berylwalk.direct._store_reach import StoreReach
+from berylwalk.direct._store_health import StoreHealth
 from berylwalk.dispatch import PEERS_OF_ONE_MESH, Knowledge, Peer, Read, Target
 from berylwalk.platform import KeyValueClient
 from berylwalk.quarantine import QuarantineNews
 from berylwalk.reading import ReadingAsk, ReadingTell
 
-TELL_S = 0.05
+SEND_INTERVAL_S = 0.05
 """Time between two messages: half of a typical time to a first event."""
-LONGEST_TELL_S = 0.3
+MAX_SEND_INTERVAL_S = 0.3
 """Bound of the time between messages; two may be lost before a peer is taken for
 silent."""
-TELL_UNCHANGED_S = 0.25
+UNCHANGED_SEND_INTERVAL_S = 0.25
 """The same while nothing has changed; a third of the time after which a peer is
 taken for silent."""
-RELAY_S = 0.1
+RELAY_INTERVAL_S = 0.1
 """Time between two messages of a relay to those of the other failure domains, where few
 routers are near it: with older loads fewer of the most urgent requests are in time."""
-TOLD_AT_ONCE = 12
+MAX_IMMEDIATE_PEERS = 12
 """Peers nearby up to which each send is told to them at once: by the next regular
 message all of them would have sent to the same free place."""
-GATHER_S = 0.002
+PLACEMENT_BATCH_S = 0.002
 """Time for which sends gather before they are told."""
-MOST_READS_RELAYED = 512
+MAX_RELAYED_PREFIXES = 512
 """Bound of the sent prefixes that a relay has not told yet; the oldest are dropped."""
 DOMAIN_SOURCE = "failure-domain "
 """Start of the name under which the loads of a whole failure domain are counted."""
@@ -70,35 +70,35 @@
         The router's state.
     store : KeyValueClient
         The platform's store.
-    reach : StoreReach
+    store_health : StoreReach
         Paces calls of it that failed.
 
     Attributes
     ----------
-    reading : SharedReading
+    shared_reads : SharedReading
         What the routers ask each other about the store.
     """
 
     def __init__(
-        self, context: RouterContext, store: KeyValueClient, reach: StoreReach
+        self, context: RouterContext, store: KeyValueClient, store_health: StoreHealth
     ) -> None:
         self._context = context
-        self._reach = reach
-        self.reading = SharedReading(context, reach, self._send)
+        self._store_health = store_health
+        self.shared_reads = SharedReads(context, store_health, self._send)
         self._life = uuid4().hex[:8]
         self._membership = Membership(
-            context, store, reach, life=self._life, on_ended=self._forget
+            context, store, store_health, life=self._life, on_ended=self._forget
         )
         self._started_at = context.clock()
         self._sequence = 0
         self._transport: DatagramTransport | None = None
-        self._told: tuple[object, ...] | None = None
-        self._told_at = float("-inf")
-        self._news_by_name: dict[str, RouterNews] = {}
-        self._reads_to_relay: deque[Read] = deque(maxlen=MOST_READS_RELAYED)
-        self._statements_to_relay = StatementsToRelay()
-        self._placed: Loads = {}
-        self._urgent = Event()
+        self._last_sent: tuple[object, ...] | None = None
+        self._last_sent_at = float("-inf")
+        self._updates_by_name: dict[str, RouterUpdate] = {}
+        self._prefixes_to_relay: deque[Read] = deque(maxlen=MAX_RELAYED_PREFIXES)
+        self._statement_aggregate = StatementAggregate()
+        self._pending_placements: Loads = {}
+        self._send_requested = Event()
         self._decoder = msgpack.Decoder(
             PeerMessage | DomainMessage | ReadingAsk | ReadingTell | LoadMessage
         )
@@ -113,7 +113,7 @@
         """
         settings = self._context.settings
         self._transport, _ = await get_running_loop().create_datagram_endpoint(
-            lambda: PeerSocket(self._hear),
+            lambda: PeerSocket(self._receive),
             local_addr=(settings.caller_address.host, settings.peer_port),
         )
 
@@ -130,71 +130,73 @@
         """Register, list and tell for ever."""
         async with create_task_group() as tasks:
             tasks.start_soon(self._membership.run)
-            tasks.start_soon(self._tell)
-            tasks.start_soon(self._relay)
-            tasks.start_soon(self.reading.run)
+            tasks.start_soon(self._send_loop)
+            tasks.start_soon(self._relay_loop)
+            tasks.start_soon(self.shared_reads.run)
 
     # Telling.
 
-    def tell_soon(self) -> None:
+    def send_soon(self) -> None:
         """Tell the peers nearby at once, and not when it is due."""
-        self._urgent.set()
+        self._send_requested.set()
 
-    def tell_placed(self, target: Target) -> None:
+    def announce_placement(self, target: Target) -> None:
         """Tell the peers nearby soon that a request is sent to a target.
 
         Load pattern: many routers and few places. Each sees a place that falls free,
         and until it hears of the others' sends it takes it for its own.
         """
-        if not 0 < len(self._context.peers.near()) <= TOLD_AT_ONCE:
+        if not 0 < len(self._context.peers.near()) <= MAX_IMMEDIATE_PEERS:
             return
-        if not self._placed:
-            get_running_loop().call_later(GATHER_S, self._tell_placed)
+        if not self._pending_placements:
+            get_running_loop().call_later(PLACEMENT_BATCH_S, self._send_placements)
         load = (target.in_flight, target.waiting_tokens)
-        self._placed[target.entry.life_id] = load
+        self._pending_placements[target.entry.life_id] = load
 
-    def _tell_placed(self) -> None:
+    def _send_placements(self) -> None:
         if self._transport is None or self._transport.is_closing():
             return
         self._sequence += 1
         name = self._context.settings.name
-        message = LoadMessage(name, self._life, self._sequence, self._placed)
-        self._placed = {}
+        message = LoadMessage(
+            name, self._life, self._sequence, self._pending_placements
+        )
+        self._pending_placements = {}
         self._send(msgpack.encode(message), self._context.peers.near())
 
-    async def _tell(self) -> None:
+    async def _send_loop(self) -> None:
         while True:
-            with move_on_after(tell_interval_s(len(self._context.peers.near()))):
-                await self._urgent.wait()
-            self._urgent = Event()
-            self._leave_to_silent_peers()
+            with move_on_after(send_interval_s(len(self._context.peers.near()))):
+                await self._send_requested.wait()
+            self._send_requested = Event()
+            self._apply_peer_liveness()
             self._send_if_due()
 
-    async def _relay(self) -> None:
+    async def _relay_loop(self) -> None:
         while True:
             await sleep(relay_interval_s(len(self._context.peers.near())))
             peers, now = self._context.peers, self._context.clock()
             far_domains = peers.far_domains()
             if far_domains and peers.is_relay(now):
-                self._tell_domains(far_domains, now)
+                self._send_to_domains(far_domains, now)
             else:
-                self._reads_to_relay.clear()
+                self._prefixes_to_relay.clear()
                 self._context.quarantine.far.clear()
 
-    def _tell_domains(self, far_domains: set[str], now: float) -> None:
+    def _send_to_domains(self, far_domains: set[str], now: float) -> None:
         data = msgpack.encode(self._domain_message(now))
         for failure_domain in sorted(far_domains):
             receiver = self._context.peers.relay_of(failure_domain, now)
             if receiver is not None:
                 self._send(data, [receiver])
 
-    def _leave_to_silent_peers(self) -> None:
+    def _apply_peer_liveness(self) -> None:
         """Leave silent peers their part of the allowances, and forget their loads."""
         context = self._context
         peers, now = context.peers, context.clock()
         context.allowances.set_share(peers.heard(now), peers.known())
         context.dispatcher.set_relayed(bool(peers.far_domains()))
-        share_limits(context)
+        update_limit_shares(context)
         counted = self._counted_sources(now)
         for source in context.targets.sources_of_loads():
             if source not in counted:
@@ -218,36 +220,40 @@
         loads = context.targets.own_loads()
         spent = context.allowances.spent_by_account()
         now = context.clock()
-        asks = self._peer_to_ask(now)
+        history_from = self._peer_to_ask(now)
         reads = context.dispatcher.prefix_reads.take_news()
-        self._reads_to_relay.extend(reads)
+        self._prefixes_to_relay.extend(reads)
         quarantine = context.quarantine.news(context.quarantine.near, context.clock())
         rollouts = [replace(each, age_s=0.0) for each in context.rollouts.news(now)]
         statements = own_statements(context)
-        said = [each.belief for each in statements]
-        beliefs = (loads, spent, rollouts, said)
-        is_unchanged = self._told == beliefs and asks is None and not reads
-        if is_unchanged and not quarantine and now - self._told_at < TELL_UNCHANGED_S:
+        statement_contents = [each.content for each in statements]
+        current = (loads, spent, rollouts, statement_contents)
+        is_unchanged = self._last_sent == current and history_from is None and not reads
+        if (
+            is_unchanged
+            and not quarantine
+            and now - self._last_sent_at < UNCHANGED_SEND_INTERVAL_S
+        ):
             return
-        self._told = beliefs
-        self._told_at = now
+        self._last_sent = current
+        self._last_sent_at = now
         message = PeerMessage(
-            self._own_news(now),
+            self._own_update(now),
             loads,
-            asks,
+            history_from,
             reads=reads,
             quarantine=quarantine,
             statements=statements,
         )
         self._send(msgpack.encode(message), context.peers.near())
 
-    def _own_news(self, now: float) -> RouterNews:
+    def _own_update(self, now: float) -> RouterUpdate:
         context = self._context
         settings = context.settings
         self._sequence += 1
         spent = context.allowances.spent_by_account()
-        asked = context.allowances.urgent_demand.totals()
-        return RouterNews(
+        demand = context.allowances.urgent_demand.totals()
+        return RouterUpdate(
             settings.name,
             settings.caller_address.host,
             settings.peer_port,
@@ -256,8 +262,8 @@
             now - self._started_at,
             self._sequence,
             {name: round(units) for name, units in spent.items()},
-            {name: (rank, round(units)) for name, (rank, units) in asked.items()},
-            round(self._reach.well_s(now), 1),
+            {name: (rank, round(units)) for name, (rank, units) in demand.items()},
+            round(self._store_health.healthy_s(now), 1),
             context.rollouts.news(now),
         )
 
@@ -266,20 +272,22 @@
         peers = context.peers
         heard = [peer.name for peer in peers.near() if peers.is_heard(peer, now)]
         news = [
-            self._news_by_name[name] for name in heard if name in self._news_by_name
+            self._updates_by_name[name]
+            for name in heard
+            if name in self._updates_by_name
         ]
         return DomainMessage(
             context.settings.failure_domain,
-            [self._own_news(now), *news],
+            [self._own_update(now), *news],
             context.targets.loads_with(heard),
-            reads=self._take_reads_to_relay(),
+            reads=self._take_prefixes_to_relay(),
             quarantine=context.quarantine.news(context.quarantine.far, context.clock()),
-            statements=self._statements_to_relay.merged(own_statements(context), now),
+            statements=self._statement_aggregate.merged(own_statements(context), now),
         )
 
-    def _take_reads_to_relay(self) -> list[Read]:
-        reads = list(self._reads_to_relay)
-        self._reads_to_relay.clear()
+    def _take_prefixes_to_relay(self) -> list[Read]:
+        reads = list(self._prefixes_to_relay)
+        self._prefixes_to_relay.clear()
         return reads
 
     def _send(self, data: bytes, peers: Iterable[Peer]) -> None:
@@ -300,7 +308,7 @@
         heard = [peer.name for peer in peers.near() if peers.is_heard(peer, now)]
         return choice(heard) if heard else None
 
-    def _tell_newcomer(self, newcomer: Peer, now: float) -> None:
+    def _answer_newcomer(self, newcomer: Peer, now: float) -> None:
         """Tell a router that asks what was spent, if it is known here.
 
         Only that one: what all routers spent takes kilobytes, which would fill
@@ -310,15 +318,15 @@
         if not context.allowances.knows_window(now):
             return
         message = PeerMessage(
-            self._own_news(now),
+            self._own_update(now),
             context.targets.own_loads(),
-            recent=context.allowances.spent_by_bin(now),
+            spending_history=context.allowances.spent_by_bin(now),
         )
         self._send(msgpack.encode(message), [newcomer])
 
     # Hearing.
 
-    def _hear(self, data: bytes) -> None:
+    def _receive(self, data: bytes) -> None:
         try:
             message = self._decoder.decode(data)
         except (DecodeError, ValidationError) as error:
@@ -328,79 +336,79 @@
         now = self._context.clock()
         match message:
             case ReadingAsk():
-                self.reading.hear_ask(message)
+                self.shared_reads.handle_query(message)
                 return
             case ReadingTell():
-                self.reading.hear_tell(message)
+                self.shared_reads.handle_reply(message)
                 return
             case LoadMessage():
-                self._hear_loads(message, now)
+                self._receive_loads(message, now)
                 return
             case PeerMessage():
-                self._hear_peer(message, now)
+                self._receive_peer_message(message, now)
             case DomainMessage():
-                self._hear_domain(message, now)
+                self._receive_domain_message(message, now)
         self._context.dispatcher.pump_all(now)
 
-    def _hear_peer(self, message: PeerMessage, now: float) -> None:
+    def _receive_peer_message(self, message: PeerMessage, now: float) -> None:
         context = self._context
         sender = message.news.to_peer()
-        if not self._hear_news(message.news, now):
+        if not self._receive_update(message.news, now):
             return
         if context.peers.is_near(sender):
             context.targets.hear_loads(sender.name, message.loads)
             context.dispatcher.prefix_reads.hear(message.reads)
-            self._reads_to_relay.extend(message.reads)
-            self._hear_of_suspects(message.quarantine, is_near=True)
-            hear_statements(context, message.statements, sender.name)
-            self._statements_to_relay.note(sender.name, message.statements, now)
-        if message.asks == context.settings.name:
-            self._tell_newcomer(sender, now)
-        if message.recent is not None:
-            context.allowances.learn(message.recent, Knowledge.ALL, now)
-
-    def _hear_loads(self, message: LoadMessage, now: float) -> None:
+            self._prefixes_to_relay.extend(message.reads)
+            self._merge_quarantine(message.quarantine, is_near=True)
+            merge_statements(context, message.statements, sender.name)
+            self._statement_aggregate.note(sender.name, message.statements, now)
+        if message.history_from == context.settings.name:
+            self._answer_newcomer(sender, now)
+        if message.spending_history is not None:
+            context.allowances.learn(message.spending_history, Knowledge.ALL, now)
+
+    def _receive_loads(self, message: LoadMessage, now: float) -> None:
         context, name = self._context, message.name
         if not context.peers.hear_again(name, message.life, message.sequence, now):
             return
         if context.peers.is_near(context.peers.by_name[name]):
             context.targets.hear_some_loads(name, message.loads)
 
-    def _hear_domain(self, message: DomainMessage, now: float) -> None:
+    def _receive_domain_message(self, message: DomainMessage, now: float) -> None:
         context = self._context
         if message.failure_domain == context.settings.failure_domain:
             return
         for news in message.routers:
             if news.name != context.settings.name:
-                self._hear_news(news, now)
+                self._receive_update(news, now)
         if message.failure_domain in context.peers.far_domains():
             source = DOMAIN_SOURCE + message.failure_domain
             context.targets.hear_loads(source, message.loads)
         context.dispatcher.prefix_reads.hear(message.reads)
-        self._hear_of_suspects(message.quarantine, is_near=False)
-        hear_statements(context, message.statements, message.failure_domain)
-        if not message.is_passed_on:
-            data = msgpack.encode(replace(message, is_passed_on=True))
+        self._merge_quarantine(message.quarantine, is_near=False)
+        merge_statements(context, message.statements, message.failure_domain)
+        if not message.is_forwarded:
+            data = msgpack.encode(replace(message, is_forwarded=True))
             self._send(data, context.peers.near())
 
-    def _hear_news(self, news: RouterNews, now: float) -> bool:
+    def _receive_update(self, news: RouterUpdate, now: float) -> bool:
         """Take what is new of a router; False if it is old."""
         peer = news.to_peer()
         if not self._context.peers.hear(peer, now):
             return False
-        self._news_by_name[news.name] = news
-        self._reach.hear_elsewhere(news.store_well_s)
+        self._updates_by_name[news.name] = news
+        self._store_health.update_peer_health(news.store_healthy_s)
         self._context.allowances.hear(
             life_of(peer),
             news.spent,
             is_new=news.age_s < now - self._started_at,
             now=now,
         )
-        self._context.allowances.urgent_demand.hear(life_of(peer), news.asked, now)
+        self._context.allowances.urgent_demand.hear(life_of(peer), news.demand, now)
         self._context.rollouts.hear(life_of(peer), news.rollouts, now)
         return True
 
-    def _hear_of_suspects(self, news: QuarantineNews, *, is_near: bool) -> None:
+    def _merge_quarantine(self, news: QuarantineNews, *, is_near: bool) -> None:
         context = self._context
         context.quarantine.hear(news, context.clock(), is_near=is_near)
 
@@ -408,16 +416,16 @@
         """Forget a peer whose life has ended."""
         self._context.targets.hear_loads(peer.name, {})
         self._context.allowances.forget(life_of(peer))
-        self._news_by_name.pop(peer.name, None)
+        self._updates_by_name.pop(peer.name, None)
 
 
-def tell_interval_s(peers: int) -> float:
+def send_interval_s(peers: int) -> float:
     """Return the time between two messages, which grows with the peers told.
 
     Each router tells every other near one, so that the messages that one router
     receives would otherwise grow with their number, and the sum with its square.
     """
-    return _grown_s(TELL_S, peers)
+    return _scaled_interval_s(SEND_INTERVAL_S, peers)
 
 
 def relay_interval_s(peers: int) -> float:
@@ -425,11 +433,11 @@
 
     Each of them is passed on to all routers near the one that gets it.
     """
-    return _grown_s(RELAY_S, peers)
+    return _scaled_interval_s(RELAY_INTERVAL_S, peers)
 
 
-def _grown_s(shortest_s: float, peers: int) -> float:
-    return min(shortest_s * max(1.0, peers / PEERS_OF_ONE_MESH), LONGEST_TELL_S)
+def _scaled_interval_s(shortest_s: float, peers: int) -> float:
+    return min(shortest_s * max(1.0, peers / PEERS_OF_ONE_MESH), MAX_SEND_INTERVAL_S)
 
 
 def life_of(peer: Peer) -> str:
--- a/libs/direct/src/berylwalk/direct/_quarantine_note.py
+++ b/libs/direct/src/berylwalk/direct/_quarantine_store.py
@@ -14,7 +14,7 @@
 from msgspec import DecodeError, json, structs
 
 from berylwalk.direct._context import RouterContext
-from berylwalk.direct._store_reach import StoreReach
+from berylwalk.direct._store_health import StoreHealth
 from berylwalk.platform import (
     Conflict,
     KeyValue,
@@ -34,27 +34,27 @@
     record_key,
 )
 
-LOOK_S = 15.0
+SCAN_INTERVAL_S = 15.0
 """Time between two looks at the records while there are any: an operator who lets a
 request through waits no longer."""
-TURN_S = 0.5
+SYNC_INTERVAL_S = 0.5
 """Time between two looks at what is to be written."""
-OTHERS_WRITE_AFTER_S = 2.0
+FALLBACK_WRITE_DELAY_S = 2.0
 """Time after which a router writes what the first one should have written."""
-FORGOTTEN_AFTER_S = 86_400.0
+RECORD_TTL_S = 86_400.0
 """Age by the time of day at which a record is deleted: a request that still ends
 targets then is known again after three of them."""
 
 
 @dataclass(frozen=True, slots=True)
-class _Known:
+class _StoredRecord:
     """A record, and the store's revision of it; 0 if it is not there."""
 
     record: Record
     revision: int
 
 
-class QuarantineNote:
+class QuarantineStore:
     """Reads the records at the start, and keeps them in step with what is believed.
 
     Parameters
@@ -63,7 +63,7 @@
         The router's state.
     store : KeyValueClient
         The platform's store.
-    reach : StoreReach
+    store_health : StoreReach
         Paces calls of it that failed.
     wall_clock : callable
         Time of day, in seconds since the epoch.
@@ -73,38 +73,38 @@
         self,
         context: RouterContext,
         store: KeyValueClient,
-        reach: StoreReach,
+        store_health: StoreHealth,
         *,
         wall_clock: Callable[[], float] = time,
     ) -> None:
         self._context = context
         self._store = store
-        self._reach = reach
+        self._store_health = store_health
         self._wall_clock = wall_clock
-        self._known: dict[Identity, _Known] = {}
+        self._stored: dict[Identity, _StoredRecord] = {}
         self._due_since: dict[Identity, float] = {}
-        self._looked_at = context.clock()
-        self._woken = Event()
+        self._scanned_at = context.clock()
+        self._wake_event = Event()
 
     def wake(self) -> None:
         """Look at once at what is to be written."""
-        self._woken.set()
+        self._wake_event.set()
 
     async def run(self) -> None:
         """Read all records, then write and look for ever."""
         failures = 0
         while not await self._read_all("read-quarantine"):
             failures += 1
-            await self._reach.pause(failures)
-        if self._known:
-            self._context.log.process("quarantine-read", records=len(self._known))
+            await self._store_health.back_off(failures)
+        if self._stored:
+            self._context.log.process("quarantine-read", records=len(self._stored))
         while True:
-            with move_on_after(TURN_S):
-                await self._woken.wait()
-            self._woken = Event()
-            await self._turn()
+            with move_on_after(SYNC_INTERVAL_S):
+                await self._wake_event.wait()
+            self._wake_event = Event()
+            await self._sync()
 
-    async def take_trial(self, identity: Identity) -> bool:
+    async def acquire_trial_permit(self, identity: Identity) -> bool:
         """Return whether a request that is to blame may be sent once.
 
         Parameters
@@ -113,7 +113,7 @@
             Which request.
         """
         context = self._context
-        item = await self._reach.ask(
+        item = await self._store_health.track(
             "read-trial", self._store.get(record_key(identity))
         )
         if isinstance(item, Unavailable):
@@ -122,9 +122,9 @@
             if context.quarantine.noted.get(identity):
                 self._release(identity)
                 return True
-            known = _Known(self._record_of(identity), 0)
+            known = _StoredRecord(self._record_of(identity), 0)
         else:
-            known = self._take(identity, item)
+            known = self._load_record(identity, item)
             if known is None:
                 return False
         if context.quarantine.standing(identity, context.clock()) is not Standing.TRIAL:
@@ -137,17 +137,17 @@
         context.log.process("trial-permitted", identity=identity.hex(), trials=trials)
         return True
 
-    async def _turn(self) -> None:
+    async def _sync(self) -> None:
         now = self._context.clock()
         is_first = self._context.peers.is_first(now)
         for identity in self._due(now, is_first=is_first):
             if not await self._write_evidence(identity):
                 return
         if is_first:
-            await self._delete_settled()
-        has_records = bool(self._known or self._context.quarantine.blames)
-        if is_first and has_records and now - self._looked_at >= LOOK_S:
-            await self._look()
+            await self._delete_cleared()
+        has_records = bool(self._stored or self._context.quarantine.blames)
+        if is_first and has_records and now - self._scanned_at >= SCAN_INTERVAL_S:
+            await self._scan()
 
     def _due(self, now: float, *, is_first: bool) -> list[Identity]:
         """Return the requests whose ends the store does not have."""
@@ -164,17 +164,17 @@
         return [
             identity
             for identity, since in self._due_since.items()
-            if is_first or now - since >= OTHERS_WRITE_AFTER_S
+            if is_first or now - since >= FALLBACK_WRITE_DELAY_S
         ]
 
     async def _write_evidence(self, identity: Identity) -> bool:
         """Write the ends under a request; False if the store can't be reached."""
-        known = self._known.get(identity)
+        known = self._stored.get(identity)
         revision = 0 if known is None else known.revision
         return await self._write(identity, self._record_of(identity), revision)
 
     def _record_of(self, identity: Identity) -> Record:
-        known = self._known.get(identity)
+        known = self._stored.get(identity)
         ended = set(self._context.quarantine.ended(identity))
         if known is None:
             return Record(sorted(ended), noted_s=round(self._wall_clock()))
@@ -183,26 +183,28 @@
     async def _write(self, identity: Identity, record: Record, revision: int) -> bool:
         """Write a record under the condition of its revision; True if that was met."""
         value = json.encode(record)
-        result = await self._reach.ask(
+        result = await self._store_health.track(
             "note-quarantine",
             self._store.compare_and_swap(record_key(identity), value, revision),
         )
         match result:
             case Swapped():
-                self._known[identity] = _Known(record, result.mod_revision)
+                self._stored[identity] = _StoredRecord(record, result.mod_revision)
                 self._context.quarantine.note_recorded(identity, len(record.ended))
                 return True
             case Conflict(current=None):
                 # Deleted since it was read.
                 self._release(identity)
             case Conflict():
-                self._take(identity, result.current)
+                self._load_record(identity, result.current)
             case Lost() | Unavailable():
-                await self._reach.pause(1)
+                await self._store_health.back_off(1)
         return False
 
     async def _read_all(self, purpose: str) -> bool:
-        items = await self._reach.ask(purpose, self._store.get_prefix(RECORDS_PREFIX))
+        items = await self._store_health.track(
+            purpose, self._store.get_prefix(RECORDS_PREFIX)
+        )
         if isinstance(items, Unavailable):
             return False
         listed = {
@@ -210,53 +212,55 @@
             for item in items
             if (identity := self._identity_of(item)) is not None
         }
-        for identity in list(self._known):
+        for identity in list(self._stored):
             if identity not in listed:
                 self._release(identity)
         for identity, item in listed.items():
-            self._take(identity, item)
+            self._load_record(identity, item)
         return True
 
-    async def _look(self) -> None:
+    async def _scan(self) -> None:
         """See what operators deleted, and delete what is too old."""
-        self._looked_at = self._context.clock()
+        self._scanned_at = self._context.clock()
         if not await self._read_all("look-quarantine"):
             return
         now_s = self._wall_clock()
         old = [
             identity
-            for identity, known in self._known.items()
-            if now_s - known.record.noted_s > FORGOTTEN_AFTER_S
+            for identity, known in self._stored.items()
+            if now_s - known.record.noted_s > RECORD_TTL_S
         ]
         for identity in old:
             if await self._delete(identity):
                 self._release(identity)
 
-    async def _delete_settled(self) -> None:
+    async def _delete_cleared(self) -> None:
         """Delete the records of requests that were cleared.
 
         Not of those whose ends others explain for now: to all routers a record that is
         gone means that the request is let through.
         """
-        for identity in list(self._known):
+        for identity in list(self._stored):
             if not self._context.quarantine.ended(identity):
                 await self._delete(identity)
 
     async def _delete(self, identity: Identity) -> bool:
-        known = self._known[identity]
-        result = await self._reach.ask(
+        known = self._stored[identity]
+        result = await self._store_health.track(
             "end-quarantine",
             self._store.delete_if(record_key(identity), known.revision),
         )
         if isinstance(result, Unavailable | Lost):
             return False
         if isinstance(result, Conflict) and result.current is not None:
-            self._known[identity] = replace(known, revision=result.current.mod_revision)
+            self._stored[identity] = replace(
+                known, revision=result.current.mod_revision
+            )
             return False
-        del self._known[identity]
+        del self._stored[identity]
         return True
 
-    def _take(self, identity: Identity, item: KeyValue) -> _Known | None:
+    def _load_record(self, identity: Identity, item: KeyValue) -> _StoredRecord | None:
         """Take a record as the store has it; None if it can't be read.
 
         One that can't is written anew, or deleted if there is nothing to keep. How many
@@ -271,9 +275,9 @@
                 detail=repr(error),
             )
             spent = Record([], trials=len(TRIAL_AFTER_S))
-            self._known[identity] = _Known(spent, item.mod_revision)
+            self._stored[identity] = _StoredRecord(spent, item.mod_revision)
             return None
-        known = self._known[identity] = _Known(record, item.mod_revision)
+        known = self._stored[identity] = _StoredRecord(record, item.mod_revision)
         quarantine = self._context.quarantine
         quarantine.learn(identity, record.ended, record.trials, self._context.clock())
         quarantine.note_recorded(identity, len(record.ended))
@@ -281,7 +285,7 @@
 
     def _release(self, identity: Identity) -> None:
         """Let a request through whose record is gone."""
-        self._known.pop(identity, None)
+        self._stored.pop(identity, None)
         context = self._context
         if context.quarantine.note_answered(identity, context.clock()):
             context.log.process("request-released", identity=identity.hex())
--- a/libs/direct/src/berylwalk/direct/_relay.py
+++ b/libs/direct/src/berylwalk/direct/_response_writer.py
@@ -5,7 +5,7 @@
 from berylwalk.forwarding import CallerConnection, Event, Headers, end_to_end
 
 
-class Relay:
+class ResponseWriter:
     """Passes whole events on, in order and each once.
 
     Parameters
@@ -34,11 +34,11 @@
         """Whether the caller keeps up."""
         return self._connection.is_writable
 
-    def when_writable(self, tell: Callable[[bool], None] | None) -> None:
+    def set_on_writable(self, callback: Callable[[bool], None] | None) -> None:
         """Have changes of `is_writable` told."""
-        self._connection.on_writable = tell
+        self._connection.on_writable = callback
 
-    def pass_on(self, status: int, headers: Headers, events: list[Event]) -> None:
+    def write_events(self, status: int, headers: Headers, events: list[Event]) -> None:
         """Send events that the caller does not have yet.
 
         The head is that of the first attempt that brought an event.
@@ -65,7 +65,7 @@
             self._connection.start_stream(status, end_to_end(headers))
         self._connection.end_stream()
 
-    def answer(self, status: int, headers: Headers, body: bytes) -> None:
+    def write_response(self, status: int, headers: Headers, body: bytes) -> None:
         """Send a whole answer."""
         self.started = True
         self._connection.respond(status, end_to_end(headers), body)
--- a/libs/direct/src/berylwalk/direct/_rollout_note.py
+++ b/libs/direct/src/berylwalk/direct/_rollout_coordinator.py
@@ -13,11 +13,11 @@
 from msgspec import DecodeError, json
 
 from berylwalk.direct._context import RouterContext
-from berylwalk.direct._entry_findings import EntryFindings
-from berylwalk.direct._mirrored_prefix import MirroredPrefix, MirrorRules, ReadingRole
+from berylwalk.direct._invalid_items import InvalidItemLog
+from berylwalk.direct._mirrored_prefix import MirroredPrefix, MirrorRules, ReadRole
 from berylwalk.direct._peering import life_of
-from berylwalk.direct._shared_reading import SharedReading
-from berylwalk.direct._store_reach import StoreReach
+from berylwalk.direct._shared_reads import SharedReads
+from berylwalk.direct._store_health import StoreHealth
 from berylwalk.platform import (
     Conflict,
     EventKind,
@@ -39,24 +39,24 @@
     service_of_record_key,
 )
 
-RECORD_BOUND_S = 2.4
+RECORD_MAX_AGE_S = 2.4
 """Age that what is known of a record may reach while the store is well, in seconds:
 below that from which nothing is sent to a version that is not proved."""
-RECORD_LEAN_S = 1.2
+RECORD_PEER_DATA_MAX_AGE_S = 1.2
 """Age up to which the word of other routers on records is enough, in seconds."""
-LIST_S = 1.0
+LIST_INTERVAL_S = 1.0
 """Time between two lists of the records: a lost answer of a watch shows by it."""
-TURN_S = 0.1
+STEP_INTERVAL_S = 0.1
 """Time between two looks at whether a roll-out goes on to its next phase."""
-IDLE_S = 5.0
+IDLE_INTERVAL_S = 5.0
 """The same while there is none."""
-OTHERS_LOOK_S = 0.4
+FALLBACK_STEP_INTERVAL_S = 0.4
 """The same for a router that would write only what the first one does not."""
-OTHERS_WRITE_AFTER_S = 1.0
+FALLBACK_WRITE_DELAY_S = 1.0
 """Time after which a router writes what the first one should have written."""
 
 
-class RolloutNote:
+class RolloutCoordinator:
     """Reads and writes records while orders are under way.
 
     Parameters
@@ -65,9 +65,9 @@
         The router's state.
     store : KeyValueClient
         The platform's store.
-    reach : StoreReach
+    store_health : StoreReach
         Paces calls of it that failed.
-    reading : SharedReading
+    shared_reads : SharedReading
         What the routers ask each other about the store.
     role : ReadingRole
         Whether this router reads the store for itself only.
@@ -79,31 +79,31 @@
         self,
         context: RouterContext,
         store: KeyValueClient,
-        reach: StoreReach,
+        store_health: StoreHealth,
         *,
-        reading: SharedReading,
-        role: ReadingRole,
+        shared_reads: SharedReads,
+        role: ReadRole,
         wall_clock: Callable[[], float] = time,
     ) -> None:
         self._context = context
         self._store = store
-        self._reach = reach
-        self._reading = reading
+        self._store_health = store_health
+        self._shared_reads = shared_reads
         self._role = role
         self._wall_clock = wall_clock
-        self._woken = Event()
+        self._wake_event = Event()
         self._mirror: MirroredPrefix | None = None
         self._mirror_scope: CancelScope | None = None
         self._revisions_by_service: dict[str, int] = {}
-        self._is_read = False
-        self._looked_at = float("-inf")
+        self._is_loaded = False
+        self._stepped_at = float("-inf")
         self._due_since: dict[tuple[str, str], float] = {}
-        self._findings = EntryFindings(context, "rollout-record-invalid")
+        self._invalid_items = InvalidItemLog(context, "rollout-record-invalid")
         context.rollouts.record_age_s = self._record_age_s
 
     def wake(self) -> None:
         """Look at once."""
-        self._woken.set()
+        self._wake_event.set()
 
     def _record_age_s(self) -> float:
         return float("inf") if self._mirror is None else self._mirror.age_s()
@@ -112,76 +112,76 @@
         """Follow orders for ever."""
         async with create_task_group() as tasks:
             while True:
-                is_busy = self._wants_records()
-                with move_on_after(TURN_S if is_busy else IDLE_S):
-                    await self._woken.wait()
-                self._woken = Event()
-                self._run_mirror(tasks)
-                if self._is_read:
-                    await self._turn()
+                is_busy = self._needs_records()
+                with move_on_after(STEP_INTERVAL_S if is_busy else IDLE_INTERVAL_S):
+                    await self._wake_event.wait()
+                self._wake_event = Event()
+                self._update_mirror(tasks)
+                if self._is_loaded:
+                    await self._step()
 
     # Reading.
 
-    def _wants_records(self) -> bool:
+    def _needs_records(self) -> bool:
         """Return whether an order is under way, or its end is still to be told."""
         return any(
-            progress.is_open or self._wants_status(progress)
+            progress.is_open or self._needs_status_update(progress)
             for progress in self._context.rollouts.progresses
         )
 
-    def _run_mirror(self, tasks: TaskGroup) -> None:
+    def _update_mirror(self, tasks: TaskGroup) -> None:
         """Read records while that is wanted, and only then."""
-        if self._wants_records():
+        if self._needs_records():
             if self._mirror is None:
                 self._mirror = self._new_mirror()
-                self._reading.add(self._mirror)
-                tasks.start_soon(self._follow, self._mirror)
+                self._shared_reads.add(self._mirror)
+                tasks.start_soon(self._run_mirror, self._mirror)
         elif self._mirror is not None:
-            self._reading.remove(self._mirror)
+            self._shared_reads.remove(self._mirror)
             self._mirror_scope.cancel()
             self._mirror = None
-            self._is_read = False
+            self._is_loaded = False
 
     def _new_mirror(self) -> MirroredPrefix:
         rules = MirrorRules(
             prefix=RECORDS_PREFIX,
             name="rollouts",
-            bound_s=RECORD_BOUND_S,
-            list_gap_s=lambda: LIST_S,
-            lean_s=RECORD_LEAN_S,
+            bound_s=RECORD_MAX_AGE_S,
+            list_gap_s=lambda: LIST_INTERVAL_S,
+            peer_data_max_age_s=RECORD_PEER_DATA_MAX_AGE_S,
             is_steady=True,
         )
         return MirroredPrefix(
             self._store,
-            self._reach,
+            self._store_health,
             rules,
             clock=self._context.clock,
-            on_list=lambda items, revision, asked_at: self._take_all(items),
-            on_changes=self._take_changes,
-            on_known=lambda items, known_at: self._take_all(items),
+            on_list=lambda items, revision, asked_at: self._apply_all(items),
+            on_changes=self._apply_changes,
+            on_known=lambda items, known_at: self._apply_all(items),
             role=self._role,
         )
 
-    async def _follow(self, mirror: MirroredPrefix) -> None:
+    async def _run_mirror(self, mirror: MirroredPrefix) -> None:
         with CancelScope() as self._mirror_scope:
             await mirror.run()
 
-    def _take_all(self, items: list[KeyValue]) -> None:
-        self._is_read = True
+    def _apply_all(self, items: list[KeyValue]) -> None:
+        self._is_loaded = True
         for item in items:
-            self._take(item)
+            self._load_record(item)
         self.wake()
 
-    def _take_changes(self, events: list[WatchEvent], known_at: float) -> None:
+    def _apply_changes(self, events: list[WatchEvent], known_at: float) -> None:
         for event in events:
             if event.kind is EventKind.PUT:
-                self._take(event.key_value)
+                self._load_record(event.key_value)
             else:
                 service = service_of_record_key(event.key_value.key)
                 self._revisions_by_service.pop(service, None)
         self.wake()
 
-    def _take(self, item: KeyValue) -> None:
+    def _load_record(self, item: KeyValue) -> None:
         """Take a record; one that can't be read is written anew."""
         service = service_of_record_key(item.key)
         known = self._revisions_by_service.get(service, 0)
@@ -189,12 +189,14 @@
         try:
             record = json.decode(item.value, type=Record)
         except (DecodeError, UnicodeError, RecursionError) as error:
-            self._findings.note(item.key.decode("latin-1"), "not-readable", repr(error))
+            self._invalid_items.report(
+                item.key.decode("latin-1"), "not-readable", repr(error)
+            )
             return
         age_s = self._wall_clock() - record.began_s
-        self._adopt(service, record, age_s)
+        self._apply_record(service, record, age_s)
 
-    def _adopt(self, service: str, record: Record, age_s: float | None) -> None:
+    def _apply_record(self, service: str, record: Record, age_s: float | None) -> None:
         context = self._context
         if not context.rollouts.take_record(service, record, context.clock(), age_s):
             return
@@ -210,26 +212,30 @@
 
     # Writing.
 
-    async def _turn(self) -> None:
+    async def _step(self) -> None:
         context = self._context
         now = context.clock()
         is_first = context.peers.is_first(now)
-        if not is_first and now - self._looked_at < OTHERS_LOOK_S:
+        if not is_first and now - self._stepped_at < FALLBACK_STEP_INTERVAL_S:
             return
-        self._looked_at = now
+        self._stepped_at = now
         for progress in context.rollouts.progresses:
             record = self._next_record(progress, now)
             if record is not None:
                 if self._is_due(progress, record.phase, now):
                     await self._write(progress.order.service, record)
-            elif self._wants_status(progress) and self._is_due(progress, "told", now):
-                await self._tell_operators(progress)
+            elif self._needs_status_update(progress) and self._is_due(
+                progress, "told", now
+            ):
+                await self._write_status(progress)
 
     def _is_due(self, progress: Progress, step: str, now: float) -> bool:
         """Return whether it is for this router to take a step now."""
         key = (f"{progress.order.service}/{progress.order.revision}", step)
         since = self._due_since.setdefault(key, now)
-        return self._context.peers.is_first(now) or now - since >= OTHERS_WRITE_AFTER_S
+        return (
+            self._context.peers.is_first(now) or now - since >= FALLBACK_WRITE_DELAY_S
+        )
 
     def _next_record(self, progress: Progress, now: float) -> Record | None:
         """Return the record as it has to be written; None if it needs no change."""
@@ -261,7 +267,7 @@
     async def _write(self, service: str, record: Record) -> None:
         """Write a record under the condition that nobody has changed it."""
         revision = self._revisions_by_service.get(service, 0)
-        result = await self._reach.ask(
+        result = await self._store_health.track(
             "write-rollout",
             self._store.compare_and_swap(
                 record_key(service), json.encode(record), revision
@@ -270,28 +276,30 @@
         match result:
             case Swapped():
                 self._revisions_by_service[service] = result.mod_revision
-                self._adopt(service, record, None)
+                self._apply_record(service, record, None)
                 self._context.rollouts.on_news()
             case Conflict(current=None):
                 self._revisions_by_service.pop(service, None)
             case Conflict():
-                self._take(result.current)
+                self._load_record(result.current)
             case Lost() | Unavailable():
-                await self._reach.pause(1)
+                await self._store_health.back_off(1)
 
     # Telling operators.
 
-    def _wants_status(self, progress: Progress) -> bool:
+    def _needs_status_update(self, progress: Progress) -> bool:
         record = progress.record
         return record is not None and progress.told_number < record.number
 
-    async def _tell_operators(self, progress: Progress) -> None:
+    async def _write_status(self, progress: Progress) -> None:
         """Write the status that follows from the record, unless it is there."""
         record, service = progress.record, progress.order.service
         key = rollout_status_key(service)
-        item = await self._reach.ask("read-rollout-status", self._store.get(key))
+        item = await self._store_health.track(
+            "read-rollout-status", self._store.get(key)
+        )
         if isinstance(item, Unavailable):
-            await self._reach.pause(1)
+            await self._store_health.back_off(1)
             return
         if item is not None and is_rollout_status(
             item.value, record.phase, record.version
@@ -300,7 +308,7 @@
             return
         value = encode_rollout_status(record.phase, record.version)
         revision = 0 if item is None else item.mod_revision
-        result = await self._reach.ask(
+        result = await self._store_health.track(
             "write-rollout-status", self._store.compare_and_swap(key, value, revision)
         )
         if isinstance(result, Swapped):
@@ -315,4 +323,4 @@
         elif isinstance(result, Conflict):
             self._context.log.process("rollout-status-changed-by-others", key=str(key))
         else:
-            await self._reach.pause(1)
+            await self._store_health.back_off(1)
--- a/libs/direct/src/berylwalk/direct/_shared_reading.py
+++ b/libs/direct/src/berylwalk/direct/_shared_reads.py
@@ -20,57 +20,59 @@
 
 from berylwalk.direct._context import RouterContext
 from berylwalk.direct._mirrored_prefix import MirroredPrefix
-from berylwalk.direct._store_reach import StoreReach
+from berylwalk.direct._store_health import StoreHealth
 from berylwalk.dispatch import Peer
 from berylwalk.reading import PendingAsks, ReadingAsk, ReadingTell
 
-LONGEST_AGE_S = 1e6
+MAX_AGE_S = 1e6
 """Logged for what was never known."""
-ASK_S = 0.4
+QUERY_INTERVAL_S = 0.4
 """Time between two questions: a fifth of the age up to which their answers are enough
 in fleets whose bounds are four seconds."""
 
 
-class Way(StrEnum):
+class ReadMode(StrEnum):
     """How a router comes to know the store."""
 
-    FOR_OTHERS = "reads-for-others"
+    READER = "reads-for-others"
     """It reads, and others go by its word."""
 
-    ALONE = "reads-alone"
+    STANDALONE = "reads-alone"
     """It reads for itself: the fleet is small, or the word of others is too old."""
 
-    TOLD = "goes-by-the-word-of-others"
+    FOLLOWER = "goes-by-the-word-of-others"
 
 
-NUMBER_BY_WAY = {Way.TOLD: 0, Way.ALONE: 1, Way.FOR_OTHERS: 2}
+GAUGE_VALUE_BY_MODE = {ReadMode.FOLLOWER: 0, ReadMode.STANDALONE: 1, ReadMode.READER: 2}
 """How metrics show the way."""
 
 Send = Callable[[bytes, Iterable[Peer]], None]
 
 
-class SharedReading:
+class SharedReads:
     """Asks and tells what is known of the store.
 
     Parameters
     ----------
     context : RouterContext
         The router's state.
-    reach : StoreReach
+    store_health : StoreReach
         Whether the store answers this router.
     send : callable
         Sends a message to peers.
     """
 
-    def __init__(self, context: RouterContext, reach: StoreReach, send: Send) -> None:
+    def __init__(
+        self, context: RouterContext, store_health: StoreHealth, send: Send
+    ) -> None:
         self._context = context
-        self._reach = reach
+        self._store_health = store_health
         self._send = send
         self._pending = PendingAsks()
         self._mirrors_by_name: dict[str, MirroredPrefix] = {}
-        self._far_turns = count()
-        self._way: Way | None = None
-        self._told_by = ""
+        self._remote_turns = count()
+        self._mode: ReadMode | None = None
+        self._last_source = ""
 
     def add(self, mirror: MirroredPrefix) -> None:
         """Ask and tell of some items from now on."""
@@ -80,73 +82,77 @@
         """Ask and tell of some items no more."""
         self._mirrors_by_name.pop(mirror.name, None)
 
-    def reads_for_others(self) -> bool:
+    def serves_peers(self) -> bool:
         """Return whether other routers take this one's word."""
         peers = self._context.peers
         is_shared = bool(peers.far_domains())
         return is_shared and peers.is_relay(self._context.clock())
 
-    def leans(self) -> bool:
+    def follows_peers(self) -> bool:
         """Return whether this router takes the word of others in place of calls."""
         if not self._context.peers.far_domains():
             return False
-        return not self.reads_for_others() and self._reach.trusts_others()
+        return not self.serves_peers() and self._store_health.accepts_peer_data()
 
     async def run(self) -> None:
         """Ask for ever."""
         while True:
-            await sleep(ASK_S)
-            self._note_way()
-            for peer in self._peers_to_ask():
-                self._ask(peer)
+            await sleep(QUERY_INTERVAL_S)
+            self._update_mode()
+            for peer in self._peers_to_query():
+                self._send_query(peer)
 
     @property
-    def way(self) -> Way:
+    def mode(self) -> ReadMode:
         """How this router comes to know the store now."""
-        if self.reads_for_others():
-            return Way.FOR_OTHERS
-        return Way.TOLD if self.leans() and self._is_fresh() else Way.ALONE
+        if self.serves_peers():
+            return ReadMode.READER
+        return (
+            ReadMode.FOLLOWER
+            if self.follows_peers() and self._is_fresh()
+            else ReadMode.STANDALONE
+        )
 
-    def _note_way(self) -> None:
-        way = self.way
-        if way is self._way:
+    def _update_mode(self) -> None:
+        mode = self.mode
+        if mode is self._mode:
             return
-        self._way = way
-        self._context.metrics.reads_store.set(NUMBER_BY_WAY[way])
+        self._mode = mode
+        self._context.metrics.reads_store.set(GAUGE_VALUE_BY_MODE[mode])
         self._context.log.process(
             "store-reading",
-            way=way,
-            last_told_by=self._told_by,
+            way=mode,
+            last_told_by=self._last_source,
             unanswered=sum(self._pending.unanswered_by_name.values()),
             ages_ms={
-                name: round(min(mirror.age_s(), LONGEST_AGE_S) * 1000)
+                name: round(min(mirror.age_s(), MAX_AGE_S) * 1000)
                 for name, mirror in self._mirrors_by_name.items()
             },
         )
 
-    def _peers_to_ask(self) -> list[Peer]:
+    def _peers_to_query(self) -> list[Peer]:
         peers, now = self._context.peers, self._context.clock()
         far_domains = sorted(peers.far_domains())
-        if not far_domains or not self._reach.trusts_others():
+        if not far_domains or not self._store_health.accepts_peer_data():
             return []
         self._pending.keep_only(set(peers.by_name))
         reader = None if peers.is_relay(now) else peers.first_near(now)
         asked = [] if reader is None else [reader]
         answers = reader is not None and not self._pending.is_owing(reader.name)
         if not answers and not self._is_fresh():
-            asked += self._far_reader(far_domains, now)
+            asked += self._remote_reader(far_domains, now)
         return asked
 
     def _is_fresh(self) -> bool:
         return all(mirror.is_fresh for mirror in self._mirrors_by_name.values())
 
-    def _far_reader(self, far_domains: list[str], now: float) -> list[Peer]:
+    def _remote_reader(self, far_domains: list[str], now: float) -> list[Peer]:
         """Return the reader of another failure domain, another one each time."""
-        turn = next(self._far_turns) % len(far_domains)
+        turn = next(self._remote_turns) % len(far_domains)
         reader = self._context.peers.relay_of(far_domains[turn], now)
         return [] if reader is None else [reader]
 
-    def _ask(self, peer: Peer) -> None:
+    def _send_query(self, peer: Peer) -> None:
         settings = self._context.settings
         ask = ReadingAsk(
             settings.name,
@@ -157,7 +163,7 @@
         )
         self._send(msgpack.encode(ask), [peer])
 
-    def hear_ask(self, ask: ReadingAsk) -> None:
+    def handle_query(self, ask: ReadingAsk) -> None:
         """Answer with what is known here."""
         words = [
             self._mirrors_by_name[name].word(since)
@@ -172,17 +178,17 @@
         asker = Peer(ask.sender, ask.host, ask.port, "")
         self._send(msgpack.encode(tell), [asker])
 
-    def hear_tell(self, tell: ReadingTell) -> None:
+    def handle_reply(self, tell: ReadingTell) -> None:
         """Take what another router knows."""
         asked_at = self._pending.answer(tell.number, tell.sender)
-        if asked_at is None or not self._reach.trusts_others():
+        if asked_at is None or not self._store_health.accepts_peer_data():
             return
-        self._told_by = tell.sender
+        self._last_source = tell.sender
         for word in tell.words:
             mirror = self._mirrors_by_name.get(word.name)
             if mirror is None:
                 continue
             is_all = mirror.take_word(word, asked_at)
-            self._reach.hear_answer(asked_at - word.age_s)
+            self._store_health.record_peer_answer(asked_at - word.age_s)
             outcome = "taken" if is_all else "changes-not-told"
             self._context.metrics.words.labels(word.name, outcome).inc()
--- a/libs/direct/src/berylwalk/direct/_speed_note.py
+++ b/libs/direct/src/berylwalk/direct/_speed_store.py
@@ -11,14 +11,14 @@
 from msgspec import DecodeError, Struct, json
 
 from berylwalk.direct._context import RouterContext
-from berylwalk.direct._store_reach import StoreReach
+from berylwalk.direct._store_health import StoreHealth
 from berylwalk.dispatch import TargetSpeed
 from berylwalk.platform import KeyValue, KeyValueClient, Unavailable
 
-NOTE_KEY = b"berylwalk/speeds"
-NOTE_GAP_S = 4.0
+SNAPSHOT_KEY = b"berylwalk/speeds"
+WRITE_INTERVAL_S = 4.0
 """Time between two notes. Speeds change seldom, and each call is paid for."""
-DIGITS = 5
+DECIMALS = 5
 """Decimals of the times that are noted, in seconds."""
 
 
@@ -37,7 +37,7 @@
     start_models: dict[str, tuple[float, float, float]]
 
 
-class SpeedNote:
+class SpeedStore:
     """Reads the note of an earlier life once, then writes it now and then.
 
     Only one router writes.
@@ -48,38 +48,40 @@
         The router's state.
     store : KeyValueClient
         The platform's store.
-    reach : StoreReach
+    store_health : StoreReach
         Paces calls of it that failed.
     """
 
     def __init__(
-        self, context: RouterContext, store: KeyValueClient, reach: StoreReach
+        self, context: RouterContext, store: KeyValueClient, store_health: StoreHealth
     ) -> None:
         self._context = context
         self._store = store
-        self._reach = reach
-        self._noted: Speeds | None = None
+        self._store_health = store_health
+        self._last_written: Speeds | None = None
 
     async def run(self) -> None:
         """Read once, then write for ever."""
         failures = 0
-        while isinstance(note := await self._read(), Unavailable):
+        while isinstance(snapshot := await self._read(), Unavailable):
             failures += 1
-            await self._reach.pause(failures)
-        if note is not None:
-            self._learn_from(note)
+            await self._store_health.back_off(failures)
+        if snapshot is not None:
+            self._restore(snapshot)
         while True:
-            await sleep(NOTE_GAP_S)
+            await sleep(WRITE_INTERVAL_S)
             if self._context.peers.is_first(self._context.clock()):
                 await self._write()
 
     async def _read(self) -> KeyValue | Unavailable | None:
-        return await self._reach.ask("read-speeds", self._store.get(NOTE_KEY))
+        return await self._store_health.track(
+            "read-speeds", self._store.get(SNAPSHOT_KEY)
+        )
 
-    def _learn_from(self, note: KeyValue) -> None:
+    def _restore(self, snapshot: KeyValue) -> None:
         context = self._context
         try:
-            speeds = json.decode(note.value, type=Speeds)
+            speeds = json.decode(snapshot.value, type=Speeds)
         except (DecodeError, ValueError, RecursionError) as error:
             context.log.process("speeds-invalid", detail=repr(error))
             return
@@ -108,11 +110,11 @@
             if speed.slot_s is not None
         }
         speeds = Speeds(speeds_by_id, targets.start_models_by_service())
-        if speeds_by_id and speeds != self._noted:
-            await self._reach.ask(
-                "note-speeds", self._store.put(NOTE_KEY, json.encode(speeds))
+        if speeds_by_id and speeds != self._last_written:
+            await self._store_health.track(
+                "note-speeds", self._store.put(SNAPSHOT_KEY, json.encode(speeds))
             )
-            self._noted = speeds
+            self._last_written = speeds
 
 
 def _rounded(speed: TargetSpeed) -> TargetSpeed:
@@ -121,9 +123,9 @@
         slot_s=_rounded_s(speed.slot_s),
         output_token_s=_rounded_s(speed.output_token_s),
         event_s=_rounded_s(speed.event_s),
-        paused_share=round(speed.paused_share, DIGITS),
+        paused_share=round(speed.paused_share, DECIMALS),
     )
 
 
 def _rounded_s(seconds: float | None) -> float | None:
-    return None if seconds is None else round(seconds, DIGITS)
+    return None if seconds is None else round(seconds, DECIMALS)
--- a/libs/direct/src/berylwalk/direct/_statements_to_relay.py
+++ b/libs/direct/src/berylwalk/direct/_statement_aggregate.py
@@ -2,38 +2,38 @@
 
 from msgspec.structs import replace
 
-from berylwalk.direct._statements import MOST_RELAYED, StatementNews, in_turn
+from berylwalk.direct._statements import MAX_RELAYED_STATEMENTS, StatementUpdate, rotate
 from berylwalk.dispatch import NEWS_KEPT_S
 
 
-class StatementsToRelay:
+class StatementAggregate:
     """What the routers of the own failure domain said of targets, as last heard."""
 
     def __init__(self) -> None:
-        self._heard_by_router: dict[str, tuple[float, list[StatementNews]]] = {}
+        self._received_by_router: dict[str, tuple[float, list[StatementUpdate]]] = {}
 
-    def note(self, router: str, news: list[StatementNews], now: float) -> None:
+    def note(self, router: str, news: list[StatementUpdate], now: float) -> None:
         """Take what a router nearby told, in place of what it told before."""
         if news:
-            self._heard_by_router[router] = (now, news)
+            self._received_by_router[router] = (now, news)
         else:
-            self._heard_by_router.pop(router, None)
+            self._received_by_router.pop(router, None)
 
-    def merged(self, own: list[StatementNews], now: float) -> list[StatementNews]:
+    def merged(self, own: list[StatementUpdate], now: float) -> list[StatementUpdate]:
         """Return what was said of each target: its limit by the newest, as of now."""
         merged = {each.life_id: each for each in own}
-        for router, (heard_at, news) in list(self._heard_by_router.items()):
+        for router, (heard_at, news) in list(self._received_by_router.items()):
             if now - heard_at > NEWS_KEPT_S:
-                del self._heard_by_router[router]
+                del self._received_by_router[router]
                 continue
             for each in news:
-                aged = _aged(each, now - heard_at)
+                aged = _with_added_age(each, now - heard_at)
                 known = merged.get(each.life_id)
-                merged[each.life_id] = aged if known is None else _both(known, aged)
-        return in_turn(list(merged.values()), MOST_RELAYED, now)
+                merged[each.life_id] = aged if known is None else _merge(known, aged)
+        return rotate(list(merged.values()), MAX_RELAYED_STATEMENTS, now)
 
 
-def _aged(news: StatementNews, by_s: float) -> StatementNews:
+def _with_added_age(news: StatementUpdate, by_s: float) -> StatementUpdate:
     if news.limit_age_s is None:
         return news
     age_s = news.limit_age_s + by_s
@@ -42,7 +42,7 @@
     return replace(news, limit_age_s=age_s)
 
 
-def _both(one: StatementNews, other: StatementNews) -> StatementNews:
+def _merge(one: StatementUpdate, other: StatementUpdate) -> StatementUpdate:
     """Return the newer word on the limit, and that it leaves if either says so."""
     ages = [
         float("inf") if each.limit_age_s is None else each.limit_age_s
--- a/libs/direct/src/berylwalk/direct/_statements.py
+++ b/libs/direct/src/berylwalk/direct/_statements.py
@@ -18,15 +18,15 @@
     most_senders,
 )
 
-MOST_TOLD = 64
+MAX_STATEMENTS = 64
 """Statements in one message at most, a few kilobytes; of more, others in each turn."""
-MOST_RELAYED = 256
+MAX_RELAYED_STATEMENTS = 256
 """The same in a message of a relay."""
-TURN_S = 0.25
+ROTATION_INTERVAL_S = 0.25
 """Time after which others are told where there are too many for one message."""
 
 
-class StatementNews(Struct, array_like=True):
+class StatementUpdate(Struct, array_like=True):
     """What the answers of one target said to one router.
 
     Parameters
@@ -48,24 +48,24 @@
     is_leaving: bool = False
 
     @property
-    def belief(self) -> tuple[str, float | None, bool]:
+    def content(self) -> tuple[str, float | None, bool]:
         """What it says, its age left out."""
         return self.life_id, self.limit_per_s, self.is_leaving
 
 
-def take_statement(
+def apply_statement(
     context: RouterContext, target: Target, statement: TargetStatement, sent_at: float
 ) -> None:
     """Take what an answer states of a target; the other routers are told soon."""
     now = context.clock()
     changed = target.needs.note_answer(statement, sent_at=sent_at, now=now)
-    _note_changed(context, target, changed, told_by="target")
+    _on_needs_changed(context, target, changed, source="target")
     if Need.LIMIT in changed or Need.LEAVING in changed:
-        context.on_statement_news()
+        context.on_statement_change()
 
 
-def hear_statements(
-    context: RouterContext, news: Iterable[StatementNews], told_by: str
+def merge_statements(
+    context: RouterContext, news: Iterable[StatementUpdate], source: str
 ) -> None:
     """Take what another router told of targets."""
     now = context.clock()
@@ -79,10 +79,10 @@
             is_leaving=each.is_leaving,
         )
         changed = target.needs.hear(heard, now)
-        _note_changed(context, target, changed, told_by=told_by)
+        _on_needs_changed(context, target, changed, source=source)
 
 
-def own_statements(context: RouterContext) -> list[StatementNews]:
+def own_statements(context: RouterContext) -> list[StatementUpdate]:
     """Return what own answers said lately, to be told."""
     now = context.clock()
     told = []
@@ -90,32 +90,32 @@
         news = target.needs.news(now)
         if news is not None:
             told.append(
-                StatementNews(
+                StatementUpdate(
                     target.entry.life_id,
                     news.limit_age_s,
                     news.limit_per_s,
                     news.is_leaving,
                 )
             )
-    return in_turn(told, MOST_TOLD, now)
+    return rotate(told, MAX_STATEMENTS, now)
 
 
-def in_turn(news: list[StatementNews], most: int, now: float) -> list[StatementNews]:
+def rotate(news: list[StatementUpdate], most: int, now: float) -> list[StatementUpdate]:
     """Return as many as go into one message, others each time."""
     if len(news) <= most:
         return news
-    begin = int(now / TURN_S) * most % len(news)
+    begin = int(now / ROTATION_INTERVAL_S) * most % len(news)
     return (news[begin:] + news[:begin])[:most]
 
 
-def share_limits(context: RouterContext) -> None:
+def update_limit_shares(context: RouterContext) -> None:
     """Give each limit the part of it that is for this router."""
     now = context.clock()
     for target in context.targets.in_need():
-        _share_limit(context, target, now)
+        _update_limit_share(context, target, now)
 
 
-def _share_limit(context: RouterContext, target: Target, now: float) -> None:
+def _update_limit_share(context: RouterContext, target: Target, now: float) -> None:
     limit = target.needs.limit
     if limit.per_s is not None:
         senders = most_senders(limit.per_s)
@@ -123,20 +123,20 @@
         limit.set_share(share, now)
 
 
-def _note_changed(
-    context: RouterContext, target: Target, changed: list[Need], *, told_by: str
+def _on_needs_changed(
+    context: RouterContext, target: Target, changed: list[Need], *, source: str
 ) -> None:
     if not changed:
         return
     context.targets.note_in_need(target)
     needs, now = target.needs, context.clock()
-    _share_limit(context, target, now)
+    _update_limit_share(context, target, now)
     rest_s = needs.rest.until - now if needs.rest.is_on(now) else 0.0
     context.log.process(
         "target-needs",
         target=target.entry.target_id,
         changed=changed,
-        told_by=told_by,
+        told_by=source,
         limit_per_s=needs.limit.per_s,
         limit_share=round(needs.limit.share, 3),
         rest_ms=max(0, round(rest_s * 1000)),
--- a/libs/direct/src/berylwalk/direct/_store_reach.py
+++ b/libs/direct/src/berylwalk/direct/_store_health.py
@@ -11,7 +11,7 @@
 CALL_TIMEOUT_S = 0.9
 """Bound of one call of the store: four times its answers when it is slow."""
 
-ANSWERS = frozenset(
+ANSWERED_REASONS = frozenset(
     {
         UnavailableReason.NOT_FOUND,
         UnavailableReason.LEASE_NOT_FOUND,
@@ -19,34 +19,34 @@
     }
 )
 """Failures by which the store shows that it is there."""
-FIRST_PAUSE_S = 0.15
+FIRST_BACKOFF_S = 0.15
 """Bound of the first pause after a failed call."""
-LONGEST_PROBE_PAUSE_S = 0.6
+MAX_PROBE_BACKOFF_S = 0.6
 """Bound of the pause of the one user that finds out when the store is back: with a
 read that takes long, a changed configuration is still in force within its bound."""
-LONGEST_PAUSE_S = 3.0
+MAX_BACKOFF_S = 3.0
 """The same for all others, which are woken when it is back. Calls that fail are paid
 for as well."""
-LAPSE_AFTER_S = 1.0
+MIN_OUTAGE_S = 1.0
 """Time that the store has to be away for entries to lapse. What is removed in a
 shorter gap, such as that of a watch that was cut, has left."""
-LONGEST_CALM_GAP_S = 2.2
+MAX_ANSWER_GAP_S = 2.2
 """Time between two answers of a store that is well at most: its configuration is read
 each 1.9 s."""
-INTERVALS_OUTLASTED = 2
+HARMLESS_MISSED_RENEWALS = 2
 """Intervals between an entry's renewals that it outlasts in any case: it lapses after
 three without one, and the first may be due as an outage begins."""
-INTERVALS_MARGIN_S = 0.2
+HARMLESS_GAP_MARGIN_S = 0.2
 """Margin of that, for the way of the last renewal and of the first answer."""
-NEWS_KEPT_S = 1.0
+PEER_HEALTH_TTL_S = 1.0
 """Time for which the word of another router on the store counts."""
-LAPSE_MARGIN_S = 0.6
+LAPSE_RETURN_MARGIN_S = 0.6
 """Time after the bound of their return for which lapsed entries are looked for."""
 
 Result = TypeVar("Result")
 
 
-class StoreReach:
+class StoreHealth:
     """Notes how calls end and paces those that are made again.
 
     Parameters
@@ -56,28 +56,28 @@
 
     Attributes
     ----------
-    away_since : float or None
+    unreachable_since : float or None
         Since when calls fail; None while they succeed.
-    well_since : float
+    healthy_since : float
         Since when answers have come without a gap in which entries could lapse.
     """
 
     def __init__(self, context: RouterContext) -> None:
         self._context = context
-        self.away_since: float | None = None
-        self.well_since = context.clock()
-        outlasted_s = INTERVALS_OUTLASTED * context.settings.heartbeat_s
-        self._harmless_gap_s = outlasted_s - INTERVALS_MARGIN_S
-        self._outage_gap_s = max(self._harmless_gap_s, LONGEST_CALM_GAP_S)
+        self.unreachable_since: float | None = None
+        self.healthy_since = context.clock()
+        renewals_s = HARMLESS_MISSED_RENEWALS * context.settings.heartbeat_s
+        self._harmless_gap_s = renewals_s - HARMLESS_GAP_MARGIN_S
+        self._outage_gap_s = max(self._harmless_gap_s, MAX_ANSWER_GAP_S)
         self._answered_at = float("-inf")
-        self._answered_others_at = float("-inf")
+        self._peer_answered_at = float("-inf")
         self._answered_before_outage_at = float("-inf")
-        self._elsewhere_well_since = float("inf")
-        self._heard_elsewhere_at = float("-inf")
-        self._lapse_ended_at = float("-inf")
-        self._returned = Event()
+        self._peer_healthy_since = float("inf")
+        self._peer_health_at = float("-inf")
+        self._lapses_expected_since = float("-inf")
+        self._recovered = Event()
 
-    async def ask(
+    async def track(
         self, purpose: str, call: Awaitable[Result], *, held_s: float = 0.0
     ) -> Result:
         """Make a call and note how it ended.
@@ -98,10 +98,10 @@
         """
         asked_at = self._context.clock()
         result = await call
-        self.note(purpose, result, asked_at, held_s=held_s)
+        self.record_result(purpose, result, asked_at, held_s=held_s)
         return result
 
-    def note(
+    def record_result(
         self, purpose: str, result: object, asked_at: float, *, held_s: float = 0.0
     ) -> None:
         """Note how a call ended.
@@ -130,28 +130,31 @@
                 detail=result.detail,
             )
             # A call that was due before another was answered tells nothing new.
-            if self.away_since is None and asked_at + held_s >= self._answered_at:
-                self.away_since = now
+            if (
+                self.unreachable_since is None
+                and asked_at + held_s >= self._answered_at
+            ):
+                self.unreachable_since = now
                 context.log.process("store-lost", purpose=purpose, detail=result.detail)
             return
-        answered_before_at = max(self._answered_at, self._answered_others_at)
+        answered_before_at = max(self._answered_at, self._peer_answered_at)
         self._answered_at = now
         gap_s = now - answered_before_at
         if gap_s >= self._harmless_gap_s:
-            self.well_since = now
-        away_s = self._note_return(purpose, now)
+            self.healthy_since = now
+        unreachable_s = self._record_recovery(purpose, now)
         # Without an answer before there is no gap: the router has just started.
         is_outage = self._outage_gap_s <= gap_s < float("inf")
-        if is_outage or away_s >= LAPSE_AFTER_S:
-            self._begin_lapse(now, answered_before_at)
+        if is_outage or unreachable_s >= MIN_OUTAGE_S:
+            self._expect_lapses(now, answered_before_at)
 
-    def well_s(self, now: float) -> float:
+    def healthy_s(self, now: float) -> float:
         """Return for how long the store has been well, in seconds."""
         if now - self._answered_at >= self._harmless_gap_s:
             return 0.0
-        return now - self.well_since
+        return now - self.healthy_since
 
-    def hear_elsewhere(self, well_s: float) -> None:
+    def update_peer_health(self, healthy_s: float) -> None:
         """Take for how long the store has been well for another router.
 
         If that is since before an outage here, this router was cut off, and the
@@ -159,19 +162,19 @@
 
         Parameters
         ----------
-        well_s : float
-            As from `well_s` there, in seconds.
+        healthy_s : float
+            As from `healthy_s` there, in seconds.
         """
         now = self._context.clock()
-        well_since = now - well_s
-        is_old = now - self._heard_elsewhere_at > NEWS_KEPT_S
-        if is_old or well_since <= self._elsewhere_well_since:
-            self._elsewhere_well_since = well_since
-            self._heard_elsewhere_at = now
-        if self._was_cut_off(now):
+        healthy_since = now - healthy_s
+        is_old = now - self._peer_health_at > PEER_HEALTH_TTL_S
+        if is_old or healthy_since <= self._peer_healthy_since:
+            self._peer_healthy_since = healthy_since
+            self._peer_health_at = now
+        if self._was_isolated(now):
             self._context.targets.note_no_lapse(now)
 
-    def hear_answer(self, known_at: float) -> None:
+    def record_peer_answer(self, known_at: float) -> None:
         """Note that the store answered another router at some moment.
 
         A router that goes by the word of others calls it seldom itself: the time
@@ -182,9 +185,9 @@
         known_at : float
             A moment before that answer, on the own clock.
         """
-        self._answered_others_at = max(self._answered_others_at, known_at)
+        self._peer_answered_at = max(self._peer_answered_at, known_at)
 
-    def trusts_others(self) -> bool:
+    def accepts_peer_data(self) -> bool:
         """Return whether what others say of the store can be taken for its state.
 
         After an outage of the store, removed entries may be such that lapsed, and
@@ -192,12 +195,12 @@
         has turned away alone goes by the word of the others.
         """
         now = self._context.clock()
-        if self.away_since is not None:
-            return self._is_well_elsewhere(now, since=self._answered_at)
-        is_over = not self.may_lapse(self._context.targets.absence_grace_s)
-        return is_over or self._was_cut_off(now)
+        if self.unreachable_since is not None:
+            return self._is_healthy_for_peer(now, since=self._answered_at)
+        is_over = not self.entries_may_return(self._context.targets.absence_grace_s)
+        return is_over or self._was_isolated(now)
 
-    def may_lapse(self, within_s: float) -> bool:
+    def entries_may_return(self, within_s: float) -> bool:
         """Return whether entries that lapsed in an outage may still come back.
 
         Parameters
@@ -205,39 +208,39 @@
         within_s : float
             Time after an outage within which they do, in seconds.
         """
-        since_s = self._context.clock() - self._lapse_ended_at
-        return since_s < within_s + LAPSE_MARGIN_S
+        since_s = self._context.clock() - self._lapses_expected_since
+        return since_s < within_s + LAPSE_RETURN_MARGIN_S
 
-    def _note_return(self, purpose: str, now: float) -> float:
+    def _record_recovery(self, purpose: str, now: float) -> float:
         """Note an answer; returns for how long calls had failed, in seconds."""
-        if self.away_since is None:
+        if self.unreachable_since is None:
             return 0.0
-        away_s = now - self.away_since
-        self.away_since = None
+        unreachable_s = now - self.unreachable_since
+        self.unreachable_since = None
         self._context.log.process(
-            "store-regained", purpose=purpose, away_ms=round(away_s * 1000)
+            "store-regained", purpose=purpose, away_ms=round(unreachable_s * 1000)
         )
-        returned, self._returned = self._returned, Event()
-        returned.set()
-        return away_s
+        recovered, self._recovered = self._recovered, Event()
+        recovered.set()
+        return unreachable_s
 
-    def _begin_lapse(self, now: float, answered_before_at: float) -> None:
+    def _expect_lapses(self, now: float, answered_before_at: float) -> None:
         """Take removals for lapses for a while, unless this router was cut off."""
-        self._lapse_ended_at = now
+        self._lapses_expected_since = now
         self._answered_before_outage_at = answered_before_at
-        if not self._was_cut_off(now):
+        if not self._was_isolated(now):
             self._context.targets.note_outage_ended(now)
 
-    def _was_cut_off(self, now: float) -> bool:
+    def _was_isolated(self, now: float) -> bool:
         """Return whether the store was well elsewhere during the last outage here."""
-        return self._is_well_elsewhere(now, since=self._answered_before_outage_at)
+        return self._is_healthy_for_peer(now, since=self._answered_before_outage_at)
 
-    def _is_well_elsewhere(self, now: float, *, since: float) -> bool:
+    def _is_healthy_for_peer(self, now: float, *, since: float) -> bool:
         """Return whether the store has been well for another router since a moment."""
-        is_recent = now - self._heard_elsewhere_at <= NEWS_KEPT_S
-        return is_recent and self._elsewhere_well_since < since
+        is_recent = now - self._peer_health_at <= PEER_HEALTH_TTL_S
+        return is_recent and self._peer_healthy_since < since
 
-    async def pause(self, failures: int, *, is_probe: bool = False) -> None:
+    async def back_off(self, failures: int, *, is_probe: bool = False) -> None:
         """Wait before a call that failed is made again.
 
         Parameters
@@ -247,14 +250,14 @@
         is_probe : bool
             Whether this is the user that finds out when the store is back.
         """
-        longest_s = LONGEST_PROBE_PAUSE_S if is_probe else LONGEST_PAUSE_S
-        pause_s = backoff_s(failures, first_s=FIRST_PAUSE_S, largest_s=longest_s)
+        longest_s = MAX_PROBE_BACKOFF_S if is_probe else MAX_BACKOFF_S
+        pause_s = backoff_s(failures, first_s=FIRST_BACKOFF_S, largest_s=longest_s)
         with move_on_after(pause_s):
-            await self._returned.wait()
+            await self._recovered.wait()
 
 
 def _is_failure(result: object) -> bool:
     """Return whether the store did not answer a call, as far as can be told."""
     if isinstance(result, Unavailable):
-        return result.reason not in ANSWERS
+        return result.reason not in ANSWERED_REASONS
     return isinstance(result, Lost)
--- a/libs/direct/src/berylwalk/direct/_version_watch.py
+++ b/libs/direct/src/berylwalk/direct/_version_observer.py
@@ -16,12 +16,12 @@
 SLOW_FACTOR = 3.5
 """Times as long as is typical from which an answer is slow: targets of one version
 differ less in most answers, and a bad version's are several times later."""
-LEAST_SLOW_S = 0.05
+SLOW_MARGIN_S = 0.05
 """Time above what is typical from which an answer is slow, in seconds."""
 FAILED_ENDS = (AttemptEnd.FAILED, AttemptEnd.BROKEN, AttemptEnd.SILENT)
 
 
-class VersionWatch:
+class VersionObserver:
     """Notes one send to a service that is under a roll-out; made when it begins.
 
     Parameters
@@ -56,7 +56,7 @@
             context.clock(),
         )
         self._is_new = target.entry.version == version
-        self._is_noted = False
+        self._is_counted = False
         others = [
             each
             for each in context.targets.of_service(admitted.service)
@@ -78,20 +78,20 @@
         known = [each.slot_s for each in others if each.slot_s is not None]
         return sum(known) / len(known) + start.slot_wait_s if known else None
 
-    def take(self, attempt: Attempt, taken_s: float, tokens_per_event: int) -> None:
+    def record(self, attempt: Attempt, elapsed_s: float, tokens_per_event: int) -> None:
         """Count the answer.
 
         Parameters
         ----------
         attempt : Attempt
             How the send ended.
-        taken_s : float
+        elapsed_s : float
             Time since the send, in seconds.
         tokens_per_event : int
             Output tokens in an event of a stream.
         """
         rollouts, service = self._context.rollouts, self._admitted.service
-        kind = self._kind(attempt, taken_s, tokens_per_event)
+        kind = self._classify(attempt, elapsed_s, tokens_per_event)
         if kind is None:
             return
         if attempt.target_ended:
@@ -99,54 +99,56 @@
             rollouts.note_end_of_target(service, life_id, is_new=self._is_new)
             return
         if not self._is_new:
-            rollouts.note_taken(service, taken_s)
-        self._note(kind)
+            rollouts.note_taken(service, elapsed_s)
+        self._count(kind)
 
-    def look(self, attempt: Attempt, taken_s: float) -> None:
+    def check_progress(self, attempt: Attempt, elapsed_s: float) -> None:
         """Count an answer as slow as soon as it is: its end may be seconds away.
 
         Parameters
         ----------
         attempt : Attempt
             The send, which goes on.
-        taken_s : float
+        elapsed_s : float
             Time since the send, in seconds.
         """
-        if attempt.first_event_at is None and self._is_late(taken_s):
-            self._note(AnswerKind.SLOW)
+        if attempt.first_event_at is None and self._is_late(elapsed_s):
+            self._count(AnswerKind.SLOW)
 
-    def _note(self, kind: AnswerKind) -> None:
+    def _count(self, kind: AnswerKind) -> None:
         """Count the answer, once."""
-        if self._is_noted:
+        if self._is_counted:
             return
-        self._is_noted = True
+        self._is_counted = True
         context, service = self._context, self._admitted.service
         context.rollouts.note_answer(service, self._row, kind, context.clock())
 
-    def _kind(
-        self, attempt: Attempt, taken_s: float, tokens_per_event: int
+    def _classify(
+        self, attempt: Attempt, elapsed_s: float, tokens_per_event: int
     ) -> AnswerKind | None:
         """Return what it says of the version; None if nothing."""
         if attempt.end in FAILED_ENDS:
             return AnswerKind.FAILED
         if attempt.end is AttemptEnd.ANSWERED:
-            is_slow = self._is_slow(attempt, taken_s, tokens_per_event)
+            is_slow = self._is_slow(attempt, elapsed_s, tokens_per_event)
             return AnswerKind.SLOW if is_slow else AnswerKind.GOOD
-        has_left = attempt.end is None and attempt.first_event_at is None
-        if has_left and self._is_late(taken_s):
+        caller_left = attempt.end is None and attempt.first_event_at is None
+        if caller_left and self._is_late(elapsed_s):
             return AnswerKind.SLOW
         return None
 
-    def _is_slow(self, attempt: Attempt, taken_s: float, tokens_per_event: int) -> bool:
+    def _is_slow(
+        self, attempt: Attempt, elapsed_s: float, tokens_per_event: int
+    ) -> bool:
         if attempt.first_event_at is None or attempt.last_event_at is None:
-            return self._is_late(taken_s)
+            return self._is_late(elapsed_s)
         streaming_s = attempt.last_event_at - attempt.first_event_at
         tokens = tokens_per_event * max(0, attempt.events - 1)
         typical_s = tokens * self._token_s
-        is_dragging = streaming_s > SLOW_FACTOR * typical_s + LEAST_SLOW_S
-        return is_dragging or self._is_late(taken_s - streaming_s)
+        is_stream_slow = streaming_s > SLOW_FACTOR * typical_s + SLOW_MARGIN_S
+        return is_stream_slow or self._is_late(elapsed_s - streaming_s)
 
-    def _is_late(self, taken_s: float) -> bool:
+    def _is_late(self, elapsed_s: float) -> bool:
         if self._typical_s is None:
             return False
-        return taken_s > SLOW_FACTOR * self._typical_s + LEAST_SLOW_S
+        return elapsed_s > SLOW_FACTOR * self._typical_s + SLOW_MARGIN_S
--- a/libs/direct/tests/test_direct_decision_log.py
+++ b/libs/direct/tests/test_direct_decision_log.py
@@ -4,8 +4,8 @@
 
 from berylwalk.direct._decision_log import (
     BURST_LINES,
-    LINES_PER_S,
-    OWN_SHARE,
+    MAX_LINES_PER_S,
+    PROCESS_RESERVE_SHARE,
     DecisionLog,
 )
 
@@ -69,7 +69,7 @@
             log.request("request-ended", b"a1")
         log.process("store-lost")
         lines = pipe.lines()
-        assert log.dropped == BURST_LINES * OWN_SHARE
+        assert log.dropped == BURST_LINES * PROCESS_RESERVE_SHARE
         assert lines[-1]["event"] == "store-lost"
         assert lines[-1]["lines_dropped"] == log.dropped
 
@@ -85,7 +85,7 @@
         for _ in range(3000):
             log.process("x")
         assert before == BURST_LINES
-        assert len(pipe.lines()) - before == LINES_PER_S
+        assert len(pipe.lines()) - before == MAX_LINES_PER_S
 
     def test_slow_reader_loses_no_part_of_a_line(self):
         """What was not taken is written later, in order."""
--- a/libs/direct/tests/test_direct_entry_findings.py
+++ b/libs/direct/tests/test_direct_entry_findings.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from berylwalk.direct._entry_findings import MOST_LINES, EntryFindings
+from berylwalk.direct._invalid_items import MAX_BURST_LINES, InvalidItemLog
 from berylwalk.direct._metrics import RouterMetrics
 
 
@@ -22,7 +22,7 @@
 @pytest.fixture
 def findings(context):
     """Return findings of which none was told."""
-    return EntryFindings(context, "target-invalid")
+    return InvalidItemLog(context, "target-invalid")
 
 
 class TestTelling:
@@ -31,10 +31,10 @@
     def test_is_told_once_and_counted_each_time(self, context, findings):
         """Until it was usable in between."""
         for _ in range(3):
-            findings.note("a", "bad-id", "")
+            findings.report("a", "bad-id", "")
         assert context.lines == ["a"]
         findings.clear("a")
-        findings.note("a", "bad-id", "")
+        findings.report("a", "bad-id", "")
         assert context.lines == ["a", "a"]
         counted = context.metrics.unusable_items.labels("target-invalid", "bad-id")
         assert counted._value.get() == 4
@@ -42,10 +42,10 @@
     def test_writer_that_goes_on_for_ever(self, context, findings):
         """Lines are bounded, also if each item is gone before the next."""
         for number in range(1000):
-            findings.note(str(number), "bad-id", "")
+            findings.report(str(number), "bad-id", "")
             findings.keep_only(set())
-        assert len(context.lines) == MOST_LINES
+        assert len(context.lines) == MAX_BURST_LINES
         context.now += 2.0
         for number in range(1000):
-            findings.note(str(number), "bad-id", "")
-        assert len(context.lines) == MOST_LINES + 2
+            findings.report(str(number), "bad-id", "")
+        assert len(context.lines) == MAX_BURST_LINES + 2
--- a/libs/direct/tests/test_direct_feeds.py
+++ b/libs/direct/tests/test_direct_feeds.py
@@ -27,9 +27,9 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from berylwalk.direct._mirrored_prefix import SENDING_S, hold_s
-from berylwalk.direct._store_reach import CALL_TIMEOUT_S
-from berylwalk.direct._target_feed import GATHER_S
+from berylwalk.direct._mirrored_prefix import SEND_LATENCY_S, watch_hold_s
+from berylwalk.direct._store_health import CALL_TIMEOUT_S
+from berylwalk.direct._target_feed import CHANGE_BATCH_S
 from virtual_feeds import CONFIGURATION_S, DRAIN_S, play
 from virtual_store import ANSWER_S, configuration_value, target_value, until
 from written_truths import Truths
@@ -185,7 +185,7 @@
                     await until(SILENT_AT_S + SILENT_FOR_S - removed_before_s)
                     store.delete(b"servers/i-1")
                 while feeds.clock() < SILENT_AT_S + SILENT_FOR_S + SOUND_FOR_S:
-                    feeds.reach.hear_elsewhere(feeds.clock())
+                    feeds.store_health.update_peer_health(feeds.clock())
                     await until(feeds.clock() + 0.25)
                 return feeds.takes_work("i-1")
 
@@ -215,16 +215,16 @@
         calls = play(scenario)
         targets, configuration = "path-prefix=servers/", "path-prefix=op/config"
         assert calls[f"/kv-range?{targets}"] == 0
-        assert calls[f"/kv-watch?{targets}"] <= 60 / hold_s(DRAIN_S) + 1
+        assert calls[f"/kv-watch?{targets}"] <= 60 / watch_hold_s(DRAIN_S) + 1
         assert calls[f"/kv-range?{configuration}"] <= 60 / 1.9 + 1
         assert calls[f"/kv-watch?{configuration}"] <= 60 / 8.0 + 1
 
     @pytest.mark.parametrize("bound_s", [1.6, 2.0, 3.0, 4.0, 30.0])
     def test_hold_fits_into_the_bound(self, bound_s):
         """With the gathering before it and a call that is lost."""
-        for gathered_s in (0.0, GATHER_S):
-            held_s = hold_s(bound_s, gathered_s)
-            longest_s = gathered_s + held_s + CALL_TIMEOUT_S + SENDING_S
+        for batched_s in (0.0, CHANGE_BATCH_S):
+            held_s = watch_hold_s(bound_s, batched_s)
+            longest_s = batched_s + held_s + CALL_TIMEOUT_S + SEND_LATENCY_S
             assert longest_s <= bound_s + 1e-9
 
     @pytest.mark.parametrize(("bound_s", "is_told"), [(2.0, False), (1.2, True)])
--- a/libs/direct/tests/test_direct_peering.py
+++ b/libs/direct/tests/test_direct_peering.py
@@ -8,9 +8,9 @@
     DomainMessage,
     LoadMessage,
     PeerMessage,
-    RouterNews,
+    RouterUpdate,
 )
-from berylwalk.direct._peering import relay_interval_s, tell_interval_s
+from berylwalk.direct._peering import relay_interval_s, send_interval_s
 from berylwalk.dispatch import AllowanceRules, Knowledge
 from berylwalk.dispatch._peer_view import HEARD_WITHIN_S
 from direct_fleet import KEY, answers
@@ -23,7 +23,7 @@
 
     def test_messages_grow_gently_with_the_fleet(self):
         """A router of a large fleet is told less often by each, not never."""
-        for interval_s in (tell_interval_s, relay_interval_s):
+        for interval_s in (send_interval_s, relay_interval_s):
             intervals = [interval_s(peers) for peers in (1, 5, 30, 319)]
             assert intervals == sorted(intervals)
             assert intervals[1] == intervals[0]
@@ -101,13 +101,13 @@
             running(answers("ok")) as fleet,
             beside({"name": "edge-2"}) as (second,),
         ):
-            reach = fleet.router._peering._reach
-            told = second._peering._reach
+            store_health = fleet.router._peering._store_health
+            told = second._peering._store_health
             clock = fleet.router._context.clock
             # The second one started later, and says so.
-            await fleet.until(lambda: reach._heard_elsewhere_at > 0)
-            assert reach._elsewhere_well_since >= told.well_since - 0.1
-            await fleet.until(lambda: reach._elsewhere_well_since < clock() - 0.5)
+            await fleet.until(lambda: store_health._peer_health_at > 0)
+            assert store_health._peer_healthy_since >= told.healthy_since - 0.1
+            await fleet.until(lambda: store_health._peer_healthy_since < clock() - 0.5)
 
     async def test_only_a_router_that_asks_is_told_the_window(self, running, beside):
         """Kilobytes to all peers, from all, would fill the links of small VMs."""
@@ -241,7 +241,7 @@
             context = second._context
             await fleet.until(lambda: context.peers.heard(context.clock()) == 2)
             await self.read_by(fleet, [second])
-            await fleet.until(lambda: not second._peering._reads_to_relay)
+            await fleet.until(lambda: not second._peering._prefixes_to_relay)
 
     async def test_parts_that_make_no_sense_are_told(self, running):
         """The request is served, and its line in the log says so."""
@@ -257,7 +257,7 @@
 class TestVersionsSideBySide:
     """Messages of routers of an earlier or a later version of the program."""
 
-    NEWS = RouterNews("r", "127.0.0.1", 1, "life", "fd-a", 1.0, 1, {})
+    NEWS = RouterUpdate("r", "127.0.0.1", 1, "life", "fd-a", 1.0, 1, {})
 
     def test_message_without_later_fields_is_understood(self):
         """A fleet is replaced router by router."""
--- a/libs/direct/tests/test_direct_platform.py
+++ b/libs/direct/tests/test_direct_platform.py
@@ -113,13 +113,13 @@
         """An outage of the store alone takes no target away."""
         async with running(answers("a")) as fleet:
             fleet.platform.faults.down = True
-            reach = fleet.router._target_feed._reach
-            await fleet.until(lambda: reach.away_since is not None)
+            store_health = fleet.router._target_feed._store_health
+            await fleet.until(lambda: store_health.unreachable_since is not None)
             await sleep(1.1)
             fleet.platform.store.delete(b"servers/i-0")
             assert (await fleet.call("/idempotent/")).status == 200
             fleet.platform.faults.down = False
-            await fleet.until(lambda: reach.away_since is None)
+            await fleet.until(lambda: store_health.unreachable_since is None)
             assert (await fleet.call("/idempotent/")).status == 200
             fleet.put_target(fleet.targets[0])
             await sleep(0.7)
@@ -129,11 +129,11 @@
         """A watch that is cut for a moment must not hide that a target left."""
         async with running(answers("a"), answers("b")) as fleet:
             fleet.platform.faults.down = True
-            reach = fleet.router._target_feed._reach
-            await fleet.until(lambda: reach.away_since is not None)
+            store_health = fleet.router._target_feed._store_health
+            await fleet.until(lambda: store_health.unreachable_since is not None)
             fleet.platform.store.delete(b"servers/i-0")
             fleet.platform.faults.down = False
-            await fleet.until(lambda: reach.away_since is None)
+            await fleet.until(lambda: store_health.unreachable_since is None)
             by_id = fleet.router._context.targets.by_id
             await fleet.until(lambda: "i-0" not in by_id)
 
@@ -221,7 +221,7 @@
 
     async def test_learned_speeds_outlive_all_routers(self, running, monkeypatch):
         """The first routers after a restart know which targets are slow."""
-        monkeypatch.setattr("berylwalk.direct._speed_note.NOTE_GAP_S", 0.05)
+        monkeypatch.setattr("berylwalk.direct._speed_store.WRITE_INTERVAL_S", 0.05)
         async with running(answers("ok")) as fleet:
             await fleet.call("/idempotent/")
             learned = fleet.router._context.targets.by_id["i-0"].speed()
--- a/libs/direct/tests/test_direct_quarantine_records.py
+++ b/libs/direct/tests/test_direct_quarantine_records.py
@@ -5,7 +5,7 @@
 import pytest
 from anyio import sleep
 
-from berylwalk.direct import _quarantine_note as note_module
+from berylwalk.direct import _quarantine_store as note_module
 from berylwalk.quarantine import BodyHash, Quarantine, Standing, request_identity
 from berylwalk.quarantine import _quarantine as quarantine_module
 from direct_fleet import answers
@@ -98,7 +98,7 @@
         async def keep(note):
             pass
 
-        monkeypatch.setattr(note_module.QuarantineNote, "_delete_settled", keep)
+        monkeypatch.setattr(note_module.QuarantineStore, "_delete_settled", keep)
         prepare = noted(value=b'{"ended": 3}')
         async with running(answers("ok"), prepare=prepare) as fleet:
             store = fleet.platform.store
--- a/libs/direct/tests/test_direct_suspension.py
+++ b/libs/direct/tests/test_direct_suspension.py
@@ -7,9 +7,9 @@
 
 import pytest
 from anyio import sleep
+from berylwalk.direct._suspension import MIN_SUSPENSION_S, SuspensionDetector
 
 from berylwalk.direct._elapsed_time import elapsed_clock
-from berylwalk.direct._suspension import LEAST_S, SuspensionWatch
 from berylwalk.dispatch import Target, TargetEntry, TargetState, Work
 from direct_fleet import answers
 
@@ -24,7 +24,7 @@
         self.steady_s = 100.0
         self.suspended_s = 0.0
 
-    def steady(self):
+    def monotonic(self):
         """Return the time without suspensions."""
         return self.steady_s
 
@@ -39,25 +39,25 @@
     def test_suspension_is_noticed_once(self):
         """And adds up with the others."""
         clocks = Clocks()
-        watch = SuspensionWatch(clocks.elapsed, steady=clocks.steady)
+        watch = SuspensionDetector(clocks.elapsed, monotonic=clocks.monotonic)
         clocks.steady_s += 60.0
-        assert watch.look() == 0.0
+        assert watch.poll() == 0.0
         clocks.suspended_s += 3.0
-        assert watch.look() == pytest.approx(3.0)
-        assert watch.look() == 0.0
+        assert watch.poll() == pytest.approx(3.0)
+        assert watch.poll() == 0.0
         clocks.suspended_s += 0.5
-        assert watch.look() == pytest.approx(0.5)
+        assert watch.poll() == pytest.approx(0.5)
         assert watch.total_s == pytest.approx(3.5)
 
     def test_many_short_ones_add_up(self):
         """None is lost for being short."""
         clocks = Clocks()
-        watch = SuspensionWatch(clocks.elapsed, steady=clocks.steady)
+        watch = SuspensionDetector(clocks.elapsed, monotonic=clocks.monotonic)
         noticed = 0.0
         for _ in range(100):
-            clocks.suspended_s += LEAST_S / 2
-            noticed += watch.look()
-        assert noticed == pytest.approx(50 * LEAST_S, abs=LEAST_S)
+            clocks.suspended_s += MIN_SUSPENSION_S / 2
+            noticed += watch.poll()
+        assert noticed == pytest.approx(50 * MIN_SUSPENSION_S, abs=MIN_SUSPENSION_S)
 
     def test_clock_of_the_platform_counts_suspension(self):
         """Where it has one."""
--- a/libs/direct/tests/virtual_feeds.py
+++ b/libs/direct/tests/virtual_feeds.py
@@ -8,8 +8,8 @@
 
 from berylwalk.direct._configuration_feed import ConfigurationFeed
 from berylwalk.direct._metrics import RouterMetrics
-from berylwalk.direct._mirrored_prefix import ReadingRole
-from berylwalk.direct._store_reach import CALL_TIMEOUT_S, StoreReach
+from berylwalk.direct._mirrored_prefix import ReadRole
+from berylwalk.direct._store_health import CALL_TIMEOUT_S, StoreHealth
 from berylwalk.direct._target_feed import TargetFeed
 from berylwalk.dispatch import (
     AllowanceRules,
@@ -79,11 +79,13 @@
             ["http://10.0.0.9:80"], timeout_s=CALL_TIMEOUT_S
         )
         await client.start()
-        self.reach = reach = StoreReach(self.context)
-        role = ReadingRole()
+        self.store_health = store_health = StoreHealth(self.context)
+        role = ReadRole()
         async with create_task_group() as tasks:
-            tasks.start_soon(ConfigurationFeed(self.context, client, reach, role).run)
-            tasks.start_soon(TargetFeed(self.context, client, reach, role).run)
+            tasks.start_soon(
+                ConfigurationFeed(self.context, client, store_health, role).run
+            )
+            tasks.start_soon(TargetFeed(self.context, client, store_health, role).run)
 
 
 def play(scenario, *, drain_s=DRAIN_S, **options):
