--- a/libs/direct/tests/virtual_fleet.py
+++ b/libs/direct/tests/virtual_fleet.py
@@ -9,9 +9,9 @@
 from msgspec import msgpack
 
 from berylwalk.direct._configuration_feed import ConfigurationFeed
-from berylwalk.direct._mirrored_prefix import ReadingRole
-from berylwalk.direct._shared_reading import SharedReading
-from berylwalk.direct._store_reach import CALL_TIMEOUT_S, StoreReach
+from berylwalk.direct._mirrored_prefix import ReadRole
+from berylwalk.direct._shared_reads import SharedReads
+from berylwalk.direct._store_health import CALL_TIMEOUT_S, StoreHealth
 from berylwalk.direct._target_feed import TargetFeed
 from berylwalk.dispatch import Peer, PeerTable
 from berylwalk.platform import KeyValueClient
@@ -87,21 +87,24 @@
             [f"http://{host}:80"], timeout_s=CALL_TIMEOUT_S
         )
         await client.start()
-        self.reach = reach = StoreReach(self.context)
-        self.reading = reading = SharedReading(self.context, reach, self._send)
-        role = ReadingRole(
-            leans=reading.leans, reads_for_others=reading.reads_for_others
+        self.store_health = store_health = StoreHealth(self.context)
+        self.shared_reads = shared_reads = SharedReads(
+            self.context, store_health, self._send
+        )
+        role = ReadRole(
+            follows_peers=shared_reads.follows_peers,
+            serves_peers=shared_reads.serves_peers,
         )
         feeds = [
-            ConfigurationFeed(self.context, client, reach, role),
-            TargetFeed(self.context, client, reach, role),
+            ConfigurationFeed(self.context, client, store_health, role),
+            TargetFeed(self.context, client, store_health, role),
         ]
         for feed in feeds:
-            reading.add(feed.mirror)
+            shared_reads.add(feed.mirror)
         self.mirrors_by_name = {feed.mirror.name: feed.mirror for feed in feeds}
         self.network.routers_by_name[self.name] = self
         async with create_task_group() as tasks:
-            for each in (feeds[0].run, feeds[1].run, reading.run, self._beat):
+            for each in (feeds[0].run, feeds[1].run, shared_reads.run, self._beat):
                 tasks.start_soon(each)
             tasks.start_soon(self._renew, client)
 
@@ -109,26 +112,26 @@
         """Keep a lease as membership does: it shows whether the store is there."""
         while True:
             await sleep(2.0)
-            await self.reach.ask("renew", client.keep_alive(1))
+            await self.store_health.track("renew", client.keep_alive(1))
 
     async def _beat(self):
         while True:
             self.sequence += 1
             now = self.clock()
-            well_s = round(self.reach.well_s(now), 1)
+            healthy_s = round(self.store_health.healthy_s(now), 1)
             for name in DOMAINS_BY_NAME:
                 if name != self.name:
-                    beat = self._beat_of(well_s)
+                    beat = self._beat_of(healthy_s)
                     self.network.send(self.name, name, beat, is_beat=True)
             await sleep(BEAT_S)
 
-    def _beat_of(self, well_s):
+    def _beat_of(self, healthy_s):
         name, life, sequence = self.name, self.life, self.sequence
 
         def deliver(router):
             peer = Peer(name, name, 1, life, DOMAINS_BY_NAME[name], sequence=sequence)
             if router.peers.hear(peer, router.clock()):
-                router.reach.hear_elsewhere(well_s)
+                router.store_health.update_peer_health(healthy_s)
 
         return deliver
 
@@ -140,9 +143,9 @@
         """Take a message of another router."""
         message = self.decoder.decode(data)
         if isinstance(message, ReadingAsk):
-            self.reading.hear_ask(message)
+            self.shared_reads.handle_query(message)
         else:
-            self.reading.hear_tell(message)
+            self.shared_reads.handle_reply(message)
 
 
 class VirtualFleet:
--- a/libs/direct/tests/virtual_quarantine.py
+++ b/libs/direct/tests/virtual_quarantine.py
@@ -16,8 +16,8 @@
 from berylwalk.affinity import parts_hash
 from berylwalk.direct._metrics import RouterMetrics
 from berylwalk.direct._peering import Peering
-from berylwalk.direct._quarantine_note import QuarantineNote
-from berylwalk.direct._store_reach import StoreReach
+from berylwalk.direct._quarantine_store import QuarantineStore
+from berylwalk.direct._store_health import StoreHealth
 from berylwalk.dispatch import (
     AllowanceRules,
     Allowances,
@@ -139,12 +139,14 @@
             note_suspension=lambda: None,
             clock=self.clock,
         )
-        reach = StoreReach(self.context)
+        store_health = StoreHealth(self.context)
         store = StoreOf(play, name)
-        self.peering = Peering(self.context, store, reach)
+        self.peering = Peering(self.context, store, store_health)
         self.peering._transport = SimpleNamespace(sendto=self._send)
-        self.note = QuarantineNote(self.context, store, reach, wall_clock=self.clock)
-        self.quarantine.on_news = self.peering.tell_soon
+        self.note = QuarantineStore(
+            self.context, store, store_health, wall_clock=self.clock
+        )
+        self.quarantine.on_news = self.peering.send_soon
         self.quarantine.on_change = lambda change: self.note.wake()
 
     def _log(self, event, **fields):
@@ -171,7 +173,7 @@
         if standing is Standing.BLAMED:
             return "held-back"
         is_trial = standing is Standing.TRIAL
-        if is_trial and not await self.note.take_trial(identity):
+        if is_trial and not await self.note.acquire_trial_permit(identity):
             return "held-back"
         for _ in range(self.play.attempts):
             apart = is_trial or standing is Standing.SUSPECTED
--- a/libs/direct/tests/virtual_rollout.py
+++ b/libs/direct/tests/virtual_rollout.py
@@ -16,10 +16,10 @@
 
 from berylwalk.direct._configuration_feed import ConfigurationFeed
 from berylwalk.direct._metrics import RouterMetrics
-from berylwalk.direct._mirrored_prefix import ReadingRole
+from berylwalk.direct._mirrored_prefix import ReadRole
 from berylwalk.direct._peering import Peering
-from berylwalk.direct._rollout_note import RolloutNote
-from berylwalk.direct._store_reach import StoreReach
+from berylwalk.direct._rollout_coordinator import RolloutCoordinator
+from berylwalk.direct._store_health import StoreHealth
 from berylwalk.direct._target_feed import TargetFeed
 from berylwalk.dispatch import (
     AllowanceRules,
@@ -296,29 +296,30 @@
             note_suspension=lambda: None,
             clock=self.clock,
         )
-        reach = StoreReach(self.context)
+        store_health = StoreHealth(self.context)
         store = StoreOf(play, name)
-        self.peering = Peering(self.context, store, reach)
+        self.peering = Peering(self.context, store, store_health)
         self.peering._transport = SimpleNamespace(sendto=self._send)
-        reading = self.peering.reading
-        role = ReadingRole(
-            leans=reading.leans, reads_for_others=reading.reads_for_others
+        shared_reads = self.peering.shared_reads
+        role = ReadRole(
+            follows_peers=shared_reads.follows_peers,
+            serves_peers=shared_reads.serves_peers,
         )
         self.feeds = [
-            ConfigurationFeed(self.context, store, reach, role),
-            TargetFeed(self.context, store, reach, role),
+            ConfigurationFeed(self.context, store, store_health, role),
+            TargetFeed(self.context, store, store_health, role),
         ]
         for feed in self.feeds:
-            reading.add(feed.mirror)
-        self.note = RolloutNote(
+            shared_reads.add(feed.mirror)
+        self.note = RolloutCoordinator(
             self.context,
             store,
-            reach,
-            reading=reading,
+            store_health,
+            shared_reads=shared_reads,
             role=role,
             wall_clock=self.clock,
         )
-        self.rollouts.on_news = self.peering.tell_soon
+        self.rollouts.on_news = self.peering.send_soon
         self.rollouts.on_orders = self.note.wake
         self.rollouts.on_judged = lambda judged: self.note.wake()
 
@@ -340,7 +341,7 @@
                 *(feed.run for feed in self.feeds),
                 self.peering._tell,
                 self.peering._relay,
-                self.peering.reading.run,
+                self.peering.shared_reads.run,
                 self.note.run,
             ):
                 tasks.start_soon(each)
@@ -558,10 +559,10 @@
             item = self.store.items.get(STATUS_KEY)
             if item is not None and item.value != told:
                 told = item.value
-                self._follow(loads(told))
+                self._run_mirror(loads(told))
             await sleep(0.005)
 
-    def _follow(self, status):
+    def _run_mirror(self, status):
         self.figures.statuses.append((self.since_order_s(), status["state"]))
         if status["state"] == "completed":
             for engine in self._of_version(OLD):
--- a/libs/direct/tests/virtual_statements.py
+++ b/libs/direct/tests/virtual_statements.py
@@ -12,6 +12,7 @@
 from types import SimpleNamespace
 
 from anyio import CancelScope, create_task_group, sleep
+from berylwalk.direct._suspension import SuspensionDetector
 
 from berylwalk.direct._admission import Admitted
 from berylwalk.direct._context import RouterContext
@@ -20,8 +21,7 @@
 from berylwalk.direct._exchange_log import ExchangeLog
 from berylwalk.direct._metrics import RouterMetrics
 from berylwalk.direct._peering import Peering
-from berylwalk.direct._store_reach import StoreReach
-from berylwalk.direct._suspension import SuspensionWatch
+from berylwalk.direct._store_health import StoreHealth
 from berylwalk.dispatch import (
     Allowances,
     ConfigurationState,
@@ -44,7 +44,7 @@
 from stating_targets import SERVICE, PlayedLoop, StatingTarget
 from virtual_play import PlayedFleet
 
-SWEEP_S = 0.25
+SWEEP_INTERVAL_S = 0.25
 LIMIT_S = 8.0
 OBJECTIVE_S = 0.4
 
@@ -123,17 +123,17 @@
             ),
             log=DecisionLog(name, write=self._write, clock=clock, wall_clock=clock),
             metrics=RouterMetrics(),
-            suspension=SuspensionWatch(clock, steady=clock),
+            suspension=SuspensionDetector(clock, steady=clock),
             clock=clock,
         )
         store = SimpleNamespace()
-        self.peering = Peering(self.context, store, StoreReach(self.context))
+        self.peering = Peering(self.context, store, StoreHealth(self.context))
         self.peering._transport = SimpleNamespace(
             sendto=self._send, is_closing=lambda: False
         )
-        self.context.on_placed = self.peering.tell_placed
+        self.context.on_placed = self.peering.announce_placement
         if hasattr(self.context, "on_statement_news"):
-            self.context.on_statement_news = self.peering.tell_soon
+            self.context.on_statement_change = self.peering.send_soon
 
     def _note_bytes(self, life_id):
         target = self.context.targets.by_life_id.get(life_id)
@@ -163,7 +163,7 @@
 
     async def _sweep(self):
         while True:
-            await sleep(SWEEP_S)
+            await sleep(SWEEP_INTERVAL_S)
             self.context.dispatcher.pump_all(self.clock())
 
     async def serve(self, request_id, *, on_done):
@@ -186,7 +186,7 @@
             CallerStandin(on_done),
             admitted,
             ExchangeLog(self.context, now),
-            take_trial=None,
+            acquire_trial_permit=None,
         )
         await lifecycle.run()
 
