--- a/libs/direct/src/berylwalk/direct/_admission.py
+++ b/libs/direct/src/berylwalk/direct/_admission.py
@@ -43,7 +43,7 @@
         What it has in common with its returns.
     is_trial : bool
         Whether it is held back unless a trial is permitted.
-    charge : Spent or None
+    charge : Charge or None
         The allowance that its cost was taken from; None where there is no limit.
     """
 
@@ -57,7 +57,7 @@
     ends_at: float
     identity: Identity
     is_trial: bool = False
-    charge: "Spent | None" = None
+    charge: "Charge | None" = None
 
     @property
     def request_id(self) -> bytes:
@@ -84,7 +84,7 @@
         When it may come back, in seconds.
     request_id : bytes
         Empty if the request has none.
-    charge : Spent or None
+    charge : Charge or None
         The allowance that does not suffice, if that is why.
     identity : bytes or None
         Of a request that is held back for the targets that ended under it.
@@ -94,7 +94,7 @@
     reason: str
     retry_after_s: float | None
     request_id: bytes
-    charge: "Spent | None" = None
+    charge: "Charge | None" = None
     identity: Identity | None = None
 
 
--- a/libs/direct/src/berylwalk/direct/_attempt_feedback.py
+++ b/libs/direct/src/berylwalk/direct/_attempt_feedback.py
@@ -41,7 +41,7 @@
         """Note that the target has answered: it had not ended when this began."""
         context = self._context
         life_id = target.entry.life_id
-        context.quarantine.record_alive(life_id, self._started_at, context.clock())
+        context.quarantine.note_alive(life_id, self._started_at, context.clock())
 
     def elapsed_s(self, since: float) -> float:
         """Return the time since a moment, in seconds; not that of a suspension."""
--- a/libs/direct/tests/test_direct_suspension.py
+++ b/libs/direct/tests/test_direct_suspension.py
@@ -7,9 +7,9 @@
 
 import pytest
 from anyio import sleep
-from berylwalk.direct._suspension import MIN_SUSPENSION_S, SuspensionDetector
 
 from berylwalk.direct._elapsed_time import elapsed_clock
+from berylwalk.direct._suspension_detector import MIN_SUSPENSION_S, SuspensionDetector
 from berylwalk.dispatch import Target, TargetEntry, TargetState, Work
 from direct_fleet import answers
 
--- a/libs/direct/tests/virtual_statements.py
+++ b/libs/direct/tests/virtual_statements.py
@@ -12,7 +12,6 @@
 from types import SimpleNamespace
 
 from anyio import CancelScope, create_task_group, sleep
-from berylwalk.direct._suspension import SuspensionDetector
 
 from berylwalk.direct._admission import Admitted
 from berylwalk.direct._context import RouterContext
@@ -22,6 +21,7 @@
 from berylwalk.direct._metrics import RouterMetrics
 from berylwalk.direct._peering import Peering
 from berylwalk.direct._store_health import StoreHealth
+from berylwalk.direct._suspension_detector import SuspensionDetector
 from berylwalk.dispatch import (
     Allowances,
     ConfigurationState,
