--- a/libs/direct/src/berylwalk/direct/_exchange.py
+++ b/libs/direct/src/berylwalk/direct/_exchange.py
@@ -276,7 +276,9 @@
         life_ids = [
             each.entry.life_id for each in targets if each.entry.version == version
         ]
-        group = rollouts.canary_targets(service, life_ids, len(targets) - len(life_ids), now)
+        group = rollouts.canary_targets(
+            service, life_ids, len(targets) - len(life_ids), now
+        )
         target = self._context.dispatcher.place_among(ticket, group, now)
         if target is None:
             rollouts.refund_canary(service, route)
