--- a/libs/direct/src/berylwalk/direct/_listeners.py
+++ b/libs/direct/src/berylwalk/direct/_listeners.py
@@ -34,7 +34,7 @@
         Time in seconds.
     serve : callable
         Answers one request.
-    on_gone : callable
+    on_disconnect : callable
         Told of callers that left before their answer.
     limits : callable
         Returns the limits in force.
@@ -47,14 +47,14 @@
         *,
         clock: Callable[[], float],
         serve: Serve,
-        on_gone: Callable[[CallerConnection], None] = lambda connection: None,
+        on_disconnect: Callable[[CallerConnection], None] = lambda connection: None,
         limits: Callable[[], CallerLimits] = CallerLimits,
     ) -> None:
         self._loop = loop
         self._address = address
         self._clock = clock
         self._serve = serve
-        self._on_gone = on_gone
+        self._on_disconnect = on_disconnect
         self._limits = limits
         self._server: Server | None = None
         self.connections: set[CallerConnection] = set()
@@ -69,7 +69,7 @@
             If the address cannot be bound.
         """
         self._server = await self._loop.create_server(
-            self._build,
+            self._create_connection,
             self._address.host,
             self._address.port,
             backlog=BACKLOG,
@@ -87,7 +87,7 @@
         for connection in list(self.connections):
             connection.abort()
 
-    def say_closing(self) -> None:
+    def announce_closing(self) -> None:
         """Tell callers with their next answers to go elsewhere."""
         self.closing = True
         for connection in self.connections:
@@ -105,10 +105,10 @@
         for connection in list(self.connections):
             connection.close_if_overdue(now)
 
-    def _build(self) -> CallerConnection:
+    def _create_connection(self) -> CallerConnection:
         connection = CallerConnection(
             serve=self._serve,
-            on_gone=self._on_gone,
+            on_disconnect=self._on_disconnect,
             limits=lambda: connection_limits(self._limits()),
             clock=self._clock,
             registry=self.connections,
