--- a/libs/rollout/src/berylwalk/rollout/__init__.py
+++ b/libs/rollout/src/berylwalk/rollout/__init__.py
@@ -1,4 +1,4 @@
-"""How much a new version of a service gets until it has shown that it is good."""
+"""Canary roll-outs: how many requests a new version gets, and when it is rejected."""
 
 from berylwalk.rollout._budget import CanaryBudget, ExposureRules
 from berylwalk.rollout._evidence import (
@@ -9,7 +9,6 @@
     OldVersionKey,
     Tally,
 )
-from berylwalk.rollout._judgement import Verdict, judge
 from berylwalk.rollout._messages import RolloutUpdate
 from berylwalk.rollout._orders import Order, OrderProblem, UnusableOrder
 from berylwalk.rollout._phases import PhaseInputs, next_phase, ramp_start_s
@@ -22,6 +21,7 @@
     service_from_record_key,
 )
 from berylwalk.rollout._rollouts import Rollouts, VersionRejection
+from berylwalk.rollout._verdict import Verdict, judge
 from berylwalk.rollout._versions import VersionRegistry
 
 __all__ = [
--- a/libs/rollout/src/berylwalk/rollout/_evidence.py
+++ b/libs/rollout/src/berylwalk/rollout/_evidence.py
@@ -1,7 +1,7 @@
-"""What was seen of two versions of a service: sums that only grow.
+"""Counts of answers and crashes by version, as seen by all routers.
 
-Sums go by the life of the router that saw it, so that they come out the same in
-whatever order, and however often, routers hear of them.
+Counts only grow and are kept by router incarnation, so that routers converge on the
+same totals in whatever order, and however often, they receive each other's updates.
 """
 
 from collections.abc import Iterable, Mapping
@@ -9,12 +9,12 @@
 from enum import StrEnum
 from typing import NamedTuple
 
-MOST_ROWS = 4096
-"""Bound of the rows that are remembered of one order."""
+MAX_NEW_VERSION_KEYS = 4096
+"""Keys of the new version that are kept for one order, over all routers."""
 
 
 class AnswerKind(StrEnum):
-    """What one answer says of a version."""
+    """Classification of an answer."""
 
     GOOD = "good"
     FAILED = "failed"
@@ -22,14 +22,14 @@
 
 
 class Tally(NamedTuple):
-    """Numbers of answers.
+    """Counts of answers.
 
     Parameters
     ----------
     answers : int
-        All of them.
+        All answers.
     failed, slow : int
-        Those that failed, and those that came too late.
+        Answers that failed, and answers that were late.
     """
 
     answers: int = 0
@@ -38,19 +38,19 @@
 
     @property
     def bad(self) -> int:
-        """Answers that failed or came too late."""
+        """Answers that failed or were late."""
         return self.failed + self.slow
 
     def plus(self, other: "Tally") -> "Tally":
-        """Return the sum of two."""
+        """Return the sum of two tallies."""
         return Tally(*(mine + theirs for mine, theirs in zip(self, other, strict=True)))
 
     def max_with(self, other: "Tally") -> "Tally":
-        """Return the larger of each number: what only grows is never told too high."""
+        """Return the larger of each count: counts only grow."""
         return Tally(*map(max, self, other))
 
     def with_answer(self, kind: AnswerKind) -> "Tally":
-        """Return it with one answer more."""
+        """Return the tally with one more answer."""
         return Tally(
             self.answers + 1,
             self.failed + (kind is AnswerKind.FAILED),
@@ -59,14 +59,14 @@
 
 
 class NewVersionKey(NamedTuple):
-    """What answers of the new version are told apart by.
+    """Key by which answers of the new version are counted.
 
     Parameters
     ----------
     epoch : int
-        Number of the part of the period in which they were sent.
+        Number of the part of the period in which the requests were sent.
     target : str
-        Life of the target.
+        Incarnation of the target.
     route : str
         Name of the route.
     """
@@ -77,12 +77,12 @@
 
 
 class OldVersionKey(NamedTuple):
-    """What answers of the other versions are told apart by.
+    """Key by which answers of all other versions are counted.
 
     Parameters
     ----------
     epoch : int
-        Number of the part of the period in which they were sent.
+        Number of the part of the period in which the requests were sent.
     route : str
         Name of the route.
     """
@@ -97,20 +97,21 @@
 
 @dataclass(slots=True)
 class RouterTallies:
-    """What one life of a router saw.
+    """Counts of one router incarnation.
 
     Attributes
     ----------
     new : dict
         Answers of the new version, by `NewVersionKey`.
     old : dict
-        Answers of all others, by `OldVersionKey`.
-    ended_new, ended_old : set of str
-        Lives of targets of the new version, and of others, that ended under requests.
-    told_ended_old : int
-        Number of the latter, as the router told it.
+        Answers of all other versions, by `OldVersionKey`.
+    crashed_new, crashed_old : set of str
+        Incarnations of targets that crashed under requests, of the new version and of
+        all others.
+    reported_crashed_old : int
+        Number of the latter that the router reported.
     changed_at : dict
-        When an answer was last counted there, by row, in seconds.
+        When an answer was last counted here, by key, in seconds.
     """
 
     new: NewTallies = field(default_factory=dict)
@@ -122,12 +123,12 @@
 
 
 class CrashCounts(NamedTuple):
-    """Targets that ended under requests.
+    """Numbers of targets that crashed under requests.
 
     Parameters
     ----------
     new, old : int
-        Those of the new version, and of all others.
+        Targets of the new version, and of all other versions.
     """
 
     new: int = 0
@@ -135,31 +136,31 @@
 
 
 class Evidence:
-    """What all routers saw of the versions in one order."""
+    """Answers and crashes by version during one order, as seen by all routers."""
 
     def __init__(self) -> None:
-        self._sums_by_router: dict[str, RouterTallies] = {}
-        self._rows = 0
+        self._tallies_by_router: dict[str, RouterTallies] = {}
+        self._key_count = 0
 
     def record_new(
-        self, router: str, row: NewVersionKey, kind: AnswerKind, now: float
+        self, router: str, key: NewVersionKey, kind: AnswerKind, now: float
     ) -> None:
         """Count an answer of the new version."""
-        self._of(router).changed_at[row] = now
-        sums = self._of(router).new
-        if row not in sums:
-            if self._rows >= MOST_ROWS:
+        self._of(router).changed_at[key] = now
+        tallies = self._of(router).new
+        if key not in tallies:
+            if self._key_count >= MAX_NEW_VERSION_KEYS:
                 return
-            self._rows += 1
-        sums[row] = sums.get(row, Tally()).with_answer(kind)
+            self._key_count += 1
+        tallies[key] = tallies.get(key, Tally()).with_answer(kind)
 
     def record_old(
-        self, router: str, row: OldVersionKey, kind: AnswerKind, now: float
+        self, router: str, key: OldVersionKey, kind: AnswerKind, now: float
     ) -> None:
         """Count an answer of another version."""
-        self._of(router).changed_at[row] = now
-        sums = self._of(router).old
-        sums[row] = sums.get(row, Tally()).with_answer(kind)
+        self._of(router).changed_at[key] = now
+        tallies = self._of(router).old
+        tallies[key] = tallies.get(key, Tally()).with_answer(kind)
 
     def merge(
         self,
@@ -167,60 +168,75 @@
         new: Mapping[NewVersionKey, Tally],
         old: Mapping[OldVersionKey, Tally],
     ) -> bool:
-        """Take what a router says that it saw; returns whether that is worse."""
-        sums = self._of(router)
-        bad_before = sum(tally.bad for tally in sums.new.values())
-        for row, tally in new.items():
-            if row not in sums.new:
-                if self._rows >= MOST_ROWS:
+        """Merge a router's counts; returns whether the new version has more bad ones.
+
+        Parameters
+        ----------
+        router : str
+            Incarnation of the router.
+        new : mapping of NewVersionKey to Tally
+            Its answers of the new version.
+        old : mapping of OldVersionKey to Tally
+            Its answers of all other versions.
+        """
+        tallies = self._of(router)
+        bad_before = sum(tally.bad for tally in tallies.new.values())
+        for key, tally in new.items():
+            if key not in tallies.new:
+                if self._key_count >= MAX_NEW_VERSION_KEYS:
                     continue
-                self._rows += 1
-            sums.new[row] = sums.new.get(row, Tally()).max_with(tally)
-        for row, tally in old.items():
-            sums.old[row] = sums.old.get(row, Tally()).max_with(tally)
-        return sum(tally.bad for tally in sums.new.values()) > bad_before
+                self._key_count += 1
+            tallies.new[key] = tallies.new.get(key, Tally()).max_with(tally)
+        for key, tally in old.items():
+            tallies.old[key] = tallies.old.get(key, Tally()).max_with(tally)
+        return sum(tally.bad for tally in tallies.new.values()) > bad_before
 
-    def record_crash(self, router: str, life_id: str, *, is_new: bool) -> None:
-        """Count that a target ended while it ran a request."""
-        sums = self._of(router)
-        (sums.crashed_new if is_new else sums.crashed_old).add(life_id)
+    def record_crash(self, router: str, incarnation_id: str, *, is_new: bool) -> None:
+        """Record that a target crashed while it processed a request."""
+        tallies = self._of(router)
+        (tallies.crashed_new if is_new else tallies.crashed_old).add(incarnation_id)
 
     def merge_crashes(self, router: str, new: Iterable[str], old: int) -> bool:
-        """Take which ends of targets a router saw; returns whether any is news."""
-        sums = self._of(router)
-        is_new = not sums.crashed_new.issuperset(new)
-        sums.crashed_new.update(new)
-        sums.reported_crashed_old = max(sums.reported_crashed_old, old)
+        """Merge a router's crashes; returns whether any of the new version is new."""
+        tallies = self._of(router)
+        is_new = not tallies.crashed_new.issuperset(new)
+        tallies.crashed_new.update(new)
+        tallies.reported_crashed_old = max(tallies.reported_crashed_old, old)
         return is_new
 
     def crash_counts(self) -> CrashCounts:
-        """Return how many targets ended; of the others the most that one router saw."""
-        all_sums = self._sums_by_router.values()
-        new = set().union(*(sums.crashed_new for sums in all_sums))
+        """Return the numbers of crashed targets.
+
+        Other versions are reported by number only, so that the largest number of one
+        router counts for them.
+        """
+        all_tallies = self._tallies_by_router.values()
+        new = set().union(*(tallies.crashed_new for tallies in all_tallies))
         old = [
-            max(len(sums.crashed_old), sums.reported_crashed_old) for sums in all_sums
+            max(len(tallies.crashed_old), tallies.reported_crashed_old)
+            for tallies in all_tallies
         ]
         return CrashCounts(len(new), max(old, default=0))
 
     def of_router(self, router: str) -> RouterTallies:
-        """Return what one life of a router saw."""
+        """Return the counts of one router incarnation."""
         return self._of(router)
 
     def new(self) -> NewTallies:
-        """Return the answers of the new version that any router saw."""
+        """Return the answers of the new version, over all routers."""
         total: NewTallies = {}
-        for sums in self._sums_by_router.values():
-            for row, tally in sums.new.items():
-                total[row] = total.get(row, Tally()).plus(tally)
+        for tallies in self._tallies_by_router.values():
+            for key, tally in tallies.new.items():
+                total[key] = total.get(key, Tally()).plus(tally)
         return total
 
     def old(self) -> OldTallies:
-        """Return the answers of all other versions that any router saw."""
+        """Return the answers of all other versions, over all routers."""
         total: OldTallies = {}
-        for sums in self._sums_by_router.values():
-            for row, tally in sums.old.items():
-                total[row] = total.get(row, Tally()).plus(tally)
+        for tallies in self._tallies_by_router.values():
+            for key, tally in tallies.old.items():
+                total[key] = total.get(key, Tally()).plus(tally)
         return total
 
     def _of(self, router: str) -> RouterTallies:
-        return self._sums_by_router.setdefault(router, RouterTallies())
+        return self._tallies_by_router.setdefault(router, RouterTallies())
--- a/libs/rollout/src/berylwalk/rollout/_messages.py
+++ b/libs/rollout/src/berylwalk/rollout/_messages.py
@@ -1,4 +1,4 @@
-"""What routers tell each other of roll-outs."""
+"""Messages by which routers share the state of roll-outs."""
 
 from typing import Annotated
 
@@ -11,15 +11,16 @@
     Tally,
 )
 
-TOLD_WHOLE = 40
-"""Sums up to which all are told in each message."""
-RECENT_S = 1.0
-"""Time after a change for which a sum is told in each message: in some of three."""
-TURNS = 8
-TURN_S = 0.5
-"""Turns in which all sums are told again, and the length of each, in seconds."""
-MOST_ENDS_TOLD = 8
-"""Ended lives in one message at most: a few of them decide."""
+MAX_UNPAGED_TALLIES = 40
+"""Number of tallies up to which each update contains all of them."""
+RECENT_CHANGE_S = 1.0
+"""Time for which a changed tally is part of each update, in seconds."""
+REPEAT_GROUPS = 8
+REPEAT_INTERVAL_S = 0.5
+"""Number of groups in which unchanged tallies are repeated, one group at a time, and
+the time for which a group is part of each update, in seconds."""
+MAX_CRASHES_PER_UPDATE = 8
+"""Crashed incarnations in one update."""
 Count = Annotated[int, Meta(ge=0)]
 Name = Annotated[str, Meta(max_length=200)]
 NewTallyRow = tuple[Count, Name, Name, Count, Count, Count]
@@ -27,34 +28,34 @@
 
 
 class RolloutUpdate(Struct, array_like=True):
-    """What one router knows of one order.
+    """State of one order as one router knows it.
 
     Parameters
     ----------
     service : str
         Of the order.
     order_revision : int
-        The store's revision of the order.
+        Store revision of the order.
     age_s : float
         For how long the order has been known, in seconds.
     number : int
-        Number of the phase; -1 if no record is known.
+        Number of the record; -1 if none is known.
     phase : str
-        The phase; empty if no record is known.
-    is_stopped : bool
-        Whether it has judged the version bad.
-    has_left : bool
-        Whether it sends nothing to the old version and has nothing there.
+        Phase of the record; empty if none is known.
+    is_rejected : bool
+        Whether the router has rejected the version.
+    has_drained : bool
+        Whether it sends nothing to the old version and has no requests there.
     new : list of tuples
-        What it saw of the new version: a `NewVersionKey` and its `Tally`.
+        Answers of the new version: a `NewVersionKey` and its `Tally` each.
     old : list of tuples
-        What it saw of the others: an `OldVersionKey` and its `Tally`.
-    told_number : int
-        Number of the last phase of which operators were told; -1 for none.
-    ended_new : list of str
-        Lives of new targets that ended under requests.
-    ended_old : int
-        Number of lives of others that did.
+        Answers of the others: an `OldVersionKey` and its `Tally` each.
+    reported_number : int
+        Number of the last record that was reported to operators; -1 for none.
+    crashed_new : list of str
+        Incarnations of targets of the new version that crashed under requests.
+    crashed_old : int
+        Number of those of the others.
     """
 
     service: Name
@@ -73,36 +74,36 @@
     crashed_old: Count = 0
 
     def new_tallies(self) -> dict[NewVersionKey, Tally]:
-        """Return what it saw of the new version."""
+        """Return the tallies of the new version."""
         return {NewVersionKey(*row[:3]): Tally(*row[3:]) for row in self.new}
 
     def old_tallies(self) -> dict[OldVersionKey, Tally]:
-        """Return what it saw of the others."""
+        """Return the tallies of the others."""
         return {OldVersionKey(*row[:2]): Tally(*row[2:]) for row in self.old}
 
 
-def rows_of(
-    sums: RouterTallies, now: float
+def tally_rows(
+    tallies: RouterTallies, now: float
 ) -> tuple[list[NewTallyRow], list[OldTallyRow]]:
-    """Return sums as they are told: all, or of many those that changed lately.
+    """Return the tallies to send: all, or of many those that changed recently.
 
-    The others are told again in turn, for messages are lost and routers start.
+    The others are repeated in groups, as messages are lost and routers restart.
     """
-    turn = int(now / TURN_S) % TURNS
-    are_few = len(sums.new) + len(sums.old) <= TOLD_WHOLE
+    group = int(now / REPEAT_INTERVAL_S) % REPEAT_GROUPS
+    are_few = len(tallies.new) + len(tallies.old) <= MAX_UNPAGED_TALLIES
 
-    def is_due(number: int, row: NewVersionKey | OldVersionKey) -> bool:
-        is_recent = now - sums.changed_at[row] <= RECENT_S
-        return are_few or is_recent or number % TURNS == turn
+    def is_due(number: int, key: NewVersionKey | OldVersionKey) -> bool:
+        is_recent = now - tallies.changed_at[key] <= RECENT_CHANGE_S
+        return are_few or is_recent or number % REPEAT_GROUPS == group
 
     new = [
-        (*row, *tally)
-        for number, (row, tally) in enumerate(sums.new.items())
-        if is_due(number, row)
+        (*key, *tally)
+        for number, (key, tally) in enumerate(tallies.new.items())
+        if is_due(number, key)
     ]
     old = [
-        (*row, *tally)
-        for number, (row, tally) in enumerate(sums.old.items())
-        if is_due(number, row)
+        (*key, *tally)
+        for number, (key, tally) in enumerate(tallies.old.items())
+        if is_due(number, key)
     ]
     return new, old
--- a/libs/rollout/src/berylwalk/rollout/_orders.py
+++ b/libs/rollout/src/berylwalk/rollout/_orders.py
@@ -1,4 +1,4 @@
-"""Orders of operators to move a service to another version."""
+"""Orders of operators to roll out a version of a service."""
 
 from dataclasses import dataclass
 from enum import StrEnum
@@ -6,16 +6,16 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Order:
-    """A service is to be moved to a version within a period.
+    """Order to roll out a version of a service within a period.
 
     Parameters
     ----------
     service, version : str
-        Which service, and to which version of it.
+        The service, and its new version.
     period_s : float
-        Time from the order within which it is to be done, in seconds.
+        Time from the order until the roll-out has to be completed, in seconds.
     revision : int
-        The store's revision of the order; a later one is another order.
+        Store revision of the order; a later one is another order.
     """
 
     service: str
@@ -25,7 +25,7 @@
 
 
 class OrderProblem(StrEnum):
-    """Why an order is not followed."""
+    """Why an order is invalid."""
 
     NOT_READABLE = "not-readable"
     WRONG_FIELD = "wrong-field"
@@ -34,14 +34,14 @@
 
 @dataclass(frozen=True, slots=True)
 class UnusableOrder:
-    """Found in place of an order that can be followed.
+    """Invalid order in the store.
 
     Parameters
     ----------
     problem : OrderProblem
-        Why it can't.
+        Why it is invalid.
     detail : str
-        The place, and what was found there.
+        The place in the order, and what was found there.
     """
 
     problem: OrderProblem
--- a/libs/rollout/src/berylwalk/rollout/_records.py
+++ b/libs/rollout/src/berylwalk/rollout/_records.py
@@ -1,4 +1,4 @@
-"""What the store keeps of a roll-out, and where."""
+"""Records of roll-outs in the store."""
 
 from collections.abc import Iterable
 from enum import StrEnum
@@ -10,47 +10,47 @@
 from berylwalk.rollout._orders import Order
 
 RECORDS_PREFIX = b"berylwalk/rollouts/"
-MOST_BARRED = 16
-"""Versions of a service that are remembered to get nothing; the newest."""
+MAX_BARRED_VERSIONS = 16
+"""Barred versions of a service that are kept; the newest."""
 
 
 class Phase(StrEnum):
-    """How far a roll-out has come."""
+    """Phase of a roll-out."""
 
     CANARY = "canary"
-    """A few requests go to the new version."""
+    """A bounded share of the requests goes to the new version."""
     RAMP = "ramp"
-    """Many requests go to a few of its targets, as far as the bound allows."""
+    """As many requests as the exposure bound allows go to some of its targets."""
     SHIFTING = "shifting"
-    """All new requests go to it."""
+    """All new requests go to the new version; the old version drains."""
     COMPLETED = "completed"
-    """It is in service alone."""
+    """Only the new version is in service."""
     REVERTED = "reverted"
-    """It gets nothing."""
+    """The new version gets no requests."""
 
     @property
     def is_final(self) -> bool:
-        """Whether nothing follows it."""
+        """Whether no phase follows this one."""
         return self in (Phase.COMPLETED, Phase.REVERTED)
 
 
 class Record(Struct, frozen=True):
-    """What is kept of the last roll-out of a service.
+    """State of the last roll-out of a service.
 
     Parameters
     ----------
     version : str
         The new version.
     order_revision : int
-        The store's revision of its order.
+        Store revision of its order.
     phase : Phase
-        How far it has come.
+        The phase.
     number : int
-        Grows with each change of the phase.
+        Increases with each change of the phase.
     began_s : float
-        Time of day at which the record was begun, in seconds since the epoch.
+        Time of day at which the roll-out started, in seconds since the epoch.
     barred : list of str
-        Versions that get nothing: left, or reverted.
+        Versions that get no requests, as they were replaced or reverted.
     reason : str
         Why the phase was entered.
     """
@@ -65,14 +65,14 @@
 
     @classmethod
     def start(cls, order: Order, former: "Record | None", now_s: float) -> Self:
-        """Return the first record of an order; an unfinished former one is reverted.
+        """Return the first record of an order; an active former roll-out is reverted.
 
         Parameters
         ----------
         order : Order
             The order.
         former : Record or None
-            That of the last order for the same service.
+            Record of the last order for the same service.
         now_s : float
             Time of day, in seconds since the epoch.
         """
@@ -92,16 +92,16 @@
     def with_phase(
         self, phase: Phase, reason: str, old_versions: Iterable[str]
     ) -> "Record":
-        """Return the record in another phase.
+        """Return the record after a change to another phase.
 
         Parameters
         ----------
         phase : Phase
-            The next one.
+            The new phase.
         reason : str
             Why it is entered.
         old_versions : iterable of str
-            All versions but the new one that are known; barred once it is completed.
+            Known versions; all but the new one are barred once it is completed.
         """
         barred = list(self.barred)
         if phase is Phase.REVERTED:
@@ -123,10 +123,10 @@
 
 
 def service_from_record_key(key: bytes) -> str:
-    """Return the service whose record a key holds."""
+    """Return the service in the key of a record."""
     return key[len(RECORDS_PREFIX) :].decode(errors="replace")
 
 
 def _newest(versions: Iterable[str], without: str = "") -> list[str]:
     kept = list(dict.fromkeys(each for each in versions if each != without))
-    return kept[-MOST_BARRED:]
+    return kept[-MAX_BARRED_VERSIONS:]
--- a/libs/rollout/src/berylwalk/rollout/_rollouts.py
+++ b/libs/rollout/src/berylwalk/rollout/_rollouts.py
@@ -1,4 +1,4 @@
-"""What a router lets go to which version of a service."""
+"""Roll-outs of one router: which version of a service a request may be sent to."""
 
 from collections.abc import Callable, Iterable, Sequence
 from dataclasses import dataclass
@@ -11,40 +11,44 @@
     OldVersionKey,
     RouterTallies,
 )
-from berylwalk.rollout._judgement import Verdict
-from berylwalk.rollout._messages import MOST_ENDS_TOLD, RolloutUpdate, rows_of
+from berylwalk.rollout._messages import (
+    MAX_CRASHES_PER_UPDATE,
+    RolloutUpdate,
+    tally_rows,
+)
 from berylwalk.rollout._orders import Order
 from berylwalk.rollout._phases import PhaseInputs, next_phase
 from berylwalk.rollout._progress import SHIFT_EPOCH, Progress
 from berylwalk.rollout._records import Phase, Record
+from berylwalk.rollout._verdict import Verdict
 from berylwalk.rollout._versions import VersionRegistry
 
-LONGEST_AGE_S = 2.5
-"""Age of a record from which a router sends nothing to a version that is not proved: it
-may have been reverted, and bad versions get nothing some seconds after they show."""
-RAMP_GROUP = 0.35
-"""Part of the new targets among which many requests are spread before the shift: they
-run as full as they will after it."""
-ROUTE_LEAD = 2
-"""Canary requests by which a route may be ahead of the one with the fewest."""
-ANY_ROUTE_FROM = 3.0
-"""Canary requests left from which the route does not matter: rare ones don't come."""
-TOLD_AFTER_END_S = 5.0
-"""Time for which the end of a roll-out is told."""
+MAX_RECORD_AGE_S = 2.5
+"""Age of the known records, in seconds, from which a router sends no canary requests:
+the version may have been reverted."""
+RAMP_TARGETS_SHARE = 0.35
+"""Part of the new targets that get the requests of the ramp: their load is then close
+to that after the shift."""
+MAX_ROUTE_LEAD = 2
+"""Maximum lead of a route over the one with the fewest canary requests."""
+ANY_ROUTE_BUDGET = 3.0
+"""Remaining budget from which routes may exceed the lead, as others are rare."""
+ENDED_UPDATES_S = 5.0
+"""Time for which updates contain a roll-out that has ended, in seconds."""
 
 
 @dataclass(frozen=True, slots=True)
 class VersionRejection:
-    """A router stops sending to a version by itself.
+    """A router has rejected the new version and stops sending to it.
 
     Parameters
     ----------
     order : Order
-        Which roll-out.
+        Order of the roll-out.
     verdict : Verdict
-        What is thought of it.
+        Result of the test of the version.
     from_peer : bool
-        Whether another router said so.
+        Whether another router rejected it first.
     """
 
     order: Order
@@ -53,29 +57,31 @@
 
 
 class Rollouts:
-    """Orders, records and evidence of one router.
+    """Orders, records and evidence as one router knows them.
 
     Parameters
     ----------
     rules : ExposureRules
-        How much a bad version may get.
+        Bound of the requests that a bad version may receive.
     router : str
-        Identifies this life of the router.
+        Incarnation of this router.
 
     Attributes
     ----------
-    routers_known : callable
-        Returns the number of routers.
+    versions : VersionRegistry
+        Known versions of the services.
+    router_count : callable
+        Returns the number of known routers.
     record_age_s : callable
-        Returns the age of what is known of the records, in seconds.
-    at_other_versions : callable
-        Returns how many own requests are at targets of a service that have another
-        version than one.
-    on_judged : callable
+        Returns the age of the known records, in seconds.
+    in_flight_at_other_versions : callable
+        Returns the number of own requests in flight at targets of a service whose
+        version differs from the given one.
+    on_rejected : callable
         Called with each `VersionRejection`.
-    on_news : callable
-        Called when there is something to tell at once.
-    on_orders : callable
+    on_urgent_update : callable
+        Called when an update should be sent at once.
+    on_orders_changed : callable
         Called when orders have changed.
     """
 
@@ -97,7 +103,7 @@
     # Orders and records.
 
     def set_orders(self, orders: Iterable[Order], now: float) -> bool:
-        """Take all orders that lie in the store; returns whether any is new."""
+        """Set all orders in the store; returns whether any has changed."""
         orders_by_service = {order.service: order for order in orders}
         changed = False
         for service in list(self._progress_by_service):
@@ -122,18 +128,19 @@
     def merge_record(
         self, service: str, record: Record, now: float, age_s: float | None = None
     ) -> bool:
-        """Take a record; returns whether it is news.
+        """Merge a record; returns whether it is newer than the known one.
 
         Parameters
         ----------
         service : str
-            Of which service.
+            The service.
         record : Record
-            As the store or another router has it.
+            From the store or another router.
         now : float
             Time in seconds.
         age_s : float or None
-            Time since the record was begun by the time of day, in seconds, if known.
+            Time since the start of the roll-out by the time of day, in seconds; None
+            if unknown.
         """
         known = self._records_by_service.get(service)
         if known is not None and record.number <= known.number:
@@ -157,11 +164,11 @@
             self.on_urgent_update()
 
     def progress(self, service: str) -> Progress | None:
-        """Return what is known of a service's order; None if there is none."""
+        """Return the state of a service's order; None if there is none."""
         return self._progress_by_service.get(service)
 
     def last_record(self, service: str) -> Record | None:
-        """Return the last record of a service, also of an earlier order."""
+        """Return the last record of a service, which may be of an earlier order."""
         return self._records_by_service.get(service)
 
     @property
@@ -170,14 +177,14 @@
         return list(self._progress_by_service.values())
 
     def is_in_progress(self, service: str) -> bool:
-        """Return whether answers of a service's versions are to be noted."""
+        """Return whether a service has an active roll-out."""
         progress = self._progress_by_service.get(service)
         return progress is not None and progress.is_active
 
-    # What is asked for each request.
+    # Decisions for each request.
 
     def restricts(self, service: str) -> bool:
-        """Return whether some versions of a service may get nothing."""
+        """Return whether some versions of a service may be excluded from requests."""
         return (
             service in self._progress_by_service
             or service in self._records_by_service
@@ -185,14 +192,14 @@
         )
 
     def allows(self, service: str, version: str, draw: float, now: float) -> bool:
-        """Return whether a request may go to a version, canary requests aside.
+        """Return whether a request that is not a canary request may go to a version.
 
         Parameters
         ----------
         service, version : str
-            Of the target.
+            Service and version of the target.
         draw : float
-            The request's own number from 0 up to 1, by which versions share requests.
+            Random number of the request in [0, 1), by which versions share requests.
         now : float
             Time in seconds.
         """
@@ -211,30 +218,31 @@
         return draw >= share
 
     def _share(self, progress: Progress, now: float) -> float:
-        """Return the share of requests that goes to the new version."""
+        """Return the share of the requests that goes to the new version."""
         match progress.phase:
             case Phase.COMPLETED:
                 return 1.0
             case Phase.SHIFTING if not progress.is_rejected:
                 return 1.0
             case None:
-                # The old targets stop when it is completed: without any it was.
+                # The record is not known yet. If no other version is left, the
+                # roll-out has been completed.
                 others = set(self.versions.known(progress.order.service))
                 return 0.0 if others - {progress.order.version} else 1.0
         return 0.0
 
     def count_send(self, service: str) -> None:
-        """Count a first send to a service."""
+        """Count the first send of a request to a service."""
         progress = self._progress_by_service.get(service)
         if progress is not None and progress.is_active:
             progress.budget.count_send()
 
     def take_canary(self, service: str, route: str, now: float) -> bool:
-        """Return whether a request is to try the new version; it is counted then."""
+        """Take a canary request from the budget; False if there must be none now."""
         progress = self._progress_by_service.get(service)
         if progress is None or progress.is_rejected:
             return False
-        if self.record_age_s() > LONGEST_AGE_S:
+        if self.record_age_s() > MAX_RECORD_AGE_S:
             return False
         if progress.age_s(now) >= progress.order.period_s:
             return False
@@ -244,8 +252,8 @@
             return False
         counts = progress.canaries_by_route
         fewest = min(counts.values(), default=0)
-        is_ahead = counts.setdefault(route, fewest) >= fewest + ROUTE_LEAD
-        if is_ahead and progress.budget.left < ANY_ROUTE_FROM:
+        is_ahead = counts.setdefault(route, fewest) >= fewest + MAX_ROUTE_LEAD
+        if is_ahead and progress.budget.remaining < ANY_ROUTE_BUDGET:
             return False
         if not progress.budget.take():
             return False
@@ -253,7 +261,7 @@
         return True
 
     def refund_canary(self, service: str, route: str) -> None:
-        """Give back a canary request that found no place."""
+        """Return a canary request to the budget that no target accepted."""
         progress = self._progress_by_service.get(service)
         if progress is not None:
             progress.budget.refund()
@@ -261,45 +269,46 @@
                 progress.canaries_by_route[route] -= 1
 
     def canary_targets(
-        self, service: str, lives: Sequence[str], others: int, now: float
+        self, service: str, incarnation_ids: Sequence[str], others: int, now: float
     ) -> set[str]:
-        """Return the targets of the new version that are tried now.
+        """Return the targets of the new version that get canary requests now.
 
         Parameters
         ----------
         service : str
-            Which service.
-        lives : sequence of str
-            Lives of the targets of the new version.
+            The service.
+        incarnation_ids : sequence of str
+            Incarnations of the targets of the new version.
         others : int
-            Targets of the old version.
+            Number of targets of the old version.
         now : float
             Time in seconds.
         """
         progress = self._progress_by_service[service]
         size = max(1, int(SPENT_SHARE * self._rules.share * others))
         if progress.phase is Phase.RAMP:
-            size = max(size, round(RAMP_GROUP * len(lives)))
+            size = max(size, round(RAMP_TARGETS_SHARE * len(incarnation_ids)))
         ordered = sorted(
-            lives, key=lambda life: parts_hash([service.encode(), life.encode()])
+            incarnation_ids,
+            key=lambda each: parts_hash([service.encode(), each.encode()]),
         )
         if len(ordered) <= size:
             return set(ordered)
         first = progress.epoch(now) * size
         return {ordered[(first + each) % len(ordered)] for each in range(size)}
 
-    # What is seen.
+    # Local observations.
 
     def answer_key(
-        self, service: str, version: str, life_id: str, route: str, now: float
+        self, service: str, version: str, incarnation_id: str, route: str, now: float
     ) -> NewVersionKey | OldVersionKey | None:
-        """Return what an answer is told apart by; asked when its request is sent.
+        """Return the key by which the answer to a request sent now is counted.
 
-        None if no order of the service is under way.
+        None if the service has no active roll-out.
 
         Parameters
         ----------
-        service, version, life_id : str
+        service, version, incarnation_id : str
             Of the target.
         route : str
             Name of the route.
@@ -311,13 +320,13 @@
             return None
         epoch = progress.epoch(now)
         if version == progress.order.version:
-            return NewVersionKey(epoch, life_id, route)
+            return NewVersionKey(epoch, incarnation_id, route)
         return OldVersionKey(epoch, route)
 
     def record_answer(
         self,
         service: str,
-        row: NewVersionKey | OldVersionKey,
+        key: NewVersionKey | OldVersionKey,
         kind: AnswerKind,
         now: float,
     ) -> None:
@@ -326,37 +335,37 @@
         Parameters
         ----------
         service : str
-            Which service.
-        row : Row or OldRow
-            What it is told apart by.
+            The service.
+        key : NewVersionKey or OldVersionKey
+            The key that `answer_key` returned when the request was sent.
         kind : AnswerKind
-            What it says of the version.
+            Classification of the answer.
         now : float
             Time in seconds.
         """
         progress = self._progress_by_service.get(service)
         if progress is None or not progress.is_active:
             return
-        if isinstance(row, OldVersionKey):
-            progress.evidence.record_old(self._router, row, kind, now)
+        if isinstance(key, OldVersionKey):
+            progress.evidence.record_old(self._router, key, kind, now)
             return
-        if kind is AnswerKind.SLOW and row.epoch >= SHIFT_EPOCH:
-            # There is nothing left to tell a slow version from a burst by.
+        if kind is AnswerKind.SLOW and key.epoch >= SHIFT_EPOCH:
+            # Without answers of the old version, slowness may be due to a burst.
             kind = AnswerKind.GOOD
-        progress.evidence.record_new(self._router, row, kind, now)
+        progress.evidence.record_new(self._router, key, kind, now)
         if kind is not AnswerKind.GOOD:
             self.on_urgent_update()
             self._evaluate(progress)
 
-    def record_crash(self, service: str, life_id: str, *, is_new: bool) -> None:
-        """Take that a target ended while it ran a request."""
+    def record_crash(self, service: str, incarnation_id: str, *, is_new: bool) -> None:
+        """Record that a target crashed while it processed a request."""
         progress = self._progress_by_service.get(service)
         if progress is not None and progress.is_active:
-            progress.evidence.record_crash(self._router, life_id, is_new=is_new)
+            progress.evidence.record_crash(self._router, incarnation_id, is_new=is_new)
             self._evaluate(progress)
 
     def record_duration(self, service: str, taken_s: float) -> None:
-        """Take how long an answer of the old version took."""
+        """Record the duration of an answer of the old version."""
         progress = self._progress_by_service.get(service)
         if progress is not None:
             progress.longest_answer_s = max(progress.longest_answer_s, taken_s)
@@ -370,23 +379,23 @@
             self.on_rejected(VersionRejection(progress.order, verdict, from_peer=False))
             self.on_urgent_update()
 
-    # What routers tell each other.
+    # Updates between routers.
 
     def updates(self, now: float) -> list[RolloutUpdate]:
-        """Return what is to be told."""
+        """Return the updates to send."""
         return [
             self._update_for(progress, now)
             for progress in self._progress_by_service.values()
-            if progress.is_active or now - progress.phase_since < TOLD_AFTER_END_S
+            if progress.is_active or now - progress.phase_since < ENDED_UPDATES_S
         ]
 
     def _update_for(self, progress: Progress, now: float) -> RolloutUpdate:
         record = progress.record
-        sums = RouterTallies()
+        tallies = RouterTallies()
         if progress.is_active:
-            sums = progress.evidence.of_router(self._router)
-        new, old = rows_of(sums, now)
-        crashed_new, crashed_old = sorted(sums.crashed_new), len(sums.crashed_old)
+            tallies = progress.evidence.of_router(self._router)
+        new, old = tally_rows(tallies, now)
+        crashed_new, crashed_old = sorted(tallies.crashed_new), len(tallies.crashed_old)
         return RolloutUpdate(
             progress.order.service,
             progress.order.revision,
@@ -398,12 +407,12 @@
             new,
             old,
             progress.reported_number,
-            crashed_new[:MOST_ENDS_TOLD],
+            crashed_new[:MAX_CRASHES_PER_UPDATE],
             crashed_old,
         )
 
     def has_drained(self, progress: Progress, now: float) -> bool:
-        """Return whether nothing is sent to the old version, and nothing is there."""
+        """Return whether nothing is sent to the old version, or in flight there."""
         if progress.phase not in (Phase.SHIFTING, Phase.COMPLETED):
             return False
         if self._share(progress, now) < 1.0:
@@ -411,24 +420,24 @@
         order = progress.order
         return self.in_flight_at_other_versions(order.service, order.version) == 0
 
-    def merge(self, router: str, news: Iterable[RolloutUpdate], now: float) -> None:
-        """Take what another router told.
+    def merge(self, router: str, updates: Iterable[RolloutUpdate], now: float) -> None:
+        """Merge the updates of another router.
 
         Parameters
         ----------
         router : str
-            Identifies its life.
-        news : iterable of RolloutUpdate
-            What it told.
+            Incarnation of the other router.
+        updates : iterable of RolloutUpdate
+            Its updates.
         now : float
             Time in seconds.
         """
-        for each in news:
+        for each in updates:
             progress = self._progress_by_service.get(each.service)
             if progress is None or progress.order.revision != each.order_revision:
                 continue
             progress.since = min(progress.since, now - each.age_s)
-            progress.news_by_router[router] = each
+            progress.updates_by_router[router] = each
             progress.reported_number = max(
                 progress.reported_number, each.reported_number
             )
@@ -448,34 +457,36 @@
             elif is_worse:
                 self._evaluate(progress)
 
-    def _merge_phase(self, progress: Progress, news: RolloutUpdate, now: float) -> None:
-        """Take a phase that another router knows: the store has it already."""
+    def _merge_phase(
+        self, progress: Progress, update: RolloutUpdate, now: float
+    ) -> None:
+        """Adopt a newer phase of another router, which the store has already."""
         record = progress.record
         known = -1 if record is None else record.number
-        if news.number <= known or news.phase not in set(Phase):
+        if update.number <= known or update.phase not in set(Phase):
             return
-        former = self._records_by_service.get(news.service)
+        former = self._records_by_service.get(update.service)
         barred = [] if former is None else former.barred
-        heard = Record(
+        merged = Record(
             version=progress.order.version,
-            order_revision=news.order_revision,
-            phase=Phase(news.phase),
-            number=news.number,
+            order_revision=update.order_revision,
+            phase=Phase(update.phase),
+            number=update.number,
             began_s=0.0 if record is None else record.began_s,
             barred=barred,
-            reason="told by another router",
+            reason="reported by another router",
         )
-        if heard.phase.is_final:
-            heard = heard.with_phase(
-                heard.phase,
-                heard.reason,
-                self.versions.known(news.service),
+        if merged.phase.is_final:
+            merged = merged.with_phase(
+                merged.phase,
+                merged.reason,
+                self.versions.known(update.service),
             )
-            heard = _numbered(heard, news.number)
-        self._records_by_service[news.service] = heard
-        self._adopt(progress, heard, now)
+            merged = _with_number(merged, update.number)
+        self._records_by_service[update.service] = merged
+        self._adopt(progress, merged, now)
 
-    # What decides on the next phase.
+    # Changes of the phase.
 
     def next_phase(
         self,
@@ -485,21 +496,21 @@
         all_peers_alive: bool,
         now: float,
     ) -> tuple[Phase, str] | None:
-        """Return the next phase of an order and why; None while there is none.
+        """Return the next phase of an order and the reason for it; None to stay.
 
         Parameters
         ----------
         progress : Progress
-            Of the order; its record has to be known.
+            State of the order, with a record.
         alive_peers : iterable of str
-            Lives of the other routers that are heard.
-        all_are_heard : bool
-            Whether these are all that are listed.
+            Incarnations of the other routers that are alive.
+        all_peers_alive : bool
+            Whether these are all listed routers.
         now : float
             Time in seconds.
         """
-        news = [progress.news_by_router.get(router) for router in alive_peers]
-        have_left = all(each is not None and each.has_drained for each in news)
+        updates = [progress.updates_by_router.get(router) for router in alive_peers]
+        all_drained = all(each is not None and each.has_drained for each in updates)
         return next_phase(
             PhaseInputs(
                 phase=progress.record.phase,
@@ -509,13 +520,13 @@
                 verdict=progress.verdict(),
                 longest_answer_s=progress.longest_answer_s,
                 is_rejected=progress.is_rejected,
-                all_drained=have_left and self.has_drained(progress, now),
+                all_drained=all_drained and self.has_drained(progress, now),
                 all_peers_alive=all_peers_alive,
             )
         )
 
 
-def _numbered(record: Record, number: int) -> Record:
+def _with_number(record: Record, number: int) -> Record:
     return Record(
         version=record.version,
         order_revision=record.order_revision,
--- a/libs/rollout/src/berylwalk/rollout/_versions.py
+++ b/libs/rollout/src/berylwalk/rollout/_versions.py
@@ -1,43 +1,45 @@
-"""Which versions of a service are known to be in service, where orders may follow."""
+"""Known versions of services, and those whose roll-out order may not be known yet."""
 
 from collections.abc import Collection
 
 
 class VersionRegistry:
-    """Versions by service, and since which revision of the store they are there.
+    """Versions by service, with the store revision at which each was first listed.
 
-    An operator's order lies in the store before the targets of its version. So a
-    version that appears beside others has no order if the orders are known up to the
-    revision of its first entry and name none; until then it waits.
+    An operator writes the order to the store before the first target of its version is
+    listed. So a version that appears beside others is pending until all orders up to
+    the revision of its first entry are known.
     """
 
     def __init__(self) -> None:
-        self._first_by_service: dict[str, dict[str, int]] = {}
-        self._orders_known = 0
+        self._first_revisions_by_service: dict[str, dict[str, int]] = {}
+        self._orders_revision = 0
 
     def record_version(self, service: str, version: str, revision: int) -> None:
-        """Take that a target of a version was listed at a revision of the store."""
-        self._first_by_service.setdefault(service, {}).setdefault(version, revision)
+        """Record that a target of a version was listed at a store revision."""
+        self._first_revisions_by_service.setdefault(service, {}).setdefault(
+            version, revision
+        )
 
     def record_orders_known(self, revision: int) -> None:
-        """Take that all orders up to a revision of the store are known."""
-        self._orders_known = max(self._orders_known, revision)
+        """Record that all orders up to a store revision are known."""
+        self._orders_revision = max(self._orders_revision, revision)
 
     def pending(self, service: str) -> Collection[str]:
         """Return the versions that may have an order which is not known yet.
 
-        None if that is so of all of them: one of them must be in service.
+        Empty if that holds for all versions: one of them must be in service.
         """
-        first = self._first_by_service.get(service, {})
-        if len(first) < 2:
+        first_revisions = self._first_revisions_by_service.get(service, {})
+        if len(first_revisions) < 2:
             return ()
         pending = [
             version
-            for version, revision in first.items()
-            if revision > self._orders_known
+            for version, revision in first_revisions.items()
+            if revision > self._orders_revision
         ]
-        return () if len(pending) == len(first) else pending
+        return () if len(pending) == len(first_revisions) else pending
 
     def known(self, service: str) -> Collection[str]:
-        """Return all versions of a service that were ever listed."""
-        return self._first_by_service.get(service, {})
+        """Return all versions of a service that have been listed."""
+        return self._first_revisions_by_service.get(service, {})
--- a/libs/rollout/tests/test_rollout_judgement.py
+++ b/libs/rollout/tests/test_rollout_judgement.py
@@ -1,4 +1,4 @@
-"""A version is judged by what was seen of it and of the others, at any moment."""
+"""Error rates and exclusions of the test that rejects bad versions."""
 
 from random import Random
 
@@ -6,19 +6,19 @@
 
 TRIALS = 300
 ANSWERS = 150
-FALSELY = 0.01
-"""Share of good versions that may be taken for bad, over all looks."""
-MISSED = 0.01
-"""Share of bad versions that may be missed."""
+MAX_FALSE_REJECTIONS = 0.01
+"""Share of good versions that may be rejected."""
+MAX_MISSED = 0.01
+"""Share of bad versions that may not be rejected."""
 
 
 def tally(random, answers, share):
-    """Return answers of which a share is bad, by chance."""
+    """Return answers of which each is bad with a probability."""
     return Tally(answers, sum(random.random() < share for _ in range(answers)), 0)
 
 
-def looks(random, *, new_share, old_share, route=""):
-    """Yield what is known after each answer of the new version."""
+def evidence_by_answer(random, *, new_share, old_share, route=""):
+    """Yield the tallies of both versions after each answer of the new one."""
     new, old = {}, {}
     for number in range(ANSWERS):
         epoch = number // 30
@@ -30,81 +30,81 @@
         yield new, old
 
 
-def judged_bad(seed, **shares):
-    """Return after how many answers a version is judged bad; None if it never is."""
-    for number, (new, old) in enumerate(looks(Random(seed), **shares)):
+def rejected_after(seed, **shares):
+    """Return the number of answers until the rejection; None if there is none."""
+    for number, (new, old) in enumerate(evidence_by_answer(Random(seed), **shares)):
         if judge(new, old).is_bad:
             return number + 1
     return None
 
 
 class TestErrors:
-    """Rates of errors, with a look after each answer."""
+    """Error rates of the test when it is repeated after each answer."""
 
-    def test_good_versions_are_not_reverted(self):
-        """Whether few or many answers of all versions are bad."""
+    def test_good_versions_are_not_rejected(self):
+        """The rate must hold whether few or many answers of all versions are bad."""
         for share in (0.0, 0.02, 0.25):
-            falsely = sum(
-                judged_bad(seed, new_share=share, old_share=share) is not None
+            rejected = sum(
+                rejected_after(seed, new_share=share, old_share=share) is not None
                 for seed in range(TRIALS // 3)
             )
-            assert falsely <= FALSELY * TRIALS / 3
+            assert rejected <= MAX_FALSE_REJECTIONS * TRIALS / 3
 
-    def test_bad_versions_are_found(self):
-        """Long before they have had their share."""
+    def test_bad_versions_are_rejected(self):
+        """Half of them must be rejected within 60 answers."""
         found = [
-            judged_bad(seed, new_share=0.35, old_share=0.02)
+            rejected_after(seed, new_share=0.35, old_share=0.02)
             for seed in range(TRIALS // 3)
         ]
-        assert sum(each is None for each in found) <= MISSED * TRIALS / 3
+        assert sum(each is None for each in found) <= MAX_MISSED * TRIALS / 3
         assert sorted(each or ANSWERS for each in found)[len(found) // 2] < 60
 
-    def test_bad_on_one_route_only(self):
-        """Half of the answers say nothing of it."""
+    def test_version_that_is_bad_on_one_route_is_rejected(self):
+        """Answers of the other route must not hide it."""
         found = [
-            judged_bad(seed, new_share=0.6, old_share=0.02, route="r1")
+            rejected_after(seed, new_share=0.6, old_share=0.02, route="r1")
             for seed in range(TRIALS // 6)
         ]
         assert all(found)
 
 
 class TestTargets:
-    """One target is not the version."""
+    """Bad targets are distinguished from a bad version."""
 
-    def test_one_grey_target_of_several(self):
-        """It is left out, whatever it answers."""
+    def test_single_bad_target_is_excluded(self):
+        """One failing target must not get the version rejected."""
         new = {
-            NewVersionKey(0, "grey", "r"): Tally(40, 40, 0),
-            NewVersionKey(0, "well", "r"): Tally(40, 0, 0),
+            NewVersionKey(0, "bad", "r"): Tally(40, 40, 0),
+            NewVersionKey(0, "good", "r"): Tally(40, 0, 0),
         }
         old = {OldVersionKey(0, "r"): Tally(400, 4, 0)}
         assert not judge(new, old).is_bad
 
-    def test_first_target_alone_says_nothing(self):
-        """Others come with the next epoch."""
+    def test_first_target_alone_does_not_decide(self):
+        """A version must not be rejected by answers of one target only."""
         new = {NewVersionKey(0, "t", "r"): Tally(40, 40, 0)}
         assert not judge(new, {}).is_bad
 
-    def test_two_bad_targets(self):
-        """Then it is the version."""
+    def test_two_bad_targets_reject_the_version(self):
+        """Excluding the worst target must not hide a bad version."""
         rows = {
             NewVersionKey(0, f"t{each}", "r"): Tally(20, 10, 0) for each in range(2)
         }
         assert judge(rows, {OldVersionKey(0, "r"): Tally(400, 4, 0)}).is_bad
 
-    def test_targets_that_end_under_requests(self):
-        """Three of them are the version, if the others don't end as well."""
+    def test_three_crashed_targets_reject_the_version(self):
+        """Unless targets of other versions crash as well."""
         new = {NewVersionKey(0, "t", "r"): Tally(20, 0, 0)}
         assert not judge(new, {}, CrashCounts(new=2, old=0)).is_bad
         assert judge(new, {}, CrashCounts(new=3, old=0)).is_bad
         assert not judge(new, {}, CrashCounts(new=3, old=2)).is_bad
 
 
-class TestSameSeconds:
-    """What hits both versions at once is not the new one's fault."""
+class TestBursts:
+    """Disturbances of both versions must not be attributed to the new one."""
 
-    def test_burst_in_the_only_epoch_that_the_new_one_saw(self):
-        """Though the old one's share is low over the whole time."""
+    def test_burst_in_the_only_epoch_with_answers(self):
+        """The old version's low share over all epochs must not be the reference."""
         new = {
             NewVersionKey(5, "a", "r"): Tally(40, 0, 12),
             NewVersionKey(5, "b", "r"): Tally(40, 0, 12),
