--- a/libs/rollout/tests/test_rollout_phases.py
+++ b/libs/rollout/tests/test_rollout_phases.py
@@ -68,7 +68,7 @@
         """Routers that are not alive are waited for until shortly before the end."""
         assert step(Phase.SHIFTING) is None
         assert step(Phase.SHIFTING, all_drained=True) is Phase.COMPLETED
-        missing_peers = {"all_have_left": True, "all_are_heard": False}
+        missing_peers = {"all_drained": True, "all_peers_alive": False}
         assert step(Phase.SHIFTING, **missing_peers) is None
         assert step(Phase.SHIFTING, age_s=11.5, **missing_peers) is Phase.COMPLETED
         assert step(Phase.SHIFTING, age_s=20.0) is None
