--- a/libs/affinity/src/berylwalk/affinity/__init__.py
+++ b/libs/affinity/src/berylwalk/affinity/__init__.py
@@ -1,4 +1,4 @@
-"""Which targets have read which prompt prefixes, and hashes of those."""
+"""Prefix cache affinity: which targets have processed which prompt prefixes."""
 
 from berylwalk.affinity._hashes import parts_hash
 from berylwalk.affinity._history import PlacementHistory
--- a/libs/affinity/src/berylwalk/affinity/_history.py
+++ b/libs/affinity/src/berylwalk/affinity/_history.py
@@ -1,21 +1,21 @@
-"""Which agents received which prompt prefixes from this router."""
+"""History of the prompt prefixes that this router sent to agents."""
 
 from collections import OrderedDict
 
 HISTORY_SIZE = 65_536
-"""Prefixes that are remembered."""
+"""Default number of prefixes."""
 
 AGENTS_PER_PREFIX = 3
-"""Agents that are remembered for each prefix."""
+"""Agents that are kept for each prefix, the most recent ones."""
 
 
 class PlacementHistory:
-    """Bounded memory of prefixes and the agents that processed them last.
+    """Bounded LRU history of prefixes and the agents that processed them last.
 
     Parameters
     ----------
     size : int
-        Prefixes that are remembered; the least recently used go first.
+        Number of prefixes; the least recently used are evicted first.
     """
 
     def __init__(self, size: int = HISTORY_SIZE) -> None:
@@ -26,9 +26,9 @@
         return len(self._agents_by_prefix)
 
     def record(self, prefix: tuple[int, ...], agent: str) -> None:
-        """Note that the agent processes a prompt with this prefix.
+        """Record that an agent processes a prompt with this prefix.
 
-        Longer prefixes are noted first, so that they are forgotten first.
+        Longer prefixes are recorded first, so that they are evicted first.
         """
         for prefix_hash in reversed(prefix):
             known = self._agents_by_prefix.pop(prefix_hash, ())
@@ -39,7 +39,7 @@
             self._agents_by_prefix.popitem(last=False)
 
     def forget(self, agent: str) -> None:
-        """Drop an agent whose cache is gone."""
+        """Remove an agent whose cache has been lost."""
         for prefix_hash, known in list(self._agents_by_prefix.items()):
             if agent not in known:
                 continue
--- a/libs/reading/src/berylwalk/reading/__init__.py
+++ b/libs/reading/src/berylwalk/reading/__init__.py
@@ -1,4 +1,4 @@
-"""One reading of the store for many routers: what is known, asked and told."""
+"""Replicas of store prefixes, and the messages by which routers share them."""
 
 from berylwalk.reading._messages import (
     DeltaItem,
--- a/libs/reading/src/berylwalk/reading/_messages.py
+++ b/libs/reading/src/berylwalk/reading/_messages.py
@@ -1,8 +1,8 @@
-"""What routers ask each other about the store, and what they tell.
+"""Messages by which routers share the contents of the store.
 
-Fields may be added at the end of a message: an earlier version passes them over, a
-later one takes their defaults. A version that does not know these messages does not
-answer, and who asked reads the store itself.
+Fields may be appended to a message: earlier versions ignore them, and later versions
+use their defaults. A version without these messages does not reply, and the sender
+reads the store itself.
 """
 
 from typing import Annotated
@@ -10,7 +10,7 @@
 from msgspec import Meta, Struct
 
 Age = Annotated[float, Meta(ge=0)]
-"""A time that has passed, in seconds."""
+"""Elapsed time, in seconds."""
 
 
 class DeltaItem(Struct, array_like=True):
@@ -21,9 +21,9 @@
     key : bytes
         Its key.
     revision : int
-        Revision of the store at which it changed.
+        Store revision of the change.
     value : bytes or None
-        What it holds; None if it was removed.
+        Its value; None if it was deleted.
     """
 
     key: bytes
@@ -32,26 +32,25 @@
 
 
 class PrefixDelta(Struct, array_like=True):
-    """What a router knows of the items under one prefix.
+    """Changes of the items under one prefix since a revision.
 
     Parameters
     ----------
     name : str
-        Which items.
+        Name of the prefix.
     revision : int
-        All changes up to this revision of the store are known.
+        Store revision up to which the sender knows all changes.
     age_s : float
         Time since the store was known to be at that revision, in seconds: from the
-        moment at which it was asked, whoever asked, to that of the telling.
-    changed_at : int
-        Revision of the newest change known.
-    after : int
-        All changes after this revision are among the items.
-    items : list of WordItem
+        request to the store, by whichever router, until the delta is sent.
+    last_change_revision : int
+        Revision of the last known change.
+    base_revision : int
+        The items contain all changes after this revision.
+    items : list of DeltaItem
         The changes, oldest first.
     digest : int
-        Tells whether the asker has the same items once it has the changes; 0 if that
-        is not told.
+        Digest of the items that result from the changes; 0 if not given.
     """
 
     name: str
@@ -64,16 +63,16 @@
 
 
 class StoreSyncRequest(Struct, array_like=True, tag=3):
-    """Asks a router what it knows of the store.
+    """Request for the changes of some prefixes.
 
     Parameters
     ----------
     sender, host, port : str, str, int
-        Who asks, and where it takes messages.
+        Name of the sender, and the address to which the reply is sent.
     number : int
-        Repeated in the answer.
+        Repeated in the reply.
     revisions : dict
-        Up to which revision the sender knows all changes, by name of the items.
+        Revision up to which the sender knows all changes, by the name of the prefix.
     """
 
     sender: str
@@ -84,16 +83,16 @@
 
 
 class StoreSyncReply(Struct, array_like=True, tag=4):
-    """Answers with what is known here.
+    """Reply to a `StoreSyncRequest`.
 
     Parameters
     ----------
     sender : str
-        Who tells.
+        Name of the sender.
     number : int
-        That of the question.
-    words : list of Word
-        One for each name that the question had and that is known here.
+        Number of the request.
+    deltas : list of PrefixDelta
+        One for each requested prefix that the sender knows.
     """
 
     sender: str
--- a/libs/reading/src/berylwalk/reading/_prefix_state.py
+++ b/libs/reading/src/berylwalk/reading/_prefix_state.py
@@ -1,4 +1,4 @@
-"""The items under a prefix of the store, in the order of its revisions."""
+"""Items under a prefix of the store, updated in the order of revisions."""
 
 from collections import deque
 from zlib import crc32
@@ -6,37 +6,37 @@
 from berylwalk.platform import Changes, EventKind, KeyValue, Listing, WatchEvent
 from berylwalk.reading._messages import DeltaItem, PrefixDelta
 
-MOST_CHANGES_KEPT = 64
-"""Newest changes that are kept for others; who is further behind lists by itself."""
-MOST_CHANGES_TOLD = 8
-"""Changes in one word at most."""
-MOST_BYTES_TOLD = 2_000
-"""Bound of their keys and values: they travel in a datagram."""
+MAX_CHANGES_KEPT = 64
+"""Recent changes that are kept for other routers; others list the prefix."""
+MAX_DELTA_CHANGES = 8
+"""Changes in one delta."""
+MAX_DELTA_BYTES = 2_000
+"""Total size of their keys and values: a delta has to fit into a datagram."""
 
 
 class PrefixState:
-    """What lists, watches and other routers told of the items, in whatever order.
+    """Replica of the items under a prefix, from lists, watches and other routers.
 
-    Lists and watches run side by side, and answers may be overtaken. What an answer
-    tells counts by the revision at which the store gave it: an older answer changes
-    nothing, and of a newer one only what is newer is taken.
+    Lists and watches run concurrently, and responses may arrive out of order. They are
+    ordered by the store revision: an older response changes nothing, and only the newer
+    items of a newer one are applied.
 
     Parameters
     ----------
-    is_steady : bool
-        Whether items seldom come and go: if they are the same in two lists, nothing is
-        taken to have changed between them. Who knows of one that came and went sees by
-        the digest of a word that it has gone.
+    rarely_changes : bool
+        Whether items seldom change, so that two equal lists are taken to mean that
+        nothing changed in between. A router that saw an item which was created and
+        deleted in between detects that by the digest of a delta.
 
     Attributes
     ----------
     revision : int
-        All changes up to this revision of the store are known.
+        Store revision up to which all changes are known.
     known_at : float
-        When the store was known to be at that revision, in seconds: not before the
-        moment at which it was asked, whoever asked.
-    changed_at : int
-        Revision up to which there may have been changes; none is known after it.
+        When the store was known to be at that revision, in seconds: the time of the
+        request to the store, by whichever router.
+    last_change_revision : int
+        Revision of the last change, or an upper bound of it.
     """
 
     def __init__(self, *, rarely_changes: bool = False) -> None:
@@ -45,28 +45,28 @@
         self.known_at = float("-inf")
         self.last_change_revision = 0
         self._items_by_key: dict[bytes, KeyValue] = {}
-        self._recent: deque[WatchEvent] = deque(maxlen=MOST_CHANGES_KEPT)
+        self._recent: deque[WatchEvent] = deque(maxlen=MAX_CHANGES_KEPT)
         self._recent_base_revision = 0
 
     @property
     def items(self) -> list[KeyValue]:
-        """The items that are there."""
+        """The current items."""
         return list(self._items_by_key.values())
 
     def apply_listing(
         self, listing: Listing, *, known_at: float = float("-inf")
     ) -> bool:
-        """Take a list; returns whether it was not older than what is known.
+        """Apply a list; returns False, without a change, if it is outdated.
 
-        Pages of a list are no snapshot: an item of a later page may be newer than
-        the list's revision.
+        The pages of a list are not a consistent snapshot: an item of a later page may
+        be newer than the list's revision.
 
         Parameters
         ----------
         listing : Listing
             The list.
         known_at : float
-            When it was asked for.
+            When it was requested, in seconds.
         """
         if listing.revision < self.revision:
             return False
@@ -78,8 +78,8 @@
         is_same = _revisions(items_by_key) == _revisions(self._items_by_key)
         is_later = listing.revision > self.revision
         if not is_same or (is_later and not self._rarely_changes):
-            # What led here is not known change by change. Also if the items are the
-            # same, another one may have come and gone, and others know that it came.
+            # The single changes up to here are unknown. Even if the items are equal,
+            # one may have been created, seen by other routers, and deleted.
             newest = max(_revisions(items_by_key).values(), default=0)
             self.last_change_revision = max(
                 self.last_change_revision, listing.revision, newest
@@ -94,54 +94,54 @@
     def apply_changes(
         self, changes: Changes, *, known_at: float = float("-inf")
     ) -> list[WatchEvent]:
-        """Take what a watch told; returns the events that are news.
+        """Apply the response of a watch; returns the events that are new.
 
         Parameters
         ----------
         changes : Changes
-            All changes from a revision that is known on.
+            All changes after a known revision.
         known_at : float
-            When the store was surely at their revision.
+            When the store was known to be at their revision, in seconds.
         """
-        news = [event for event in changes.events if self._apply_event(event)]
+        new_events = [event for event in changes.events if self._apply_event(event)]
         if changes.unreadable:
             self.last_change_revision = max(self.last_change_revision, changes.revision)
             self._recent.clear()
             self._recent_base_revision = self.last_change_revision
         self.revision = max(self.revision, changes.revision)
         self.known_at = max(self.known_at, known_at)
-        return news
+        return new_events
 
     def apply_delta(
-        self, word: PrefixDelta, asked_at: float
+        self, delta: PrefixDelta, requested_at: float
     ) -> list[WatchEvent] | None:
-        """Take what another router told; returns the events that are news.
+        """Apply the delta of another router; returns the events that are new.
 
-        None if there are changes that it did not tell: they have to be read.
+        None if the delta lacks changes: the items have to be read from the store.
 
         Parameters
         ----------
-        word : Word
-            What it told.
-        asked_at : float
-            When it was asked, on the own clock.
+        delta : PrefixDelta
+            The delta.
+        requested_at : float
+            When it was requested, on the local clock, in seconds.
         """
-        known_at = asked_at - word.age_s
-        if word.last_change_revision <= self.revision:
+        known_at = requested_at - delta.age_s
+        if delta.last_change_revision <= self.revision:
             events = []
-        elif word.base_revision <= self.revision:
-            events = [_event(item) for item in word.items]
+        elif delta.base_revision <= self.revision:
+            events = [_to_event(item) for item in delta.items]
         else:
             return None
-        if self._differs_after(events, word):
+        if self._digest_differs(events, delta):
             return None
         return self.apply_changes(
-            Changes(tuple(events), word.revision), known_at=known_at
+            Changes(tuple(events), delta.revision), known_at=known_at
         )
 
-    def _differs_after(self, events: list[WatchEvent], word: PrefixDelta) -> bool:
-        """Return whether the other router has other items, its changes taken."""
-        if not word.digest or word.revision < self.revision:
+    def _digest_differs(self, events: list[WatchEvent], delta: PrefixDelta) -> bool:
+        """Return whether the digest shows a difference after the changes."""
+        if not delta.digest or delta.revision < self.revision:
             return False
         revisions = _revisions(self._items_by_key)
         for event in events:
@@ -150,17 +150,17 @@
                 revisions[key] = max(revision, revisions.get(key, 0))
             elif revisions.get(key, 0) < revision:
                 revisions.pop(key, None)
-        return _digest(revisions) != word.digest
+        return _digest(revisions) != delta.digest
 
     def delta(self, name: str, since: int, now: float) -> PrefixDelta:
-        """Return what is known, for a router that knows all up to a revision.
+        """Return the delta for a router that knows all changes up to a revision.
 
         Parameters
         ----------
         name : str
-            Which items these are.
+            Name of the prefix.
         since : int
-            What the other router knows.
+            Revision up to which the other router knows all changes.
         now : float
             Time in seconds.
         """
@@ -177,14 +177,18 @@
         )
 
     def _changes_since(self, since: int) -> tuple[int, list[DeltaItem]]:
-        """Return the changes after a revision, and from where on they are whole."""
+        """Return the base revision of a delta and its changes.
+
+        The changes are empty, and the base is the last change, if they are not kept or
+        too large.
+        """
         if since < self._recent_base_revision:
             return self.last_change_revision, []
         newer = [each for each in self._recent if each.key_value.mod_revision > since]
         size = sum(len(each.key_value.key + each.key_value.value) for each in newer)
-        if len(newer) > MOST_CHANGES_TOLD or size > MOST_BYTES_TOLD:
+        if len(newer) > MAX_DELTA_CHANGES or size > MAX_DELTA_BYTES:
             return self.last_change_revision, []
-        return since, [_item(event) for event in newer]
+        return since, [_to_item(event) for event in newer]
 
     def _apply_event(self, event: WatchEvent) -> bool:
         item = event.key_value
@@ -195,11 +199,11 @@
             self._items_by_key[item.key] = item
         else:
             self._items_by_key.pop(item.key, None)
-        self._keep(event)
+        self._append_recent(event)
         return True
 
-    def _keep(self, event: WatchEvent) -> None:
-        if len(self._recent) == MOST_CHANGES_KEPT:
+    def _append_recent(self, event: WatchEvent) -> None:
+        if len(self._recent) == MAX_CHANGES_KEPT:
             self._recent_base_revision = self._recent[0].key_value.mod_revision
         self._recent.append(event)
         self.last_change_revision = max(
@@ -207,24 +211,24 @@
         )
 
 
-def _event(item: DeltaItem) -> WatchEvent:
+def _to_event(item: DeltaItem) -> WatchEvent:
     kind = EventKind.DELETE if item.value is None else EventKind.PUT
     return WatchEvent(kind, KeyValue(item.key, item.value or b"", item.revision))
 
 
-def _item(event: WatchEvent) -> DeltaItem:
+def _to_item(event: WatchEvent) -> DeltaItem:
     item = event.key_value
     value = None if event.kind is EventKind.DELETE else item.value
     return DeltaItem(item.key, item.mod_revision, value)
 
 
 def _revision_of(item: KeyValue | None, all_known: int) -> int:
-    """Return up to which revision a key is known, beside all others."""
+    """Return the revision up to which the state of a key is known."""
     return all_known if item is None else max(item.mod_revision, all_known)
 
 
 def _digest(revisions: dict[bytes, int]) -> int:
-    """Return a number that tells two sets of items apart; 0 for none."""
+    """Return a checksum of the keys and their revisions."""
     return crc32(repr(sorted(revisions.items())).encode())
 
 
--- a/libs/reading/tests/test_reading_model.py
+++ b/libs/reading/tests/test_reading_model.py
@@ -1,9 +1,8 @@
-"""All courses of the passing on, for three routers, two changes and one loss.
+"""Exhaustive model check of the synchronization between routers.
 
-An explorer of states: from each state every step that may come next is taken, and what
-must hold is looked at in each. The store changes twice; one router reads it, two ask
-that one or each other, and any message or answer may be on its way for as long as it
-likes or, once, be lost. Steps of the routers are those of the code itself.
+Visits all interleavings of two store changes, one store read and two sync requests
+among three routers, with arbitrary delays and one lost message, and checks the
+invariants in each state. The routers run the production code.
 """
 
 from copy import copy
@@ -15,10 +14,10 @@
 KEY = b"k"
 ROUTERS = ("r0", "r1", "r2")
 READER = "r0"
-ASKS = (("r1", "r0"), ("r2", "r0"), ("r2", "r1"))
-"""Who asks whom: the reader, or one who was told."""
-MOST_ASKS = 2
-"""Questions in one course."""
+REQUESTS = (("r1", "r0"), ("r2", "r0"), ("r2", "r1"))
+"""Pairs of requesting and replying router: the reader, or one synchronized by it."""
+MAX_REQUESTS = 2
+"""Requests in one interleaving."""
 
 
 def copied(state):
@@ -33,7 +32,7 @@
 
 
 class State:
-    """The store, three routers and what is on its way; time is counted in steps."""
+    """State of the store, three routers and the network; time is counted in steps."""
 
     def __init__(self):
         self.now = 0
@@ -41,7 +40,7 @@
         self.history = [(0, 1, b"v1")]
         self.changes_left = [b"v2", None]
         self.losses_left = 1
-        self.asks_left = MOST_ASKS
+        self.requests_left = MAX_REQUESTS
         self.reads_left = 1
         self.items = {name: PrefixState() for name in ROUTERS}
         self.pending = {name: PendingSyncs() for name in ROUTERS}
@@ -50,7 +49,7 @@
             items.apply_listing(Listing((KeyValue(KEY, b"v1", 1),), 1), known_at=0.0)
 
     def copy(self):
-        """Return a state that goes on by itself; messages are never changed."""
+        """Return an independent copy; messages are immutable."""
         other = copy(self)
         other.history = list(self.history)
         other.changes_left = list(self.changes_left)
@@ -60,7 +59,7 @@
         return other
 
     def key(self):
-        """Return what tells this state from others."""
+        """Return a key that identifies equal states."""
         known = tuple(
             (
                 each.revision,
@@ -75,7 +74,7 @@
             self.revision,
             tuple(self.changes_left),
             self.losses_left,
-            self.asks_left,
+            self.requests_left,
             self.reads_left,
             known,
             tuple(sorted(map(repr, self.messages))),
@@ -83,39 +82,39 @@
 
     @staticmethod
     def value_at(items):
-        """Return what a router believes of the key; None if it is not there."""
+        """Return the value of the key at a router; None if it has none."""
         return next((item.value for item in items.items), None)
 
-    def truths_since(self, time):
-        """Return what the store held at some time since a moment."""
+    def values_since(self, time):
+        """Return the values that the store has had since some time."""
         before = [value for at, _, value in self.history if at <= time][-1:]
         return before + [value for at, _, value in self.history if at > time]
 
     def steps(self):
-        """Yield the name of each step that may come next, and its function."""
+        """Yield the name and the function of each possible next step."""
         if self.changes_left:
             yield "change", State.change
         if self.reads_left:
             yield "read", State.read
-        if self.asks_left:
-            for asker, asked in ASKS:
+        if self.requests_left:
+            for sender, receiver in REQUESTS:
                 yield (
-                    f"{asker} asks {asked}",
-                    lambda state, a=asker, b=asked: state.ask(a, b),
+                    f"{sender} requests from {receiver}",
+                    lambda state, a=sender, b=receiver: state.request(a, b),
                 )
         for number in range(len(self.messages)):
             yield "deliver", lambda state, n=number: state.deliver(n)
             if self.losses_left:
-                yield "lose", lambda state, n=number: state.lose(n)
+                yield "drop", lambda state, n=number: state.drop(n)
 
     def change(self):
-        """Let the store change."""
+        """Apply the next change to the store."""
         value = self.changes_left.pop(0)
         self.revision += 1
         self.history.append((self.now, self.revision, value))
 
     def read(self):
-        """Let the reader be answered by the store; the answer is on its way."""
+        """Let the store send a response to the reader."""
         self.reads_left -= 1
         since = self.items[READER].revision
         events = [
@@ -127,87 +126,87 @@
             if revision > since
         ]
         changes = Changes(tuple(events), self.revision)
-        self.messages.append(("answer", READER, changes, self.now))
+        self.messages.append(("response", READER, changes, self.now))
 
-    def ask(self, asker, asked):
-        """Let a router ask another one."""
-        self.asks_left -= 1
-        number = self.pending[asker].start(asked, self.now)
-        since = self.items[asker].revision
-        self.messages.append(("ask", asked, asker, number, since))
+    def request(self, sender, receiver):
+        """Let a router send a sync request to another."""
+        self.requests_left -= 1
+        number = self.pending[sender].start(receiver, self.now)
+        since = self.items[sender].revision
+        self.messages.append(("sync-request", receiver, sender, number, since))
 
     def deliver(self, number):
-        """Let a message arrive."""
+        """Deliver a message."""
         kind, receiver, *rest = self.messages.pop(number)
         items = self.items[receiver]
-        if kind == "answer":
-            changes, asked_at = rest
-            items.apply_changes(changes, known_at=asked_at)
-        elif kind == "ask":
-            asker, ask_number, since = rest
-            word = items.delta("k", since, self.now)
-            self.messages.append(("tell", asker, receiver, ask_number, word))
+        if kind == "response":
+            changes, sent_at = rest
+            items.apply_changes(changes, known_at=sent_at)
+        elif kind == "sync-request":
+            sender, sync_number, since = rest
+            delta = items.delta("k", since, self.now)
+            self.messages.append(("sync-reply", sender, receiver, sync_number, delta))
         else:
-            sender, ask_number, word = rest
-            asked_at = self.pending[receiver].resolve(ask_number, sender)
-            if asked_at is not None:
-                items.apply_delta(word, asked_at)
+            sender, sync_number, delta = rest
+            sent_at = self.pending[receiver].resolve(sync_number, sender)
+            if sent_at is not None:
+                items.apply_delta(delta, sent_at)
 
-    def lose(self, number):
-        """Let a message be lost."""
+    def drop(self, number):
+        """Drop a message."""
         self.losses_left -= 1
         self.messages.pop(number)
 
 
 def explore():
-    """Visit all states; return their number and what did not hold."""
+    """Visit all states; return their number and the violated invariants."""
     first = State()
     seen = {first.key()}
     waiting = [(first, ())]
-    findings = []
+    violations = []
     while waiting:
-        state, course = waiting.pop()
+        state, steps = waiting.pop()
         for name, step in state.steps():
-            following = state.copy()
-            following.now += 1
+            successor = state.copy()
+            successor.now += 1
             before = {
-                router: items.revision for router, items in following.items.items()
+                router: items.revision for router, items in successor.items.items()
             }
-            step(following)
-            findings += findings_in(following, before, (*course, name))
-            key = following.key()
+            step(successor)
+            violations += violations_in(successor, before, (*steps, name))
+            key = successor.key()
             if key not in seen:
                 seen.add(key)
-                waiting.append((following, (*course, name)))
-    return len(seen), findings
+                waiting.append((successor, (*steps, name)))
+    return len(seen), violations
 
 
-def findings_in(state, before, course):
-    """Return what does not hold: ages, and the order of revisions."""
+def violations_in(state, before, steps):
+    """Return the violated invariants: ages, and the order of revisions."""
     found = []
     for router, items in state.items.items():
         if items.revision < before[router]:
-            found.append(("went back", router, course))
-        if State.value_at(items) not in state.truths_since(items.known_at):
-            found.append(("older than it says", router, course))
+            found.append(("went back", router, steps))
+        if State.value_at(items) not in state.values_since(items.known_at):
+            found.append(("older than its age", router, steps))
     return found
 
 
-class TestAllCourses:
-    def test_no_belief_is_older_than_it_says(self):
-        """Whatever is late, overtaken, lost, or told by one who was told."""
-        states, findings = explore()
+class TestAllInterleavings:
+    def test_state_is_never_older_than_its_age(self):
+        """Delays, reordering, loss and chained replies must not hide the age."""
+        states, violations = explore()
         assert states > 1_000
-        assert findings == []
+        assert violations == []
 
-    def test_explorer_sees_a_word_without_age(self, monkeypatch):
-        """A fault of the kind that it is there for."""
-        word = PrefixState.delta
+    def test_model_check_detects_a_delta_without_age(self, monkeypatch):
+        """The check must fail for an injected fault."""
+        delta = PrefixState.delta
 
         def fresh(items, name, since, now):
-            told = word(items, name, since, now)
-            told.age_s = 0.0
-            return told
+            fresh_delta = delta(items, name, since, now)
+            fresh_delta.age_s = 0.0
+            return fresh_delta
 
         monkeypatch.setattr(PrefixState, "delta", fresh)
         assert explore()[1]
--- a/libs/reading/tests/test_reading_ordered_items.py
+++ b/libs/reading/tests/test_reading_ordered_items.py
@@ -1,4 +1,4 @@
-"""What counts of the answers of lists and watches."""
+"""Lists and watch responses that arrive out of order."""
 
 import pytest
 
@@ -17,7 +17,7 @@
 
 
 def listing(revision, **revisions_by_key):
-    """Return a list."""
+    """Return a list response."""
     items = (
         KeyValue(key.encode(), b"", each) for key, each in revisions_by_key.items()
     )
@@ -25,46 +25,46 @@
 
 
 @pytest.fixture
-def ordered():
-    """Return items of which two are known as of revision 10."""
+def state():
+    """Return a state with two items at revision 10."""
     items = PrefixState()
     items.apply_listing(listing(10, a=4, b=9))
     return items
 
 
-def revisions(ordered):
+def revisions(state):
     """Return the known revisions by key."""
-    return {item.key.decode(): item.mod_revision for item in ordered.items}
+    return {item.key.decode(): item.mod_revision for item in state.items}
 
 
 class TestOrder:
-    """Answers in any order."""
-
-    def test_older_list_changes_nothing(self, ordered):
-        """It was answered before what a watch told."""
-        ordered.apply_changes(Changes((delete(b"a", 11), put(b"b", 12)), 12))
-        assert not ordered.apply_listing(listing(11, b=9))
-        assert revisions(ordered) == {"b": 12}
-
-    def test_older_events_are_no_news(self, ordered):
-        """A list has told of them; later ones in the same answer are news."""
-        ordered.apply_listing(listing(20, b=18))
-        news = ordered.apply_changes(
+    """Responses in any order give the state of the latest revision."""
+
+    def test_older_list_changes_nothing(self, state):
+        """It must not undo the changes of a later watch response."""
+        state.apply_changes(Changes((delete(b"a", 11), put(b"b", 12)), 12))
+        assert not state.apply_listing(listing(11, b=9))
+        assert revisions(state) == {"b": 12}
+
+    def test_older_events_are_not_new(self, state):
+        """Events that a list has covered must be dropped, later ones must not."""
+        state.apply_listing(listing(20, b=18))
+        events = state.apply_changes(
             Changes((put(b"a", 11), delete(b"a", 15), put(b"c", 21)), 21)
         )
-        assert [event.key_value.key for event in news] == [b"c"]
-        assert (revisions(ordered), ordered.revision) == ({"b": 18, "c": 21}, 21)
-
-    def test_later_page_of_a_list_is_newer_than_its_revision(self, ordered):
-        """The watch tells the change again, and one before it."""
-        ordered.apply_listing(listing(20, a=4, b=25))
-        news = ordered.apply_changes(Changes((put(b"b", 22), put(b"b", 25)), 26))
-        assert news == []
-        assert revisions(ordered) == {"a": 4, "b": 25}
-
-    def test_removal_and_return(self, ordered):
-        """Both are news, each once."""
+        assert [event.key_value.key for event in events] == [b"c"]
+        assert (revisions(state), state.revision) == ({"b": 18, "c": 21}, 21)
+
+    def test_later_page_of_a_list_is_newer_than_its_revision(self, state):
+        """Watch events up to the newer item must not be applied again."""
+        state.apply_listing(listing(20, a=4, b=25))
+        events = state.apply_changes(Changes((put(b"b", 22), put(b"b", 25)), 26))
+        assert events == []
+        assert revisions(state) == {"a": 4, "b": 25}
+
+    def test_deletion_and_new_creation(self, state):
+        """Both must be reported, each once."""
         events = (delete(b"a", 11), put(b"a", 12))
-        assert len(ordered.apply_changes(Changes(events, 12))) == 2
-        assert ordered.apply_changes(Changes(events, 12)) == []
-        assert revisions(ordered) == {"a": 12, "b": 9}
+        assert len(state.apply_changes(Changes(events, 12))) == 2
+        assert state.apply_changes(Changes(events, 12)) == []
+        assert revisions(state) == {"a": 12, "b": 9}
