--- a/libs/direct/src/berylwalk/direct/_attempt.py
+++ b/libs/direct/src/berylwalk/direct/_attempt.py
@@ -24,7 +24,7 @@
 
     Parameters
     ----------
-    relay : Relay
+    response_writer : ResponseWriter
         The caller's side.
     request_id : bytes
         What the answer has to repeat.
@@ -53,7 +53,7 @@
 
     def __init__(
         self,
-        relay: ResponseWriter,
+        response_writer: ResponseWriter,
         *,
         request_id: bytes,
         expects_stream: bool,
@@ -62,7 +62,7 @@
         on_output: Callable[[int, float], None],
         on_statement: Callable[[TargetStatement, int], None],
     ) -> None:
-        self._response_writer = relay
+        self._response_writer = response_writer
         self._request_id = request_id
         self._expects_stream = expects_stream
         self._clock = clock
--- a/libs/direct/src/berylwalk/direct/_attempt_runner.py
+++ b/libs/direct/src/berylwalk/direct/_attempt_runner.py
@@ -45,7 +45,7 @@
         The router's state.
     admitted : Admitted
         The request.
-    relay : Relay
+    response_writer : ResponseWriter
         The caller's side.
     attempts : Attempts
         What has become of it so far; each end is counted there.
@@ -58,13 +58,13 @@
         context: RouterContext,
         admitted: Admitted,
         *,
-        relay: ResponseWriter,
+        response_writer: ResponseWriter,
         attempts: Attempts,
         log: ExchangeLog,
     ) -> None:
         self._context = context
         self._admitted = admitted
-        self._response_writer = relay
+        self._response_writer = response_writer
         self._attempts = attempts
         self._log = log
         self._attempt_feedback = AttemptFeedback(context, admitted, log)
--- a/libs/direct/src/berylwalk/direct/_configuration_feed.py
+++ b/libs/direct/src/berylwalk/direct/_configuration_feed.py
@@ -48,9 +48,9 @@
         The router's state.
     store : KeyValueClient
         The platform's store.
-    store_health : StoreReach
+    store_health : StoreHealth
         Notes how calls end.
-    role : ReadingRole
+    role : ReadRole
         Whether this router reads the store for itself only.
 
     Attributes
--- a/libs/direct/src/berylwalk/direct/_context.py
+++ b/libs/direct/src/berylwalk/direct/_context.py
@@ -51,7 +51,7 @@
         Lines for later explanation.
     metrics : RouterMetrics
         Counters and histograms.
-    suspension : SuspensionWatch
+    suspension : SuspensionDetector
         Notices that the VM was suspended.
     clock : callable
         Time that goes on while the VM is suspended, in seconds.
--- a/libs/direct/src/berylwalk/direct/_exchange.py
+++ b/libs/direct/src/berylwalk/direct/_exchange.py
@@ -131,7 +131,7 @@
         self._attempt_runner = AttemptRunner(
             context,
             admitted,
-            relay=self._response_writer,
+            response_writer=self._response_writer,
             attempts=self._attempts,
             log=log,
         )
--- a/libs/direct/src/berylwalk/direct/_membership.py
+++ b/libs/direct/src/berylwalk/direct/_membership.py
@@ -34,7 +34,7 @@
         The router's state.
     store : KeyValueClient
         The platform's store.
-    store_health : StoreReach
+    store_health : StoreHealth
         Paces calls of it that failed.
     life : str
         Identifies this life of the process.
--- a/libs/direct/src/berylwalk/direct/_mirrored_prefix.py
+++ b/libs/direct/src/berylwalk/direct/_mirrored_prefix.py
@@ -136,7 +136,7 @@
     ----------
     store : KeyValueClient
         The platform's store.
-    store_health : StoreReach
+    store_health : StoreHealth
         Notes how calls end.
     rules : MirrorRules
         What is mirrored, and how often the store is asked.
@@ -149,7 +149,7 @@
         surely at that state.
     on_known : callable
         Called likewise with that moment when there is no news.
-    role : ReadingRole
+    role : ReadRole
         Whether this router reads the store for itself only.
     """
 
--- a/libs/direct/src/berylwalk/direct/_peer_messages.py
+++ b/libs/direct/src/berylwalk/direct/_peer_messages.py
@@ -80,7 +80,7 @@
 
     Parameters
     ----------
-    news : RouterNews
+    news : RouterUpdate
         Of the sender.
     loads : dict
         What the sender has at targets.
@@ -93,7 +93,7 @@
         What the sender sent where since its last message.
     quarantine : QuarantineNews
         What is new of requests under which targets ended.
-    statements : list of StatementNews
+    statements : list of StatementUpdate
         What targets said to the sender.
     """
 
@@ -113,7 +113,7 @@
     ----------
     failure_domain : str
         Of which it tells.
-    routers : list of RouterNews
+    routers : list of RouterUpdate
         The routers there that the relay hears, itself included.
     loads : dict
         What they have at targets, in all.
@@ -124,7 +124,7 @@
         What they sent where since the relay's last message.
     quarantine : QuarantineNews
         What is new of requests under which targets ended.
-    statements : list of StatementNews
+    statements : list of StatementUpdate
         What targets said to routers there.
     """
 
--- a/libs/direct/src/berylwalk/direct/_peering.py
+++ b/libs/direct/src/berylwalk/direct/_peering.py
@@ -70,12 +70,12 @@
         The router's state.
     store : KeyValueClient
         The platform's store.
-    store_health : StoreReach
+    store_health : StoreHealth
         Paces calls of it that failed.
 
     Attributes
     ----------
-    shared_reads : SharedReading
+    shared_reads : SharedReads
         What the routers ask each other about the store.
     """
 
--- a/libs/direct/src/berylwalk/direct/_quarantine_store.py
+++ b/libs/direct/src/berylwalk/direct/_quarantine_store.py
@@ -63,7 +63,7 @@
         The router's state.
     store : KeyValueClient
         The platform's store.
-    store_health : StoreReach
+    store_health : StoreHealth
         Paces calls of it that failed.
     wall_clock : callable
         Time of day, in seconds since the epoch.
--- a/libs/direct/src/berylwalk/direct/_rollout_coordinator.py
+++ b/libs/direct/src/berylwalk/direct/_rollout_coordinator.py
@@ -65,11 +65,11 @@
         The router's state.
     store : KeyValueClient
         The platform's store.
-    store_health : StoreReach
+    store_health : StoreHealth
         Paces calls of it that failed.
-    shared_reads : SharedReading
+    shared_reads : SharedReads
         What the routers ask each other about the store.
-    role : ReadingRole
+    role : ReadRole
         Whether this router reads the store for itself only.
     wall_clock : callable
         Time of day, in seconds since the epoch.
--- a/libs/direct/src/berylwalk/direct/_shared_reads.py
+++ b/libs/direct/src/berylwalk/direct/_shared_reads.py
@@ -56,7 +56,7 @@
     ----------
     context : RouterContext
         The router's state.
-    store_health : StoreReach
+    store_health : StoreHealth
         Whether the store answers this router.
     send : callable
         Sends a message to peers.
--- a/libs/direct/src/berylwalk/direct/_speed_store.py
+++ b/libs/direct/src/berylwalk/direct/_speed_store.py
@@ -48,7 +48,7 @@
         The router's state.
     store : KeyValueClient
         The platform's store.
-    store_health : StoreReach
+    store_health : StoreHealth
         Paces calls of it that failed.
     """
 
--- a/libs/direct/src/berylwalk/direct/_spending_store.py
+++ b/libs/direct/src/berylwalk/direct/_spending_store.py
@@ -37,7 +37,7 @@
         The router's state.
     store : KeyValueClient
         The platform's store.
-    store_health : StoreReach
+    store_health : StoreHealth
         Paces calls of it that failed.
     """
 
--- a/libs/direct/tests/test_direct_peering.py
+++ b/libs/direct/tests/test_direct_peering.py
@@ -92,7 +92,7 @@
             peer = context.peers.by_name["edge-1"]
             for life, sequence in ((peer.life, peer.sequence), ("gone", 10_000)):
                 message = LoadMessage("edge-1", life, sequence, {"i-0": (7, 70)})
-                second._peering._hear(msgpack.encode(message))
+                second._peering._receive(msgpack.encode(message))
             assert context.targets.by_id["i-0"].peer_in_flight == 0
 
     async def test_state_of_the_store_is_told(self, running, beside):
@@ -131,9 +131,11 @@
                 )
                 told = len(sent)
                 await fleet.until(lambda: len(sent) > told + 3)
-        answers_sent = [message for message in sent if message.recent is not None]
+        answers_sent = [
+            message for message in sent if message.spending_history is not None
+        ]
         assert answers_sent
-        assert all(message.recent is None for message in sent[told + 1 :])
+        assert all(message.spending_history is None for message in sent[told + 1 :])
 
     async def test_relays_tell_the_other_failure_domains(
         self, running, beside, monkeypatch
@@ -283,8 +285,8 @@
             told = []
             fleet.router._context.log.process = lambda event, **_: told.append(event)
             message = PeerMessage(self.NEWS, {"i-0": (5, 5)}, reads=[(1, "i-0")])
-            peering._hear(msgpack.encode(message)[:cut])
-            peering._hear(msgpack.encode([9, "of another version"]))
+            peering._receive(msgpack.encode(message)[:cut])
+            peering._receive(msgpack.encode([9, "of another version"]))
             assert told.count("peer-message-invalid") == 2
             assert fleet.router._context.peers.by_name == {}
             assert (await fleet.call("/idempotent/")).status == 200
--- a/libs/direct/tests/test_direct_quarantine_records.py
+++ b/libs/direct/tests/test_direct_quarantine_records.py
@@ -47,9 +47,9 @@
 def soon(monkeypatch):
     """Have trials, looks and writes come at once, and records last."""
     monkeypatch.setattr(quarantine_module, "TRIAL_AFTER_S", (0.0, 0.0))
-    monkeypatch.setattr(note_module, "TURN_S", 0.02)
-    monkeypatch.setattr(note_module, "LOOK_S", 0.0)
-    monkeypatch.setattr(note_module, "FORGOTTEN_AFTER_S", float("inf"))
+    monkeypatch.setattr(note_module, "SYNC_INTERVAL_S", 0.02)
+    monkeypatch.setattr(note_module, "SCAN_INTERVAL_S", 0.0)
+    monkeypatch.setattr(note_module, "RECORD_TTL_S", float("inf"))
 
 
 class TestRecords:
@@ -98,7 +98,7 @@
         async def keep(note):
             pass
 
-        monkeypatch.setattr(note_module.QuarantineStore, "_delete_settled", keep)
+        monkeypatch.setattr(note_module.QuarantineStore, "_delete_cleared", keep)
         prepare = noted(value=b'{"ended": 3}')
         async with running(answers("ok"), prepare=prepare) as fleet:
             store = fleet.platform.store
--- a/libs/direct/tests/virtual_play.py
+++ b/libs/direct/tests/virtual_play.py
@@ -63,7 +63,7 @@
     def _arrive(self, receiver, data):
         router = self.routers_by_name.get(receiver)
         if router is not None:
-            router.peering._hear(data)
+            router.peering._receive(data)
 
     async def _kill_one(self):
         self.kill([self.random.choice(sorted(self.domains_by_name))])
--- a/libs/direct/tests/virtual_quarantine.py
+++ b/libs/direct/tests/virtual_quarantine.py
@@ -163,7 +163,11 @@
         ]
         self.context.peers.replace(others, self.clock())
         async with create_task_group() as tasks:
-            for each in (self.peering._tell, self.peering._relay, self.note.run):
+            for each in (
+                self.peering._send_loop,
+                self.peering._relay_loop,
+                self.note.run,
+            ):
                 tasks.start_soon(each)
 
     async def serve(self, identity, takes_s):
--- a/libs/direct/tests/virtual_rollout.py
+++ b/libs/direct/tests/virtual_rollout.py
@@ -339,8 +339,8 @@
         async with create_task_group() as tasks:
             for each in (
                 *(feed.run for feed in self.feeds),
-                self.peering._tell,
-                self.peering._relay,
+                self.peering._send_loop,
+                self.peering._relay_loop,
                 self.peering.shared_reads.run,
                 self.note.run,
             ):
--- a/libs/direct/tests/virtual_statements.py
+++ b/libs/direct/tests/virtual_statements.py
@@ -123,7 +123,7 @@
             ),
             log=DecisionLog(name, write=self._write, clock=clock, wall_clock=clock),
             metrics=RouterMetrics(),
-            suspension=SuspensionDetector(clock, steady=clock),
+            suspension=SuspensionDetector(clock, monotonic=clock),
             clock=clock,
         )
         store = SimpleNamespace()
@@ -158,7 +158,11 @@
         entries = [target.entry() for target in self.play.targets]
         self.context.targets.replace(entries, self.clock())
         async with create_task_group() as tasks:
-            for each in (self.peering._tell, self.peering._relay, self._sweep):
+            for each in (
+                self.peering._send_loop,
+                self.peering._relay_loop,
+                self._sweep,
+            ):
                 tasks.start_soon(each)
 
     async def _sweep(self):
