--- a/libs/direct/src/berylwalk/direct/_admission.py
+++ b/libs/direct/src/berylwalk/direct/_admission.py
@@ -1,4 +1,4 @@
-"""Whether a request is taken, and what is known of it from then on."""
+"""Admission of requests: headers, access, quarantine and quota."""
 
 from dataclasses import dataclass, replace
 from random import random
@@ -10,41 +10,41 @@
 from berylwalk.quarantine import Identity, Standing, request_identity
 
 TIMEOUT_MARGIN_S = 0.03
-"""Time before the end of a caller's limit at which an answer is sent."""
+"""How long before a caller's own deadline the response is due."""
 QUARANTINED = "targets-ended-under-it"
-"""Reason, in logs and metrics, for a request that is held back."""
+"""Reason, in logs and metrics, for rejecting a quarantined request."""
 RETRY_AFTER_UNREADY_S = 1.0
-"""When a request should come back that came while no configuration may be used."""
+"""``Retry-After`` of requests that arrive while no configuration is in force."""
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Admitted:
-    """A request that is taken.
+    """A request that was admitted.
 
     Parameters
     ----------
     request : CallerRequest
-        As the caller sent it.
+        The request as the caller sent it.
     facts : CallFacts
-        What its headers tell.
+        Its parsed headers.
     route : Route
-        How it is treated.
+        The route that it matched.
     account : Account or None
-        Who pays; None where no key is needed.
+        The client account charged for it; None if the route needs no key.
     rank : tuple of int
-        Rank among all requests, lowest first.
+        Scheduling rank; lower ranks are served first.
     service : str
-        Where it goes.
+        The service that it is sent to.
     cost : float
-        Units of the account's allowance.
+        Its cost in quota units of the account.
     ends_at : float
-        When it has to be answered.
+        Deadline of the response, on the router's clock.
     identity : bytes
-        What it has in common with its returns.
+        Digest that the request shares with its repetitions.
     is_trial : bool
-        Whether it is held back unless a trial is permitted.
+        Whether the request is quarantined and needs a trial permit.
     charge : Charge or None
-        The allowance that its cost was taken from; None where there is no limit.
+        The charge to the account's quota; None if it has no limit.
     """
 
     request: CallerRequest
@@ -61,33 +61,33 @@
 
     @property
     def request_id(self) -> bytes:
-        """Identifies this attempt of the caller."""
+        """Id that the caller gave this request."""
         return self.facts.request_id
 
     @property
     def account_name(self) -> str | None:
-        """Name of the account."""
+        """Name of the account, or None."""
         return None if self.account is None else self.account.name
 
 
 @dataclass(frozen=True, slots=True)
 class Refusal:
-    """A request that is not taken.
+    """A request that was rejected.
 
     Parameters
     ----------
     status : int
-        Status of the answer.
+        Status code of the response.
     reason : str
-        Why, for logs.
+        Reason for logs and metrics.
     retry_after_s : float or None
-        When it may come back, in seconds.
+        Value of ``Retry-After`` in seconds; None to send none.
     request_id : bytes
-        Empty if the request has none.
+        Id of the request; empty if it has none.
     charge : Charge or None
-        The allowance that does not suffice, if that is why.
+        The charge that exceeded the account's quota.
     identity : bytes or None
-        Of a request that is held back for the targets that ended under it.
+        Identity of the request, if it is quarantined.
     """
 
     status: int
@@ -100,18 +100,18 @@
 
 @dataclass(frozen=True, slots=True)
 class Charge:
-    """A request and the allowance that pays for it, or that does not suffice.
+    """A charge, accepted or not, to the quota of a client account.
 
     Parameters
     ----------
     account_name : str
-        Who pays.
+        Name of the account.
     route : Route
-        Where the request goes, or would go.
+        Route of the request.
     cost : float
-        Its units.
+        Cost in quota units.
     state : AllowanceState
-        What was counted; the cost included if the request was taken.
+        State of the quota; includes the cost if the request was admitted.
     """
 
     account_name: str
@@ -121,7 +121,7 @@
 
 
 def admit(context: RouterContext, request: CallerRequest) -> Admitted | Refusal:
-    """Decide whether to take a request; its cost is spent if it is taken."""
+    """Admit or reject a request; an admitted one is charged to its account."""
     facts = read_call(request.headers)
     if isinstance(facts, BadHeaders):
         return Refusal(400, f"bad-headers: {facts.detail}", None, b"")
@@ -149,10 +149,10 @@
 
 
 def quarantine_refusal(context: RouterContext, admitted: Admitted) -> Refusal:
-    """Return the refusal of a request under which targets ended.
+    """Return the rejection of a quarantined request.
 
-    It has not run and never will under this id. A status by which clients don't come
-    back would say that the request is not proper, which a router can't tell.
+    It uses 503 because clients treat a 4xx status as permanent, and the router can't
+    tell whether the request itself is invalid.
     """
     now = context.clock()
     retry_after_s = context.quarantine.retry_after_s(admitted.identity, now)
--- a/libs/direct/src/berylwalk/direct/_attempt.py
+++ b/libs/direct/src/berylwalk/direct/_attempt.py
@@ -1,4 +1,4 @@
-"""One send of a request to one target."""
+"""A single attempt of a request at one target."""
 
 from collections.abc import Callable
 
@@ -11,44 +11,43 @@
 
 MAX_BUFFERED_BYTES = 8 * 1024 * 1024
 SPEED_REPORT_EVENTS = 8
-"""Events of a stream after which its speed is told: a slow target shows within a
-second or less, and not only at the end of a long answer."""
+"""Events of a stream after which the output speed of the target is updated."""
 EVENT_STREAM = b"text/event-stream"
 
 
 class Attempt:
-    """Takes the answer of one target.
+    """Receives the response of one target.
 
-    Events of a stream are passed on as they arrive. Any other answer is held
-    until it is whole, so that a broken one can be told from it.
+    The events of a stream are forwarded as they arrive. Any other response is
+    buffered until it is complete, so that a truncated one is not forwarded.
 
     Parameters
     ----------
     response_writer : ResponseWriter
-        The caller's side.
+        Writes the response to the caller.
     request_id : bytes
-        What the answer has to repeat.
+        Id that the response has to echo.
     expects_stream : bool
-        Whether a success is passed on event by event.
+        Whether a successful response is forwarded event by event.
     clock : callable
         Time of the loop, in seconds.
     on_first_event : callable
         Called when the first event has arrived.
     on_output : callable
-        Called now and then with a number of events and the seconds that they took.
+        Called periodically with a number of events and their duration in seconds.
     on_statement : callable
-        Called with what the head of the answer states of the target, and its status.
+        Called with the signals in the response headers, and the status.
 
     Attributes
     ----------
     done : Signal
-        Set at the end.
+        Set when the attempt has ended.
     end : AttemptEnd or None
-        How it ended.
+        How the attempt ended; None while it runs.
     target_unreachable : bool
-        Whether it was given up since the target seems not to be there.
+        Whether the attempt was abandoned because the target is unreachable.
     target_ended : bool
-        Whether the target seems to have ended while it ran the request.
+        Whether the target appears to have terminated while it ran the request.
     """
 
     def __init__(
@@ -89,16 +88,16 @@
 
     @property
     def is_stream(self) -> bool:
-        """Whether the answer is passed on event by event."""
+        """Whether the response is forwarded event by event."""
         return self._splitter is not None
 
     @property
     def body(self) -> bytes:
-        """Body of an answer that is no stream."""
+        """Body of a response that is not a stream."""
         return b"".join(self._body)
 
     def on_head(self, status: int, headers: Headers) -> None:
-        """Take the status and headers."""
+        """Handle the status and headers."""
         self.status = status
         self.headers = headers
         self.statement = read_statement(status, headers)
@@ -111,7 +110,7 @@
             self._splitter = EventSplitter()
 
     def on_data(self, data: bytes) -> None:
-        """Take a part of the body."""
+        """Handle a chunk of the body."""
         if self.end is not None:
             return
         if self._splitter is None:
@@ -148,7 +147,7 @@
         self._reported_at = now
 
     def on_end(self, end: AnswerEnd, detail: str) -> None:
-        """Take the end of the answer."""
+        """Handle the end of the response."""
         if self.end is not None:
             return
         self.target_ended = end is AnswerEnd.CLOSED
@@ -165,12 +164,12 @@
             self._finish(*self._classify_answer())
 
     def record_buffered_answer(self) -> None:
-        """Count an answer that is no stream as its own first event."""
+        """Record a buffered response as its own first event."""
         self.first_event_at = self._clock()
         self._on_first_event()
 
     def abort_target_ended(self, detail: str) -> None:
-        """End it, for the target has ended."""
+        """Abort the attempt because the target process has terminated."""
         if self.end is None:
             self.target_ended = True
             self._finish(AttemptEnd.BROKEN, detail)
@@ -178,16 +177,16 @@
     def abandon(
         self, end: AttemptEnd, detail: str, *, target_unreachable: bool = False
     ) -> None:
-        """End it without waiting for the target.
+        """End the attempt without waiting for the target.
 
         Parameters
         ----------
         end : AttemptEnd
-            How it ends.
+            How the attempt ends.
         detail : str
-            Why, for logs.
+            Reason, for logs.
         target_unreachable : bool
-            Whether the target seems not to be there.
+            Whether the target is considered unreachable.
         """
         self.target_unreachable = target_unreachable
         self._finish(end, detail)
--- a/libs/direct/src/berylwalk/direct/_attempt_feedback.py
+++ b/libs/direct/src/berylwalk/direct/_attempt_feedback.py
@@ -1,4 +1,4 @@
-"""What one send teaches of its target, and of the request."""
+"""Updates the state of a target and the quarantine from the outcome of an attempt."""
 
 from berylwalk.direct._admission import Admitted
 from berylwalk.direct._attempt import Attempt
@@ -7,25 +7,25 @@
 from berylwalk.dispatch import AttemptEnd, Target, TargetState
 
 FULL_BACKOFF_S = 0.1
-"""Time for which a target that refused work gets none."""
+"""How long a target that refused a request is not selected."""
 
 STATUS_TOO_MANY_REQUESTS = 429
-"""Status by which a target says that this caller asks too much."""
+"""Status of a target that throttles this router."""
 STATUS_MISDIRECTED_REQUEST = 421
-"""Status by which a target says that it is not the life that is meant."""
+"""Status of a target process that is not the one addressed."""
 
 
 class AttemptFeedback:
-    """Learns from one send; made when it begins.
+    """Evaluates one attempt; created when the attempt starts.
 
     Parameters
     ----------
     context : RouterContext
-        The router's state.
+        Shared state of the router.
     admitted : Admitted
         The request.
     log : ExchangeLog
-        Tells of it.
+        Logs the events of the request.
     """
 
     def __init__(
@@ -38,26 +38,26 @@
         self._suspended_before_s = context.suspension.total_s
 
     def record_alive(self, target: Target) -> None:
-        """Note that the target has answered: it had not ended when this began."""
+        """Record that the target was alive when the attempt started."""
         context = self._context
         life_id = target.entry.life_id
         context.quarantine.note_alive(life_id, self._started_at, context.clock())
 
     def elapsed_s(self, since: float) -> float:
-        """Return the time since a moment, in seconds; not that of a suspension."""
+        """Return the seconds since a time, excluding suspensions of the VM."""
         self._context.note_suspension()
         suspended_s = self._context.suspension.total_s - self._suspended_before_s
         return max(0.0, self._context.clock() - since - suspended_s)
 
     def record(self, target: Target, attempt: Attempt, sent_at: float) -> None:
-        """Learn from the end of the send.
+        """Record the outcome of the attempt.
 
         Parameters
         ----------
         target : Target
-            Where it was sent.
+            Target that the request was sent to.
         attempt : Attempt
-            What came of it.
+            The attempt, which has ended.
         sent_at : float
             When it was sent, on the clock of the loop.
         """
@@ -81,7 +81,7 @@
                 target.note_full(now, FULL_BACKOFF_S)
 
     def _record_in_quarantine(self, target: Target, attempt: Attempt) -> None:
-        """Note whether the target ended under the request, or outlived it."""
+        """Record whether the target terminated while running the request."""
         quarantine, now = self._context.quarantine, self._context.clock()
         identity = self._admitted.identity
         if attempt.target_ended and self._was_active(target):
@@ -93,10 +93,10 @@
                 self._log.log_cleared(self._admitted, target)
 
     def _was_active(self, target: Target) -> bool:
-        """Return whether a target has not said that it leaves, nor has left.
+        """Return whether a target is listed and has not announced that it is leaving.
 
-        One that leaves ends by itself while it still has requests. One that is listed
-        with a later life has ended without a word.
+        A leaving target may terminate with requests in flight, which says nothing about
+        these requests.
         """
         is_listed = target.entry.target_id in self._context.targets.by_id
         return is_listed and target.entry.state is TargetState.READY
--- a/libs/direct/src/berylwalk/direct/_attempt_runner.py
+++ b/libs/direct/src/berylwalk/direct/_attempt_runner.py
@@ -1,4 +1,4 @@
-"""Sends a request to one target."""
+"""Attempts of a request at targets."""
 
 from anyio import move_on_after
 
@@ -28,29 +28,29 @@
 from berylwalk.platform import for_target, resuming_after
 
 PROGRESS_CHECK_INTERVAL_S = 0.25
-"""Time between two looks at an attempt that brings nothing."""
+"""How often an attempt without progress is checked."""
 SILENT_PAUSE_FACTOR = 2.0
-"""Pauses of a stream, as a multiple of the longest one on time, after which a
-target that is silent to all is taken for dark."""
+"""Multiple of the longest allowed pause after which a stream counts as stalled, if its
+target is silent on all connections."""
 REUSABLE_ENDS = (AttemptEnd.ANSWERED, AttemptEnd.REFUSED, AttemptEnd.FAILED)
-"""Ends after which the connection to the target may be used again."""
+"""Ends of an attempt after which the connection can be reused."""
 
 
 class AttemptRunner:
-    """Makes the attempts of one request.
+    """Runs the attempts of one request.
 
     Parameters
     ----------
     context : RouterContext
-        The router's state.
+        Shared state of the router.
     admitted : Admitted
         The request.
     response_writer : ResponseWriter
-        The caller's side.
+        Writes the response to the caller.
     attempts : Attempts
-        What has become of it so far; each end is counted there.
+        Counts how the attempts of the request ended.
     log : ExchangeLog
-        Tells of it.
+        Logs the events of the request.
     """
 
     def __init__(
@@ -71,7 +71,7 @@
         self._version_observer: VersionObserver | None = None
 
     async def send(self, target: Target) -> Attempt:
-        """Send it to a target at which it is counted, until the attempt ends."""
+        """Send the request to a target that it already counts against."""
         context = self._context
         context.on_placed(target)
         sent_at = context.clock()
@@ -118,7 +118,7 @@
 
         def on_statement(statement: TargetStatement, status: int) -> None:
             if status != STATUS_MISDIRECTED_REQUEST:
-                # What another life at this address states is not said of this one.
+                # Status 421 comes from another target process at the same address.
                 self._log.log_statement(self._admitted, target, statement)
                 apply_statement(self._context, target, statement, sent_at)
                 if status < 500 and status != STATUS_TOO_MANY_REQUESTS:
@@ -136,25 +136,25 @@
         )
 
     def _observe_version(self, target: Target, start: ExpectedStart) -> None:
-        """Note the send for the judgement of versions, while one is not proved."""
+        """Observe the attempt if a version of the service is being rolled out."""
         context, admitted = self._context, self._admitted
         self._version_observer = None
         if context.rollouts.is_watched(admitted.service):
             self._version_observer = VersionObserver(context, admitted, target, start)
 
     def _is_still_allowed(self, target: Target) -> bool:
-        """Return whether the wait has not made the request's sending wrong."""
+        """Return whether sending is still allowed once the connection is open."""
         configuration = self._context.configuration
         is_keyed = self._admitted.account is not None
         if is_keyed and not configuration.trusts_keys(self._context.clock()):
             return False
-        # While it waited, others may have ended under it.
+        # The request may have been quarantined in the meantime.
         quarantine, now = self._context.quarantine, self._context.clock()
         standing = quarantine.standing(self._admitted.identity, now)
         if standing.is_held_back and not self._admitted.is_trial:
             return False
-        # While the connection was opened, the target may have said that it leaves, or
-        # asked for rest.
+        # The target may have announced in the meantime that it is leaving or wants no
+        # requests for a while.
         is_known = self._context.targets.by_id.get(target.entry.target_id) is target
         takes_any = target.needs.takes_any(self._context.clock())
         return is_known and takes_any and target.entry.state is TargetState.READY
@@ -217,7 +217,7 @@
         return request_head(request.method, request.target, headers) + request.body
 
     def _seems_unreachable(self, target: Target, attempt: Attempt, now: float) -> bool:
-        """Return whether to go on elsewhere; only where that is allowed."""
+        """Return whether to give the attempt up and retry on another target."""
         route = self._admitted.route
         if not route.repeatable or not target.is_silent(now):
             return False
@@ -237,7 +237,7 @@
         if attempt.end in REUSABLE_ENDS:
             self._context.pool.give_back(target.entry.life_id, connection)
         else:
-            # By this the target stops working on the request.
+            # Closing the connection makes the target stop processing the request.
             connection.close()
 
     def _record_end(self, target: Target, attempt: Attempt, sent_at: float) -> None:
--- a/libs/direct/src/berylwalk/direct/_configuration_feed.py
+++ b/libs/direct/src/berylwalk/direct/_configuration_feed.py
@@ -1,7 +1,7 @@
-"""Keeps what operators write up to date with the platform's store.
+"""Synchronizes the configuration and roll-out orders with the platform's store.
 
-That is the configuration, and orders of roll-outs beside it: read together, they cost
-no more calls, and an order is known at the latest with what is written after it.
+Both share one prefix and are read by the same calls, so an order is known no later
+than a configuration written after it.
 """
 
 from berylwalk.direct._context import RouterContext
@@ -30,33 +30,33 @@
 from berylwalk.rollout import Order
 
 MAX_CONFIRM_INTERVAL_S = 1.9
-"""Time between confirming reads: two may fail before keys are no longer trusted, and
-one before this router asks for no new callers."""
+"""Interval between confirming reads: two may fail before API keys are no longer
+trusted, and one before this router reports itself as not ready."""
 ABSENT_READ_INTERVAL_S = 0.15
-"""Time between reads while there is no configuration yet."""
+"""Interval between reads while no configuration exists."""
 TARGET_MAX_AGE_S = 2.9
-"""Age that it should never have while the store is well: this router would ask for no
-new callers soon after."""
+"""Target bound for the age of the configuration, below the age from which this router
+reports itself as not ready."""
 
 
 class ConfigurationFeed:
-    """Mirrors what operators write; reads confirm it more often than its bound.
+    """Mirrors the configuration and the roll-out orders.
 
     Parameters
     ----------
     context : RouterContext
-        The router's state.
+        Shared state of the router.
     store : KeyValueClient
-        The platform's store.
+        Client of the platform's store.
     store_health : StoreHealth
-        Notes how calls end.
+        Tracks the results of store calls.
     role : ReadRole
-        Whether this router reads the store for itself only.
+        Whether this router shares store reads with its peers.
 
     Attributes
     ----------
     mirror : MirroredPrefix
-        What is known of it.
+        The mirrored items.
     """
 
     def __init__(
@@ -97,7 +97,7 @@
         )
 
     async def run(self) -> None:
-        """Read and watch for ever."""
+        """List and watch forever."""
         await self.mirror.run()
 
     def _list_gap_s(self) -> float:
@@ -133,7 +133,7 @@
             self._apply_orders(orders)
 
     def _apply_orders(self, items: list[KeyValue]) -> None:
-        """Take all orders of roll-outs; one that can't be followed changes nothing."""
+        """Apply the roll-out orders; an invalid one keeps the current one."""
         revisions = {item.key: item.mod_revision for item in items}
         if revisions == self._order_revisions:
             return
@@ -154,7 +154,7 @@
                 )
 
     def _decode_order(self, item: KeyValue) -> Order | None:
-        """Return an order; the one before it if it can't be followed."""
+        """Return the decoded order; the current one of the service if it is invalid."""
         order = decode_rollout_order(item)
         if isinstance(order, Order):
             self._invalid_orders.clear(item.key.decode())
@@ -173,7 +173,8 @@
         try:
             configuration = decode_configuration(item.value)
         except FORMAT_ERRORS as error:
-            # It may take keys away: what is in force is not confirmed by it.
+            # An unreadable revision may revoke keys, so the current one is not
+            # confirmed.
             detail = f"revision {item.mod_revision}: {error!r}"
             self._invalid_items.report(item.key.decode(), "not-readable", detail)
             return
--- a/libs/direct/src/berylwalk/direct/_context.py
+++ b/libs/direct/src/berylwalk/direct/_context.py
@@ -1,4 +1,4 @@
-"""What the parts of a direct router share."""
+"""Shared state of the components of a direct router."""
 
 from collections.abc import Callable
 from dataclasses import dataclass
@@ -32,33 +32,33 @@
     configuration : ConfigurationState
         Configuration in force.
     targets : TargetTable
-        Beliefs about targets.
+        State of the targets.
     dispatcher : Dispatcher
-        Places and waiting requests.
+        Places requests on targets and queues them.
     allowances : Allowances
-        What client accounts may spend.
+        Quotas of client accounts.
     retries : WindowedRetryBudget
-        What may be sent again.
+        Budget for retries.
     quarantine : Quarantine
-        Requests that end the targets that run them.
+        Requests under which targets terminate.
     rollouts : Rollouts
-        What may go to which version of a service.
+        Versions of services that are being rolled out.
     peers : PeerTable
         The other routers.
     pool : TargetPool
         Connections to targets.
     log : DecisionLog
-        Lines for later explanation.
+        Structured log.
     metrics : RouterMetrics
-        Counters and histograms.
+        Counters, gauges and histograms.
     suspension : SuspensionDetector
-        Notices that the VM was suspended.
+        Detects suspensions of the VM.
     clock : callable
-        Time that goes on while the VM is suspended, in seconds.
+        Time including suspensions of the VM, in seconds.
     on_placed : callable
-        Called with the target of each send.
+        Called with the target of each attempt.
     on_statement_change : callable
-        Called when a target has stated something new of itself.
+        Called when a response of a target carries changed signals.
     """
 
     settings: RouterSettings
@@ -79,9 +79,10 @@
     on_statement_change: Callable[[], None] = lambda: None
 
     def note_suspension(self) -> None:
-        """Take a suspension of the VM for no silence of targets; asked before judging.
+        """Keep a suspension of the VM from counting as silence of targets.
 
-        All that has an age has grown older by it: the clock counts it.
+        Call it before judging a target by its silence. Ages need no correction because
+        the clock includes suspensions.
         """
         suspended_s = self.suspension.poll()
         if suspended_s:
--- a/libs/direct/src/berylwalk/direct/_daemon.py
+++ b/libs/direct/src/berylwalk/direct/_daemon.py
@@ -1,4 +1,4 @@
-"""The direct router as a daemon."""
+"""Daemon of the direct router."""
 
 from asyncio import get_running_loop
 from collections.abc import AsyncIterator
@@ -43,28 +43,28 @@
 from berylwalk.rollout import Judged, Rollouts
 
 KEY_TRUST_MARGIN_S = 0.5
-"""Time before the bound on revoked keys at which they are no longer trusted."""
+"""How long before the revocation bound API keys are no longer trusted."""
 READY_MAX_AGE_S = 3.0
-"""Age of the configuration from which this router asks for no new callers."""
+"""Age of the configuration above which the router reports itself as not ready."""
 SWEEP_INTERVAL_S = 0.25
 STOP_ACCEPT_S = 3.0
-"""Time after the request to stop for which new requests are still taken: the
-balancer needs two questions, a second apart, to see that this router leaves."""
+"""How long new requests are accepted after a stop request: the load balancer takes two
+health checks, one second apart, to stop sending them."""
 KILL_MARGIN_S = 0.35
-"""Time before the platform kills the process at which it ends by itself."""
+"""How long before the platform's kill the process exits by itself."""
 
 
 class DirectRouter:
-    """Forwards requests straight to targets.
+    """Forwards requests to targets without agents.
 
     Build it with `from_settings`, inside the running loop.
 
     Parameters
     ----------
     context : RouterContext
-        State and connections.
+        Shared state of the router.
     store : KeyValueClient
-        The platform's store.
+        Client of the platform's store.
     """
 
     def __init__(self, context: RouterContext, store: KeyValueClient) -> None:
@@ -218,7 +218,7 @@
             tasks.cancel_scope.cancel()
 
     def _close(self) -> None:
-        """Close all sockets; what was not answered is cut."""
+        """Close all sockets; unfinished responses are truncated."""
         for listener in (self._readiness, self._callers, self._metrics):
             listener.abort()
         self._peering.close()
@@ -242,14 +242,14 @@
             await sleep(0.05)
         context.log.process("stopped", cut_requests=len(self._exchanges_by_connection))
         await self._peering.leave()
-        # What was written to callers and not sent yet.
+        # Flush responses that are still buffered.
         await sleep(0.05)
 
     def log_reload(self) -> None:
-        """Note that the settings file has changed.
+        """Log that the settings file has changed.
 
-        Addresses are those of the process's life; all else that may change
-        comes from the store.
+        No setting is reloaded: addresses are fixed for the lifetime of the process, and
+        everything else comes from the store.
         """
         self._context.log.process("reloaded")
 
@@ -269,7 +269,7 @@
         try:
             await exchange.run()
         except Exception as error:
-            # A fault in the handling of one request must not end all the others.
+            # An error in one request must not affect the others.
             self._context.metrics.exchanges_failed.inc()
             self._context.log.process(
                 "exchange-failed",
@@ -316,7 +316,7 @@
 
     @property
     def is_ready(self) -> bool:
-        """Whether the router asks for callers."""
+        """Whether the router reports itself as ready to the load balancer."""
         if self._stopping_since is not None:
             return False
         context = self._context
--- a/libs/direct/src/berylwalk/direct/_decision_log.py
+++ b/libs/direct/src/berylwalk/direct/_decision_log.py
@@ -1,4 +1,4 @@
-"""One JSON line for each decision, bounded in number and never blocking."""
+"""Structured log in JSON lines, rate-limited and non-blocking."""
 
 import os
 import sys
@@ -9,25 +9,24 @@
 from msgspec.json import Encoder
 
 MAX_LINES_PER_S = 400.0
-"""Ten times the decisions of a router at the load it is made for."""
 BURST_LINES = 800.0
 PROCESS_RESERVE_SHARE = 0.25
-"""Part of the burst kept for lines about the process rather than a request."""
+"""Part of the burst reserved for lines that are not about a request."""
 MAX_PENDING_BYTES = 256 * 1024
 
 
 class DecisionLog:
     """Writes JSON lines to a descriptor that may be slow.
 
-    Under load lines about requests are dropped first, then those about the
-    process; the number of dropped lines is told in the next line.
+    When the rate limit is exceeded, lines about requests are dropped first. The next
+    line contains the number of dropped lines.
 
     Parameters
     ----------
     node : str
         Name of the VM in each line.
     write : callable
-        Writes bytes without blocking; returns how many were taken, or raises
+        Writes bytes without blocking; returns how many were written, or raises
         BlockingIOError.
     clock : callable
         Monotonic clock, in seconds.
@@ -56,24 +55,24 @@
 
     @classmethod
     def to_stdout(cls, node: str, *, clock: Callable[[], float]) -> Self:
-        """Return a log on standard output, which is set not to block."""
+        """Return a log on standard output, which is made non-blocking."""
         descriptor = sys.stdout.fileno()
         os.set_blocking(descriptor, False)
         return cls(node, write=lambda data: os.write(descriptor, data), clock=clock)
 
     def request(self, event: str, request_id: bytes, **fields: object) -> None:
-        """Log a decision that touches a request."""
+        """Log an event of a request."""
         if self._admit(BURST_LINES * PROCESS_RESERVE_SHARE):
             known = {"request_id": request_id.decode("latin-1")}
             self._emit(event, known | fields)
 
     def process(self, event: str, **fields: object) -> None:
-        """Log a change of what the process is or believes."""
+        """Log an event of the process."""
         if self._admit(0.0):
             self._emit(event, fields)
 
     def flush(self) -> None:
-        """Write what could not be written before."""
+        """Write buffered data."""
         if self._pending:
             self._send(b"")
 
@@ -108,6 +107,6 @@
         except BlockingIOError:
             taken = 0
         except OSError:
-            # Nobody reads the log any more; there is no place left to tell it.
+            # The reader has closed the log, so the data is discarded.
             taken = len(data)
         self._pending = data[taken:]
--- a/libs/direct/src/berylwalk/direct/_elapsed_time.py
+++ b/libs/direct/src/berylwalk/direct/_elapsed_time.py
@@ -1,4 +1,4 @@
-"""Time that goes on while the VM is suspended."""
+"""A clock that includes suspensions of the VM."""
 
 import time
 from collections.abc import Callable
@@ -7,15 +7,15 @@
 
 
 def elapsed_clock(*, fallback: Clock = time.monotonic) -> tuple[Clock, bool]:
-    """Return a clock for ages that others go by, and whether it counts suspension.
+    """Return a clock for ages, and whether it includes suspensions of the VM.
 
-    The steady clock of the loop stands still while a VM is suspended: by it, what is
-    told right after waking up looks younger than it is by all that time.
+    The monotonic clock stops while a VM is suspended; by it, data received right after
+    the resumption would look too young.
 
     Parameters
     ----------
     fallback : callable
-        Used where the platform has no such clock, in seconds.
+        Clock for platforms without a boot time clock, in seconds.
     """
     boot_clock = getattr(time, "CLOCK_BOOTTIME", None)
     if boot_clock is None:
--- a/libs/direct/src/berylwalk/direct/_exchange.py
+++ b/libs/direct/src/berylwalk/direct/_exchange.py
@@ -1,4 +1,4 @@
-"""The life of one request: check, place, send, relay, repeat, answer."""
+"""Lifecycle of one request: admission, placement, attempts and response."""
 
 from asyncio import get_running_loop
 from collections.abc import Awaitable, Callable
@@ -27,28 +27,27 @@
 from berylwalk.quarantine import Identity, Standing
 
 AcquireTrialPermit = Callable[[Identity], Awaitable[bool]]
-"""Asks for the permit to send a request once under which targets ended."""
+"""Acquires the permit to send a quarantined request once."""
 PLACEMENT_CHECK_INTERVAL_S = 0.1
-"""Time between two looks at whether a request may still find a place."""
 TIMER_MARGIN_S = 0.001
-"""Timers of the loop may be early by its resolution."""
+"""Event loop timers may fire early by up to the clock's resolution."""
 NO_STATUS = 0
-"""Logged in place of a status where the caller got no whole answer."""
+"""Logged instead of a status if the caller got no complete response."""
 
 
 class Exchange:
-    """Runs one request to its end.
+    """Handles one request of a caller.
 
     Parameters
     ----------
     context : RouterContext
-        The router's state.
+        Shared state of the router.
     connection : CallerConnection
-        Where the answer goes.
+        Connection that the response is written to.
     request : CallerRequest
-        The whole request.
+        The complete request.
     acquire_trial_permit : callable
-        Asks for the permit of a trial.
+        Acquires the permit for the trial of a quarantined request.
     """
 
     def __init__(
@@ -67,11 +66,11 @@
         self._log = ExchangeLog(context, request.arrived_at)
 
     def cancel(self) -> None:
-        """Stop, for the caller has left."""
+        """Cancel the request because the caller has disconnected."""
         self._scope.cancel()
 
     async def run(self) -> None:
-        """Answer the request."""
+        """Admit the request and respond to it."""
         self._context.note_suspension()
         admitted = admit(self._context, self._request)
         if isinstance(admitted, Refusal):
@@ -93,20 +92,20 @@
 
 
 class RequestLifecycle:
-    """What becomes of a request that was taken.
+    """Drives an admitted request to its final response.
 
     Parameters
     ----------
     context : RouterContext
-        The router's state.
+        Shared state of the router.
     connection : CallerConnection
-        Where the answer goes.
+        Connection that the response is written to.
     admitted : Admitted
         The request.
     log : ExchangeLog
-        Tells of it.
+        Logs the events of the request.
     acquire_trial_permit : callable
-        Asks for the permit of a trial.
+        Acquires the permit for the trial of a quarantined request.
     """
 
     def __init__(
@@ -139,7 +138,7 @@
         self.is_finished = False
 
     async def run(self) -> None:
-        """Try targets until one answers or none may be tried any more."""
+        """Attempt targets until one responds or no further attempt is allowed."""
         context, admitted = self._context, self._admitted
         if admitted.is_trial and not await self._acquire_trial_permit(
             admitted.identity
@@ -170,7 +169,7 @@
             )
 
     def _reason_not_to_retry(self, attempt: Attempt) -> str:
-        """Return why no other target is tried, or an empty text."""
+        """Return the reason not to retry on another target; empty to retry."""
         now = self._context.clock()
         if now >= self._admitted.ends_at:
             return "timeout"
@@ -186,7 +185,7 @@
         return ""
 
     def _is_quarantined(self) -> bool:
-        """Return whether it is known by now to end the targets that run it."""
+        """Return whether the request is quarantined by now."""
         return self._standing().is_held_back
 
     def _standing(self) -> Standing:
@@ -194,13 +193,13 @@
         return context.quarantine.standing(self._admitted.identity, context.clock())
 
     async def _acquire_target(self, patience: Patience) -> Target | None:
-        """Return a target at which the request is counted, or None."""
+        """Return a target that the request already counts against, or None."""
         context, admitted = self._context, self._admitted
         placed = Event()
         granted: list[Target] = []
 
         def on_place(target: Target) -> None:
-            # Counted at once: the next decision has to see it.
+            # Counted immediately so that the next placement decision includes it.
             target.note_sent(admitted.facts.work, context.clock())
             granted.append(target)
             placed.set()
@@ -231,7 +230,7 @@
     async def _wait_for_placement(
         self, placed: Event, ticket: Ticket, patience: Patience
     ) -> None:
-        """Wait for a place; no longer than there may be one in time."""
+        """Wait for a placement for as long as one may arrive in time."""
         clock = self._context.clock
         while not placed.is_set():
             now = clock()
@@ -242,10 +241,11 @@
                 await placed.wait()
 
     def _wait_deadline(self, ticket: Ticket, patience: Patience, now: float) -> float:
-        """Return until when to wait for a place; no longer than it can help.
+        """Return until when to wait for a placement.
 
-        Where all targets have said from when on they take requests, the first of them
-        is asked at that moment, or the request gets its answer now.
+        If every target has announced when it becomes available again, dispatch is
+        triggered at the earliest of these times. If that is too late for the request,
+        the wait ends immediately.
         """
         context, service = self._context, self._admitted.service
         dispatcher = context.dispatcher
@@ -260,9 +260,9 @@
         return patience.wait_until
 
     def _canary_target(self, ticket: Ticket, now: float) -> Target | None:
-        """Return a target of a version that is to be tried; seldom there is one.
+        """Return a canary target if this request is selected for one, else None.
 
-        What is sent again goes to versions that are proved.
+        Retries are never sent to a canary.
         """
         rollouts, service = self._context.rollouts, self._admitted.service
         if self._excluded or not rollouts.is_watched(service):
@@ -299,7 +299,7 @@
         )
 
     def _must_run_isolated(self) -> bool:
-        """Return whether its target may end under it, with all others there."""
+        """Return whether the request must run on a target without other requests."""
         return self._admitted.is_trial or self._standing() is Standing.SUSPECTED
 
     def _complete(self, attempt: Attempt) -> None:
@@ -313,7 +313,7 @@
 
     def _respond_failure(self, attempt: Attempt, reason: str) -> None:
         if attempt.end is AttemptEnd.FAILED and not self._response_writer.started:
-            # The target's own answer says most; it has run there.
+            # The target's own error response is the most informative one.
             self._response_writer.write_response(
                 attempt.status, attempt.headers, attempt.body
             )
@@ -335,7 +335,7 @@
         self._finish(status, reason)
 
     def _refund(self, reason: str) -> float:
-        """Give the cost back; returns when the caller should come back, in seconds."""
+        """Refund the cost and return the ``Retry-After`` time in seconds."""
         admitted, now = self._admitted, self._context.clock()
         if admitted.account is not None:
             self._context.allowances.give_back(admitted.account, admitted.cost, now)
--- a/libs/direct/src/berylwalk/direct/_exchange_log.py
+++ b/libs/direct/src/berylwalk/direct/_exchange_log.py
@@ -1,4 +1,4 @@
-"""What is told of one request in logs and metrics."""
+"""Logs and metrics of one request."""
 
 from dataclasses import dataclass, field
 
@@ -9,20 +9,20 @@
 from berylwalk.quarantine import Identity
 
 UNKNOWN_ROUTE_KIND = "unknown"
-"""Kind of a request that no route was found for."""
+"""Route kind, in metrics, of a request without a route."""
 MAX_AGE_S = 1e6
 NO_RANK = -1
-"""Rank, in metrics, of a request that was not taken."""
+"""Rank, in metrics, of a request that was rejected."""
 
 
 @dataclass(slots=True)
 class ExchangeLog:
-    """Collects what happens to a request and tells it.
+    """Collects and logs the events of a request.
 
     Parameters
     ----------
     context : RouterContext
-        Where it is told.
+        Shared state of the router, with its log and metrics.
     arrived_at : float
         When the request arrived.
     """
@@ -34,12 +34,12 @@
     first_event_at: float | None = None
 
     def record_wait(self, admitted: Admitted, waited_s: float) -> None:
-        """Note that it waited for a place."""
+        """Record how long the request was queued."""
         self.waited_s += waited_s
         self.context.metrics.waited_s.labels(admitted.service).observe(waited_s)
 
     def log_not_placed(self, admitted: Admitted, ticket: Ticket) -> None:
-        """Tell why it found no place."""
+        """Log why no target was available."""
         context = self.context
         now = context.clock()
         context.log.request(
@@ -56,7 +56,7 @@
     def log_placed(
         self, admitted: Admitted, target: Target, start: ExpectedStart
     ) -> None:
-        """Tell where it goes, and what decided that."""
+        """Log the selected target and the estimate behind the decision."""
         self.context.log.request(
             "request-placed",
             admitted.request_id,
@@ -76,7 +76,7 @@
         )
 
     def record_attempt(self, target: Target, attempt: Attempt, sent_at: float) -> None:
-        """Note how an attempt ended."""
+        """Record how an attempt ended."""
         if self.first_event_at is None:
             self.first_event_at = attempt.first_event_at
         first_event_ms = None
@@ -99,7 +99,7 @@
     def log_statement(
         self, admitted: Admitted, target: Target, statement: TargetStatement
     ) -> None:
-        """Tell what a target states of itself, where that has changed."""
+        """Log the signals of a target if they have changed."""
         if statement == target.stated:
             return
         target.stated = statement
@@ -114,7 +114,7 @@
     def log_retried(
         self, admitted: Admitted, target: Target, attempt: Attempt, last_event_id: int
     ) -> None:
-        """Tell that another target is tried."""
+        """Log a retry on another target."""
         self.context.log.request(
             "request-repeated",
             admitted.request_id,
@@ -125,7 +125,7 @@
         )
 
     def log_refused(self, refusal: Refusal) -> None:
-        """Tell that it was not taken."""
+        """Log that the request was rejected."""
         reason = refusal.reason.partition(":")[0]
         self.context.metrics.requests.labels(
             UNKNOWN_ROUTE_KIND, NO_RANK, refusal.status, reason
@@ -139,7 +139,7 @@
         )
 
     def log_target_ended(self, admitted: Admitted, target: Target) -> None:
-        """Tell that a target seems to have ended while it ran the request."""
+        """Log that a target appears to have terminated while running the request."""
         self.context.metrics.ends_under_requests.labels(admitted.service).inc()
         self.context.log.request(
             "target-ended-under-request",
@@ -150,7 +150,7 @@
         )
 
     def log_cleared(self, admitted: Admitted, target: Target) -> None:
-        """Tell that the request has run, and that its target goes on."""
+        """Log that the request completed without terminating its target."""
         self.context.log.request(
             "request-cleared",
             admitted.request_id,
@@ -159,7 +159,7 @@
         )
 
     def _quarantine_fields(self, identity: Identity | None) -> dict[str, object]:
-        """Return why a request is held back: the targets that ended under it."""
+        """Return the evidence for which a request is quarantined."""
         if identity is None:
             return {}
         blame = self.context.quarantine.blames.get(identity)
@@ -173,7 +173,7 @@
         return fields
 
     def log_ended(self, admitted: Admitted, status: int, reason: str) -> None:
-        """Tell how it ended; status 0 if the caller got no whole answer."""
+        """Log the end of the request; status 0 marks an incomplete response."""
         metrics = self.context.metrics
         kind, rank = admitted.route.kind, admitted.rank[-1]
         metrics.requests.labels(kind, rank, status, reason).inc()
@@ -219,7 +219,7 @@
 
 
 def _prefix_fields(admitted: Admitted) -> dict[str, object]:
-    """Return what is known of the parts of the prompt that others have too."""
+    """Return the fields about the shared prefix of the prompt."""
     if admitted.facts.prefix_problem:
         return {"prefix_problem": admitted.facts.prefix_problem}
     prefix = admitted.facts.work.shared_prefix
@@ -229,7 +229,7 @@
 
 
 def _refused_charge_fields(charge: Charge | None) -> dict[str, object]:
-    """Return who could not pay for a request that was refused, and why."""
+    """Return the fields about a request that was rejected for its quota."""
     if charge is None:
         return {}
     return {
@@ -242,7 +242,7 @@
 
 
 def _charge_fields(charge: Charge | None) -> dict[str, object]:
-    """Return what a request costs and what was counted of its account."""
+    """Return the fields about the cost of a request and its account's quota."""
     if charge is None:
         return {}
     return {
@@ -255,7 +255,7 @@
 
 
 def _statement_fields(statement: TargetStatement) -> dict[str, object]:
-    """Return what a target states of itself; nothing for most answers."""
+    """Return the fields about a target's signals; empty for most responses."""
     if statement.is_plain:
         return {}
     fields: dict[str, object] = {
--- a/libs/direct/src/berylwalk/direct/_gauges.py
+++ b/libs/direct/src/berylwalk/direct/_gauges.py
@@ -1,16 +1,16 @@
-"""What is believed, written into the gauges when they are asked for."""
+"""Updates the gauges from the state of the router before each scrape."""
 
 from berylwalk.direct._context import RouterContext
 from berylwalk.dispatch import Target
 
 MAX_AGE_S = 1e6
-"""Shown for what was never heard."""
+"""Reported for values that were never received."""
 NO_LIMIT = -1.0
-"""Shown for a target that names none: a limit of 0 is one."""
+"""Reported for a target without a limit, because 0 is a valid limit."""
 
 
 def refresh_gauges(context: RouterContext) -> None:
-    """Write the present beliefs of a router into its gauges."""
+    """Update all gauges from the current state of a router."""
     metrics = context.metrics
     now = context.clock()
     age_s = min(context.configuration.age_s(now), MAX_AGE_S)
--- a/libs/direct/src/berylwalk/direct/_invalid_items.py
+++ b/libs/direct/src/berylwalk/direct/_invalid_items.py
@@ -1,25 +1,25 @@
-"""Findings about items of the store that can't be used, told once each."""
+"""Rate-limited log of invalid items in the store."""
 
 from berylwalk.direct._context import RouterContext
 
 MAX_BURST_LINES = 50
-"""Findings that are told at once: those of a list with many such items."""
+"""Largest number of lines logged in a burst."""
 LINES_PER_S = 1.0
-"""Findings told in a second after that: a writer may put and delete items for ever."""
+"""Lines per second after the burst."""
 
 
 class InvalidItemLog:
-    """Logs an item that can't be used once, and counts each time that it is met.
+    """Logs each invalid item once and counts every occurrence.
 
-    Anyone may write to the store, again and again: an item is told anew only after
-    it was usable or gone in between, and so many lines in a time at most.
+    An item is logged again only after it was valid or deleted in between. The rate is
+    limited because a client may keep writing invalid items.
 
     Parameters
     ----------
     context : RouterContext
-        Where findings are logged and counted.
+        Provides the log and the metrics.
     event : str
-        Name of the log line.
+        Event name of the log line.
     """
 
     def __init__(self, context: RouterContext, event: str) -> None:
@@ -30,16 +30,16 @@
         self._refilled_at = context.clock()
 
     def report(self, key: str, problem: str, detail: str) -> None:
-        """Note an item that can't be used.
+        """Report an invalid item.
 
         Parameters
         ----------
         key : str
             Key of the item.
         problem : str
-            One of a few words for why, which metrics count.
+            Kind of the problem, a label of the metric.
         detail : str
-            The place in the item, and what was found there.
+            Location and value of the invalid part.
         """
         self._context.metrics.unusable_items.labels(self._event, problem).inc()
         if key not in self._reported and self._take_line():
@@ -59,9 +59,9 @@
         return True
 
     def clear(self, key: str) -> None:
-        """Note that an item is usable, or gone."""
+        """Mark an item as valid or deleted."""
         self._reported.discard(key)
 
     def keep_only(self, keys: set[str]) -> None:
-        """Note that all other items are gone."""
+        """Mark all other items as deleted."""
         self._reported &= keys
--- a/libs/direct/src/berylwalk/direct/_listeners.py
+++ b/libs/direct/src/berylwalk/direct/_listeners.py
@@ -1,4 +1,4 @@
-"""The addresses on which a direct router is called."""
+"""Listening sockets of a direct router."""
 
 from asyncio import AbstractEventLoop, Server
 from collections.abc import Callable
@@ -12,7 +12,7 @@
 
 
 def connection_limits(limits: CallerLimits) -> ConnectionLimits:
-    """Return the limits of a configuration as connections take them."""
+    """Convert the limits of a configuration to those of a connection."""
     return ConnectionLimits(
         max_header_bytes=limits.max_header_bytes,
         max_body_bytes=limits.max_body_bytes,
@@ -22,20 +22,20 @@
 
 
 class Listener:
-    """One listening address and its open connections.
+    """A listening socket and its open connections.
 
     Parameters
     ----------
     loop : AbstractEventLoop
         Serves the connections.
     address : SocketAddress
-        Where to listen.
+        Address to listen on.
     clock : callable
         Time in seconds.
     serve : callable
-        Answers one request.
+        Handles one request.
     on_gone : callable
-        Told of callers that left before their answer.
+        Called with connections that closed before their response.
     limits : callable
         Returns the limits in force.
     """
@@ -77,30 +77,30 @@
         )
 
     def close(self) -> None:
-        """Take no new connection; open ones go on."""
+        """Stop accepting connections; open ones are kept."""
         if self._server is not None:
             self._server.close()
 
     def abort(self) -> None:
-        """Take no new connection and drop the open ones."""
+        """Stop accepting connections and abort the open ones."""
         self.close()
         for connection in list(self.connections):
             connection.abort()
 
     def announce_closing(self) -> None:
-        """Tell callers with their next answers to go elsewhere."""
+        """Announce in each further response that the connection will be closed."""
         self.closing = True
         for connection in self.connections:
             connection.closing = True
 
     def close_idle(self) -> None:
-        """Close the connections on which nothing is asked."""
+        """Close connections without a request in progress."""
         for connection in list(self.connections):
             if not connection.is_busy:
                 connection.close()
 
     def sweep(self) -> None:
-        """Close connections whose callers are idle or slow for too long."""
+        """Close connections that exceed the idle or header timeout."""
         now = self._clock()
         for connection in list(self.connections):
             connection.close_if_overdue(now)
--- a/libs/direct/src/berylwalk/direct/_membership.py
+++ b/libs/direct/src/berylwalk/direct/_membership.py
@@ -1,4 +1,4 @@
-"""The list of routers in the store: own entry and those of the others."""
+"""Registers the router in the store and lists the other routers."""
 
 from collections.abc import Callable
 from ipaddress import ip_address
@@ -16,30 +16,29 @@
 
 MEMBERS_PREFIX = b"berylwalk/routers/"
 LEASE_S = 6.0
-"""Time after which a router that is gone is no longer counted."""
+"""Time after which a terminated router is removed from the list."""
 RENEW_INTERVAL_S = 2.0
 LIST_INTERVAL_S = 4.0
 FIRST_LIST_INTERVAL_S = 1.0
-"""Time to the second list of a router that found no other one: routers that start at
-the same moment enter the list within less, and until it knows them it reads all of the
-store itself."""
+"""Delay of the second list if the first one found no other router: routers that start
+simultaneously have registered by then."""
 
 
 class Membership:
-    """Keeps the own entry alive and the table of peers in step with the list.
+    """Keeps the own entry alive and updates the peer table.
 
     Parameters
     ----------
     context : RouterContext
-        The router's state.
+        Shared state of the router.
     store : KeyValueClient
-        The platform's store.
+        Client of the platform's store.
     store_health : StoreHealth
-        Paces calls of it that failed.
+        Tracks the results of store calls.
     life : str
-        Identifies this life of the process.
+        Id of this process lifetime.
     on_ended : callable
-        Called with each peer whose life has ended.
+        Called with each peer whose process has ended.
     """
 
     def __init__(
@@ -61,12 +60,12 @@
         self._invalid_items = InvalidItemLog(context, "member-invalid")
 
     async def leave(self) -> None:
-        """Leave the list of routers."""
+        """Remove this router from the list of routers."""
         if self._lease_id is not None:
             await self._store.revoke(self._lease_id)
 
     async def run(self) -> None:
-        """Register and list for ever."""
+        """Register and list forever."""
         async with create_task_group() as tasks:
             tasks.start_soon(self._register)
             tasks.start_soon(self._list)
@@ -129,7 +128,7 @@
                 await self._store_health.back_off(failures)
                 continue
             failures = 0
-            # A cheap list may be older than the one before.
+            # A stale list may be older than the previous one.
             if self._ordered.take_list(listing):
                 self._apply(self._ordered.items)
             is_alone = self._context.peers.known() == 1
--- a/libs/direct/src/berylwalk/direct/_metrics.py
+++ b/libs/direct/src/berylwalk/direct/_metrics.py
@@ -15,10 +15,10 @@
 
 
 class RouterMetrics:
-    """Metrics with bounded labels; served as text.
+    """Metrics with bounded labels, exported in the text format.
 
-    Labels are route kinds, ranks, outcomes, reasons, services and targets:
-    sets that the configuration bounds. No label holds a request's id.
+    Labels are route kinds, ranks, outcomes, reasons, services and targets, whose
+    number the configuration bounds. Request ids are never used as labels.
     """
 
     def __init__(self) -> None:
@@ -175,7 +175,7 @@
         )
 
     def forget_target(self, target_id: str) -> None:
-        """Drop the labels of a target that is gone."""
+        """Remove the labels of a target that was removed."""
         for gauge in (
             self.in_flight,
             self.peer_in_flight,
--- a/libs/direct/src/berylwalk/direct/_mirrored_prefix.py
+++ b/libs/direct/src/berylwalk/direct/_mirrored_prefix.py
@@ -16,89 +16,87 @@
 from berylwalk.reading import OrderedItems, Word
 
 MAX_WATCH_HOLD_S = 8.0
-"""Longest time that the store holds a watch back: each answer is paid for."""
+"""Longest time that the store holds a watch call; each response is billed."""
 MIN_WATCH_HOLD_S = 0.3
-"""The same of the shortest: a router makes three such calls a second at most."""
+"""Shortest time that the store holds a watch call."""
 SEND_LATENCY_S = 0.1
-"""Time from the look at what is known to the arrival at a target of what was sent
-by it."""
+"""Time from a decision based on mirrored data to the arrival of the request at a
+target."""
 FIRST_LIST_POLL_S = 0.15
-"""Time between looks for a first list."""
+"""Interval between checks whether the first list has arrived."""
 LIST_POLL_S = 0.3
-"""Time between looks whether a list is due."""
+"""Interval between checks whether a list is due."""
 MIN_SLEEP_S = 0.01
-"""Bound from below of a sleep until something is due: what is left may be a rounding
-error of the clock."""
+"""Lower bound of a sleep, since a remaining time may be a rounding error."""
 PEER_PROPAGATION_S = 0.6
-"""Time from an answer of the store to the moment at which a router that asks another
-one each 0.4 s knows of it; it may lie behind the other one's next question."""
+"""Time until a router that polls a peer has the data of a store response that the peer
+received."""
 
 
 def peer_data_max_age_s(bound_s: float, batch_s: float = 0.0) -> float:
-    """Return the age up to which the word of other routers is enough.
+    """Return the age up to which the data of peers is fresh enough.
 
-    From then on the store is asked. If the first answer is lost, the second one still
-    comes within the bound.
+    At that age the store is called. A retry after one lost response still completes
+    within the bound.
 
     Parameters
     ----------
     bound_s, batch_s : float
-        As in `watch_hold_s`.
+        Staleness bound and batching delay, in seconds.
     """
     return max(0.0, bound_s - batch_s - CALL_TIMEOUT_S - SEND_LATENCY_S)
 
 
 def watch_hold_s(bound_s: float, batched_s: float = 0.0) -> float:
-    """Return for how long a watch may be held back.
+    """Return how long the store may hold a watch call, in seconds.
 
-    The answer of any watch may be lost without a sign. The next one is answered at
-    once, so that what is known is never older than the gathering before it, the hold
-    and the bound of a call together.
+    A watch response may be lost unnoticed. The next call returns at once, so the age of
+    the data never exceeds the sum of batching delay, hold and call timeout.
 
     Parameters
     ----------
     bound_s : float
-        Time after which what is known must not be used, in seconds.
+        Age from which the data must not be used, in seconds.
     batched_s : float
-        Time since the answer before, in seconds.
+        Delay since the previous response, in seconds.
     """
     max_hold_s = bound_s - batched_s - CALL_TIMEOUT_S - SEND_LATENCY_S
     return min(MAX_WATCH_HOLD_S, max(MIN_WATCH_HOLD_S, max_hold_s))
 
 
 def max_age_s(bound_s: float, batch_s: float) -> float:
-    """Return how old what is known may be, in seconds; over the bound if it is short.
+    """Return the maximum age of the data; it exceeds a bound that is too short.
 
     Parameters
     ----------
     bound_s, batch_s : float
-        As in `watch_hold_s`.
+        Staleness bound and batching delay, in seconds.
     """
     return batch_s + watch_hold_s(bound_s, batch_s) + CALL_TIMEOUT_S + SEND_LATENCY_S
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class MirrorRules:
-    """What is mirrored, and how often the store is asked.
+    """Prefix to be mirrored, and when the store is called.
 
     Parameters
     ----------
     prefix : bytes
-        Start of the keys.
+        Common prefix of the keys.
     name : str
-        What they are, as logs and metrics name the calls.
+        Name of the items in logs and metrics.
     bound_s : float or None
-        Time after which what a watch has told must not be used, in seconds; None if
-        lists keep it fresh.
+        Age from which the data of a watch must not be used, in seconds; None if lists
+        keep it fresh.
     batch_s : float
-        Time for which changes gather at the store before they are asked for again.
+        How long changes are batched at the store between watch calls, in seconds.
     list_gap_s : callable
-        Returns the time between two lists now, in seconds; None if a watch is enough.
+        Returns the current interval between lists, in seconds; None if the watch
+        suffices.
     peer_data_max_age_s : float
-        Age up to which the word of other routers is enough, in seconds: a call of the
-        store whose answer is lost then still fits into the bound.
+        Age up to which the data of peers replaces store calls, in seconds.
     is_probe : bool
-        Whether its lists find out when the store is back after an outage.
+        Whether its lists detect that the store has recovered from an outage.
     is_steady : bool
         As in `OrderedItems`.
     """
@@ -115,14 +113,14 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class ReadRole:
-    """Whether a router reads the store for itself only.
+    """Whether a router shares store reads with its peers.
 
     Parameters
     ----------
     follows_peers : callable
-        Returns whether it takes the word of others in place of own calls.
+        Returns whether it uses the data of peers instead of store calls.
     serves_peers : callable
-        Returns whether others take its word: what it knows has to be fresher then.
+        Returns whether peers use its data, which must be fresher then.
     """
 
     follows_peers: Callable[[], bool] = lambda: False
@@ -135,22 +133,22 @@
     Parameters
     ----------
     store : KeyValueClient
-        The platform's store.
+        Client of the platform's store.
     store_health : StoreHealth
-        Notes how calls end.
+        Tracks the results of store calls.
     rules : MirrorRules
-        What is mirrored, and how often the store is asked.
+        Prefix to be mirrored, and when the store is called.
     clock : callable
         Time of the loop, in seconds.
     on_list : callable
-        Called with all items, the revision of the list, and when it was asked for.
+        Called with all items, the revision of the list, and the time of its request.
     on_changes : callable
-        Called with news of a watch or of another router, and when the store was
-        surely at that state.
+        Called with the changes from a watch or a peer, and a time at which the store
+        was known to be at that state.
     on_known : callable
-        Called likewise with that moment when there is no news.
+        Called with all items and such a time if nothing has changed.
     role : ReadRole
-        Whether this router reads the store for itself only.
+        Whether this router shares store reads with its peers.
     """
 
     def __init__(
@@ -179,43 +177,43 @@
 
     @property
     def name(self) -> str:
-        """What is mirrored."""
+        """Name of the mirrored items."""
         return self._rules.name
 
     @property
     def items(self) -> list[KeyValue]:
-        """The items that are there."""
+        """The current items."""
         return self._ordered.items
 
     @property
     def revision(self) -> int:
-        """Up to which revision of the store all changes are known."""
+        """Revision of the store up to which all changes are known."""
         return self._ordered.revision
 
     def age_s(self) -> float:
-        """Return the time since the store was known to be at that revision."""
+        """Return the seconds since the store was known to be at that revision."""
         return self._clock() - self._ordered.known_at
 
     @property
     def is_fresh(self) -> bool:
-        """Whether the word of others would be enough in place of a call."""
+        """Whether data of this age from peers replaces a store call."""
         return self._is_listed and self.age_s() < self._rules.peer_data_max_age_s
 
     def word(self, since: int) -> Word | None:
-        """Return what is known, for a router that knows all up to a revision."""
+        """Return the changes for a peer that knows all up to a revision."""
         if not self._is_listed:
             return None
         return self._ordered.word(self.name, since, self._clock())
 
     def take_word(self, word: Word, asked_at: float) -> bool:
-        """Take what another router knows; returns whether that is all that it knows.
+        """Apply the data of a peer; return whether it was complete.
 
         Parameters
         ----------
         word : Word
-            What it told.
+            Data of the peer.
         asked_at : float
-            When it was asked.
+            When the peer was queried.
         """
         if not self._is_listed:
             return False
@@ -237,7 +235,7 @@
         return self._role.follows_peers() and self.is_fresh
 
     async def run(self) -> None:
-        """List and watch for ever."""
+        """List and watch forever."""
         async with create_task_group() as tasks:
             tasks.start_soon(self._list)
             tasks.start_soon(self._watch)
@@ -262,7 +260,7 @@
             await self._wait_until_list_due()
 
     async def _wait_until_list_due(self) -> None:
-        """Wait until a list is due or wanted."""
+        """Wait until a list is due or requested."""
         listed_at = self._clock()
         while not self._list_requested.is_set():
             gap_s = self._rules.list_gap_s()
@@ -284,12 +282,12 @@
                 continue
             held_s = self._watch_hold_s(batched_s)
             if batched_s and self._role.serves_peers():
-                # When the changes came can't be told from their answer, so that others
-                # would take it for as old as its call.
+                # The response does not tell when the changes were made, so peers would
+                # count their age from the start of the call.
                 held_s = 0.0
             if self._is_served_by_peers:
                 await self._wait_until_peer_data_stale()
-                # What changed meanwhile has to be known at once.
+                # Changes that were made in the meantime are needed immediately.
                 held_s = 0.0
             asked_at = self._clock()
             changes = await self._store_health.track(
@@ -305,14 +303,15 @@
                     self._is_listed = False
                     self._list_requested.set()
                 if failures > 1:
-                    # The first is asked again at once: its answer may be lost alone.
+                    # Retry the first failure at once; only its response may have been
+                    # lost.
                     await self._store_health.back_off(failures - 1)
                 continue
             failures = 0
             if changes.unreadable:
-                # Which keys changed can't be told: a list shows what is left.
+                # Which keys changed is unknown; a list shows the remaining items.
                 self._list_requested.set()
-            # An answer without changes was held back for the whole time.
+            # A response without changes was held for the whole time.
             is_unchanged = not changes.events and not changes.unreadable
             known_at = asked_at + (held_s if is_unchanged else 0.0)
             news = self._ordered.take_changes(changes, known_at=known_at)
--- a/libs/direct/src/berylwalk/direct/_peer_messages.py
+++ b/libs/direct/src/berylwalk/direct/_peer_messages.py
@@ -1,4 +1,4 @@
-"""What routers tell each other, and how it travels."""
+"""Messages between routers and their transport."""
 
 from asyncio import DatagramProtocol
 from collections.abc import Callable
@@ -11,14 +11,14 @@
 from berylwalk.rollout import RolloutNews
 
 Loads = dict[str, tuple[int, int]]
-"""Requests in flight and waiting prompt tokens by the life of a target."""
+"""Requests in flight and waiting prompt tokens, by incarnation id of the target."""
 
 Reads = list[tuple[int, str]]
-"""Hashes of prompt prefixes, and the lives of the targets that they were sent to."""
+"""Hashes of prompt prefixes with the incarnation ids of the targets they were sent to."""
 
 
 class MemberEntry(Struct):
-    """How a router registers itself."""
+    """Entry of a router in the store."""
 
     host: str
     port: int
@@ -27,28 +27,28 @@
 
 
 class RouterUpdate(Struct, array_like=True):
-    """What is new of one router.
+    """State of one router.
 
     Parameters
     ----------
     name, host, port : str, str, int
-        Who, and where it takes messages.
+        Name of the router and address for messages.
     life : str
-        Identifies one life of the process.
+        Id of the process lifetime.
     failure_domain : str
-        Where its VM is.
+        Failure domain of its VM.
     age_s : float
-        Age of that life, in seconds.
+        Age of the process, in seconds.
     sequence : int
-        Grows with each message of a life.
+        Increases with each message of a process.
     spent : dict
         Units spent since the start, by client account.
     demand : dict
-        Likewise the most urgent rank that was seen, and the units that it asked.
+        Most urgent rank seen and the units requested at it, by client account.
     store_healthy_s : float
-        For how long the store has been well for it, in seconds.
+        How long the store has been healthy for the router, in seconds.
     rollouts : list of RolloutNews
-        What it knows of roll-outs that are under way.
+        Its view of the roll-outs in progress.
     """
 
     name: str
@@ -64,7 +64,7 @@
     rollouts: list[RolloutNews] = field(default_factory=list)
 
     def to_peer(self) -> Peer:
-        """Return the router as an entry of the table of peers."""
+        """Return the router as an entry of the peer table."""
         return Peer(
             self.name,
             self.host,
@@ -76,25 +76,25 @@
 
 
 class PeerMessage(Struct, array_like=True, tag=1):
-    """What a router tells the peers near it.
+    """Message of a router to its direct peers.
 
     Parameters
     ----------
     news : RouterUpdate
-        Of the sender.
+        State of the sender.
     loads : dict
-        What the sender has at targets.
+        Loads of the sender at targets.
     history_from : str or None
-        Name of the peer that shall tell what was spent before the sender's start.
+        Name of the peer that is asked for the spending before the sender's start.
     spending_history : dict or None
-        Units that all routers spent in the window, by account and bin of time: the
-        answer to one that asked.
+        Units spent by all routers in the window, by account and time bin; the
+        response to a router that asked for it.
     reads : list of (int, str)
-        What the sender sent where since its last message.
+        Prefix placements since the previous message.
     quarantine : QuarantineNews
-        What is new of requests under which targets ended.
+        Changes in the quarantine.
     statements : list of StatementUpdate
-        What targets said to the sender.
+        Signals of targets in the sender's responses.
     """
 
     news: RouterUpdate
@@ -107,25 +107,24 @@
 
 
 class DomainMessage(Struct, array_like=True, tag=2):
-    """What the relay of a failure domain tells those of the others.
+    """Message of the relay of one failure domain to the relays of the others.
 
     Parameters
     ----------
     failure_domain : str
-        Of which it tells.
+        The relay's failure domain.
     routers : list of RouterUpdate
-        The routers there that the relay hears, itself included.
+        The relay and the live routers of its domain.
     loads : dict
-        What they have at targets, in all.
+        Their total loads at targets.
     is_forwarded : bool
-        Whether it comes from a router of the receiver's own failure domain, which
-        passes it on to all there.
+        Whether the receiving relay has forwarded it within its own domain.
     reads : list of (int, str)
-        What they sent where since the relay's last message.
+        Their prefix placements since the relay's previous message.
     quarantine : QuarantineNews
-        What is new of requests under which targets ended.
+        Changes in the quarantine.
     statements : list of StatementUpdate
-        What targets said to routers there.
+        Signals of targets in their responses.
     """
 
     failure_domain: str
@@ -138,16 +137,16 @@
 
 
 class LoadMessage(Struct, array_like=True, tag=5):
-    """What a router has at a few targets, told as soon as it sends there.
+    """Loads of a router at a few targets, sent immediately after a placement.
 
     Parameters
     ----------
     name, life : str, str
-        Who tells; it is known from its longer messages.
+        Name and process lifetime of the sender, known from its regular messages.
     sequence : int
-        Grows with each message of a life, the longer ones among them.
+        Increases with each message of a process, regular ones included.
     loads : dict
-        What it has at these targets.
+        Loads of the sender at these targets.
     """
 
     name: str
@@ -157,7 +156,7 @@
 
 
 class PeerSocket(DatagramProtocol):
-    """Passes datagrams on.
+    """Receives the datagrams of peers.
 
     Parameters
     ----------
@@ -169,5 +168,5 @@
         self._on_datagram = on_datagram
 
     def datagram_received(self, data: bytes, addr: tuple[str, int]) -> None:
-        """Pass a datagram on."""
+        """Pass a datagram to the callback."""
         self._on_datagram(data)
--- a/libs/direct/src/berylwalk/direct/_peering.py
+++ b/libs/direct/src/berylwalk/direct/_peering.py
@@ -1,9 +1,8 @@
-"""What routers tell each other.
+"""Exchanges state with the other routers.
 
-Routers near each other tell loads and spending directly and often. In a fleet of
-several failure domains that is too large for this, one router of each domain, its
-relay, tells those of the others what is new of all in its domain, and passes on what
-it is told by them.
+Routers send loads and spending directly to each other. In a large fleet they do so only
+within a failure domain; one router of each domain, the relay, exchanges aggregated
+updates with the relays of the other domains and forwards what it receives.
 """
 
 from asyncio import DatagramTransport, get_running_loop
@@ -40,25 +39,24 @@
 from berylwalk.reading import ReadingAsk, ReadingTell
 
 SEND_INTERVAL_S = 0.05
-"""Time between two messages: half of a typical time to a first event."""
+"""Interval between two messages to direct peers."""
 MAX_SEND_INTERVAL_S = 0.3
-"""Bound of the time between messages; two may be lost before a peer is taken for
+"""Upper bound of that interval: two messages may be lost before a peer counts as
 silent."""
 UNCHANGED_SEND_INTERVAL_S = 0.25
-"""The same while nothing has changed; a third of the time after which a peer is
-taken for silent."""
+"""Interval between messages while nothing has changed."""
 RELAY_INTERVAL_S = 0.1
-"""Time between two messages of a relay to those of the other failure domains, where few
-routers are near it: with older loads fewer of the most urgent requests are in time."""
+"""Interval between two messages of a relay to the relays of other failure domains."""
 MAX_IMMEDIATE_PEERS = 12
-"""Peers nearby up to which each send is told to them at once: by the next regular
-message all of them would have sent to the same free place."""
+"""Largest number of direct peers that are notified of each placement immediately: with
+the regular message only, all of them would select the same free target."""
 PLACEMENT_BATCH_S = 0.002
-"""Time for which sends gather before they are told."""
+"""How long placements are batched before they are sent."""
 MAX_RELAYED_PREFIXES = 512
-"""Bound of the sent prefixes that a relay has not told yet; the oldest are dropped."""
+"""Bound of the queue of prefix placements to be relayed; the oldest are dropped."""
 DOMAIN_SOURCE = "failure-domain "
-"""Start of the name under which the loads of a whole failure domain are counted."""
+"""Prefix of the source name under which the loads of a whole failure domain are
+stored."""
 
 
 class Peering:
@@ -67,16 +65,16 @@
     Parameters
     ----------
     context : RouterContext
-        The router's state.
+        Shared state of the router.
     store : KeyValueClient
-        The platform's store.
+        Client of the platform's store.
     store_health : StoreHealth
-        Paces calls of it that failed.
+        Tracks the results of store calls.
 
     Attributes
     ----------
     shared_reads : SharedReads
-        What the routers ask each other about the store.
+        Shares reads of the store between routers.
     """
 
     def __init__(
@@ -118,7 +116,7 @@
         )
 
     async def leave(self) -> None:
-        """Leave the list of routers."""
+        """Remove this router from the list of routers."""
         await self._membership.leave()
 
     def close(self) -> None:
@@ -127,24 +125,24 @@
             self._transport.close()
 
     async def run(self) -> None:
-        """Register, list and tell for ever."""
+        """Register, list peers and send messages forever."""
         async with create_task_group() as tasks:
             tasks.start_soon(self._membership.run)
             tasks.start_soon(self._send_loop)
             tasks.start_soon(self._relay_loop)
             tasks.start_soon(self.shared_reads.run)
 
-    # Telling.
+    # Sending
 
     def send_soon(self) -> None:
-        """Tell the peers nearby at once, and not when it is due."""
+        """Send the next message to direct peers immediately."""
         self._send_requested.set()
 
     def announce_placement(self, target: Target) -> None:
-        """Tell the peers nearby soon that a request is sent to a target.
+        """Announce a placement to the direct peers without delay.
 
-        Load pattern: many routers and few places. Each sees a place that falls free,
-        and until it hears of the others' sends it takes it for its own.
+        With many routers and few free slots, each router would otherwise claim a freed
+        slot before it learns of the placements of the others.
         """
         if not 0 < len(self._context.peers.near()) <= MAX_IMMEDIATE_PEERS:
             return
@@ -191,7 +189,7 @@
                 self._send(data, [receiver])
 
     def _apply_peer_liveness(self) -> None:
-        """Leave silent peers their part of the allowances, and forget their loads."""
+        """Redistribute the quota of silent peers and drop their loads."""
         context = self._context
         peers, now = context.peers, context.clock()
         context.allowances.set_share(peers.heard(now), peers.known())
@@ -200,11 +198,11 @@
         counted = self._counted_sources(now)
         for source in context.targets.sources_of_loads():
             if source not in counted:
-                # What it had in flight is answered by now or unknown.
+                # Their requests in flight have finished by now or are unknown.
                 context.targets.hear_loads(source, {})
 
     def _counted_sources(self, now: float) -> set[str]:
-        """Return under which names loads count: near peers and far domains heard."""
+        """Return the sources whose loads count: direct peers and remote domains."""
         peers = self._context.peers
         heard = [peer for peer in peers.by_name.values() if peers.is_heard(peer, now)]
         near = {peer.name for peer in heard if peers.is_near(peer)}
@@ -294,12 +292,13 @@
         for peer in peers:
             self._transport.sendto(data, (peer.host, peer.port))
 
-    # What newcomers need to know.
+    # Spending history for routers that have just started
 
     def _peer_to_ask(self, now: float) -> str | None:
-        """Return the peer that is asked what was spent before the start.
+        """Return the peer to request the spending history from; None if it is complete.
 
-        Another one each time, since one may not know or its answer be lost.
+        A random one each time, because a peer may not have it or its response may be
+        lost.
         """
         context = self._context
         if context.allowances.knows_window(now):
@@ -309,10 +308,9 @@
         return choice(heard) if heard else None
 
     def _answer_newcomer(self, newcomer: Peer, now: float) -> None:
-        """Tell a router that asks what was spent, if it is known here.
+        """Send the spending history to a router that asked for it, if complete here.
 
-        Only that one: what all routers spent takes kilobytes, which would fill
-        the links of small VMs if each told it to all.
+        It takes kilobytes, so it is sent to that router only.
         """
         context = self._context
         if not context.allowances.knows_window(now):
@@ -324,7 +322,7 @@
         )
         self._send(msgpack.encode(message), [newcomer])
 
-    # Hearing.
+    # Receiving
 
     def _receive(self, data: bytes) -> None:
         try:
@@ -392,7 +390,7 @@
             self._send(data, context.peers.near())
 
     def _receive_update(self, news: RouterUpdate, now: float) -> bool:
-        """Take what is new of a router; False if it is old."""
+        """Apply an update about a router; return False if it is outdated."""
         peer = news.to_peer()
         if not self._context.peers.hear(peer, now):
             return False
@@ -413,25 +411,25 @@
         context.quarantine.hear(news, context.clock(), is_near=is_near)
 
     def _forget(self, peer: Peer) -> None:
-        """Forget a peer whose life has ended."""
+        """Remove the state of a peer process that has ended."""
         self._context.targets.hear_loads(peer.name, {})
         self._context.allowances.forget(life_of(peer))
         self._updates_by_name.pop(peer.name, None)
 
 
 def send_interval_s(peers: int) -> float:
-    """Return the time between two messages, which grows with the peers told.
+    """Return the interval between messages for a number of direct peers.
 
-    Each router tells every other near one, so that the messages that one router
-    receives would otherwise grow with their number, and the sum with its square.
+    The interval grows with the number of peers, which bounds the rate of messages that
+    each router receives.
     """
     return _scaled_interval_s(SEND_INTERVAL_S, peers)
 
 
 def relay_interval_s(peers: int) -> float:
-    """Return the time between two messages of a relay.
+    """Return the interval between messages of a relay.
 
-    Each of them is passed on to all routers near the one that gets it.
+    Each message is forwarded to all direct peers of its receiver.
     """
     return _scaled_interval_s(RELAY_INTERVAL_S, peers)
 
@@ -441,5 +439,5 @@
 
 
 def life_of(peer: Peer) -> str:
-    """Return what identifies one life of a router."""
+    """Return the id of one process lifetime of a router."""
     return f"{peer.name}/{peer.life}"
--- a/libs/direct/src/berylwalk/direct/_quarantine_store.py
+++ b/libs/direct/src/berylwalk/direct/_quarantine_store.py
@@ -1,9 +1,8 @@
-"""What the store keeps of requests that are to blame, and the permits of their trials.
+"""Stores quarantine records and acquires permits for trials.
 
-The records outlive all routers. A trial is a write under a condition: however many
-routers want one, and however they are cut from each other, one of them gets it, and
-none does that does not reach the store. An operator lets a request through by deleting
-its record.
+The records survive a restart of all routers. A trial permit is a compare-and-swap on
+the record, so at most one router acquires it, and none without access to the store.
+Operators release a request by deleting its record.
 """
 
 from collections.abc import Callable
@@ -35,36 +34,34 @@
 )
 
 SCAN_INTERVAL_S = 15.0
-"""Time between two looks at the records while there are any: an operator who lets a
-request through waits no longer."""
+"""Interval between scans for records that operators have deleted."""
 SYNC_INTERVAL_S = 0.5
-"""Time between two looks at what is to be written."""
+"""Interval between checks for records to be written."""
 FALLBACK_WRITE_DELAY_S = 2.0
-"""Time after which a router writes what the first one should have written."""
+"""How long a write may be due before a router that is not the leader makes it."""
 RECORD_TTL_S = 86_400.0
-"""Age by the time of day at which a record is deleted: a request that still ends
-targets then is known again after three of them."""
+"""Age by the time of day at which a record is deleted, in seconds."""
 
 
 @dataclass(frozen=True, slots=True)
 class _StoredRecord:
-    """A record, and the store's revision of it; 0 if it is not there."""
+    """A record and its revision in the store; 0 if it has not been written."""
 
     record: Record
     revision: int
 
 
 class QuarantineStore:
-    """Reads the records at the start, and keeps them in step with what is believed.
+    """Synchronizes the quarantine with its records in the store.
 
     Parameters
     ----------
     context : RouterContext
-        The router's state.
+        Shared state of the router.
     store : KeyValueClient
-        The platform's store.
+        Client of the platform's store.
     store_health : StoreHealth
-        Paces calls of it that failed.
+        Tracks the results of store calls.
     wall_clock : callable
         Time of day, in seconds since the epoch.
     """
@@ -87,11 +84,11 @@
         self._wake_event = Event()
 
     def wake(self) -> None:
-        """Look at once at what is to be written."""
+        """Check for records to be written immediately."""
         self._wake_event.set()
 
     async def run(self) -> None:
-        """Read all records, then write and look for ever."""
+        """Load all records, then write and scan forever."""
         failures = 0
         while not await self._read_all("read-quarantine"):
             failures += 1
@@ -105,12 +102,17 @@
             await self._sync()
 
     async def acquire_trial_permit(self, identity: Identity) -> bool:
-        """Return whether a request that is to blame may be sent once.
+        """Acquire the permit to send a quarantined request once.
 
         Parameters
         ----------
         identity : bytes
-            Which request.
+            Identity of the request.
+
+        Returns
+        -------
+        bool
+            Whether the request may be sent.
         """
         context = self._context
         item = await self._store_health.track(
@@ -150,7 +152,7 @@
             await self._scan()
 
     def _due(self, now: float, *, is_first: bool) -> list[Identity]:
-        """Return the requests whose ends the store does not have."""
+        """Return the requests with evidence that is missing in the store."""
         quarantine = self._context.quarantine
         wanting = [
             identity
@@ -168,7 +170,7 @@
         ]
 
     async def _write_evidence(self, identity: Identity) -> bool:
-        """Write the ends under a request; False if the store can't be reached."""
+        """Write the evidence against a request; return whether that succeeded."""
         known = self._stored.get(identity)
         revision = 0 if known is None else known.revision
         return await self._write(identity, self._record_of(identity), revision)
@@ -181,7 +183,7 @@
         return structs.replace(known.record, ended=sorted(ended))
 
     async def _write(self, identity: Identity, record: Record, revision: int) -> bool:
-        """Write a record under the condition of its revision; True if that was met."""
+        """Compare-and-swap a record; return whether it was written."""
         value = json.encode(record)
         result = await self._store_health.track(
             "note-quarantine",
@@ -220,7 +222,7 @@
         return True
 
     async def _scan(self) -> None:
-        """See what operators deleted, and delete what is too old."""
+        """Release requests whose records were deleted, and delete expired records."""
         self._scanned_at = self._context.clock()
         if not await self._read_all("look-quarantine"):
             return
@@ -237,8 +239,8 @@
     async def _delete_cleared(self) -> None:
         """Delete the records of requests that were cleared.
 
-        Not of those whose ends others explain for now: to all routers a record that is
-        gone means that the request is let through.
+        Records of requests that are only explained by others for now are kept, because
+        deleting a record releases the request on all routers.
         """
         for identity in list(self._stored):
             if not self._context.quarantine.ended(identity):
@@ -261,10 +263,10 @@
         return True
 
     def _load_record(self, identity: Identity, item: KeyValue) -> _StoredRecord | None:
-        """Take a record as the store has it; None if it can't be read.
+        """Load a record from the store; return None if it is unreadable.
 
-        One that can't is written anew, or deleted if there is nothing to keep. How many
-        trials it had is not known then, so that there are no more.
+        An unreadable record is overwritten, or deleted if there is no evidence. Since
+        its number of trials is unknown, no more are permitted.
         """
         try:
             record = json.decode(item.value, type=Record)
@@ -284,7 +286,7 @@
         return known
 
     def _release(self, identity: Identity) -> None:
-        """Let a request through whose record is gone."""
+        """Release a request whose record was deleted."""
         self._stored.pop(identity, None)
         context = self._context
         if context.quarantine.note_answered(identity, context.clock()):
--- a/libs/direct/src/berylwalk/direct/_response_writer.py
+++ b/libs/direct/src/berylwalk/direct/_response_writer.py
@@ -1,4 +1,4 @@
-"""The caller's side of one answer, over several attempts."""
+"""Writes the response to a caller across several attempts."""
 
 from collections.abc import Callable
 
@@ -6,21 +6,21 @@
 
 
 class ResponseWriter:
-    """Passes whole events on, in order and each once.
+    """Forwards complete events in order and without duplicates.
 
     Parameters
     ----------
     connection : CallerConnection
-        The caller.
+        Connection to the caller.
     last_event_id : int
-        Last event that the caller has.
+        Id of the last event that the caller has received before.
 
     Attributes
     ----------
     started : bool
-        Whether the caller has got the head of the answer.
+        Whether the response head has been sent.
     last_event_id : int
-        Last event passed on, or that the caller had before.
+        Id of the last event that the caller has.
     """
 
     def __init__(self, connection: CallerConnection, *, last_event_id: int) -> None:
@@ -31,17 +31,17 @@
 
     @property
     def is_writable(self) -> bool:
-        """Whether the caller keeps up."""
+        """Whether the caller's receive buffer has room."""
         return self._connection.is_writable
 
     def set_on_writable(self, callback: Callable[[bool], None] | None) -> None:
-        """Have changes of `is_writable` told."""
+        """Set the callback for changes of `is_writable`; None removes it."""
         self._connection.on_writable = callback
 
     def write_events(self, status: int, headers: Headers, events: list[Event]) -> None:
-        """Send events that the caller does not have yet.
+        """Send the events that the caller does not have yet.
 
-        The head is that of the first attempt that brought an event.
+        The response head is that of the first attempt that yields an event.
         """
         data = []
         for event in events:
@@ -66,10 +66,10 @@
         self._connection.end_stream()
 
     def write_response(self, status: int, headers: Headers, body: bytes) -> None:
-        """Send a whole answer."""
+        """Send a complete response."""
         self.started = True
         self._connection.respond(status, end_to_end(headers), body)
 
     def cut(self) -> None:
-        """Break off a stream that can't be completed."""
+        """Truncate a stream that can't be completed."""
         self._connection.cut()
--- a/libs/direct/src/berylwalk/direct/_rollout_coordinator.py
+++ b/libs/direct/src/berylwalk/direct/_rollout_coordinator.py
@@ -1,8 +1,8 @@
-"""What the store keeps of roll-outs, and what operators are told.
+"""Advances roll-outs and publishes their status.
 
-A record is changed under a condition, so that any router may take a roll-out on and two
-that do it at once don't contradict each other. It is read only while an order is under
-way. What operators are told follows the record, and is written by whoever leads.
+The record of a roll-out in the store is changed by compare-and-swap only, so any router
+may advance a roll-out and concurrent writes can't conflict. Records are read only while
+an order is in progress. The published status follows the record.
 """
 
 from collections.abc import Callable
@@ -40,37 +40,37 @@
 )
 
 RECORD_MAX_AGE_S = 2.4
-"""Age that what is known of a record may reach while the store is well, in seconds:
-below that from which nothing is sent to a version that is not proved."""
+"""Maximum age of a record while the store is healthy, in seconds; below the age from
+which nothing is sent to an unproven version."""
 RECORD_PEER_DATA_MAX_AGE_S = 1.2
-"""Age up to which the word of other routers on records is enough, in seconds."""
+"""Maximum age of records up to which data of peers replaces own reads, in seconds."""
 LIST_INTERVAL_S = 1.0
-"""Time between two lists of the records: a lost answer of a watch shows by it."""
+"""Interval between lists of the records; detects lost watch responses."""
 STEP_INTERVAL_S = 0.1
-"""Time between two looks at whether a roll-out goes on to its next phase."""
+"""Interval between checks of the phase while a roll-out is in progress."""
 IDLE_INTERVAL_S = 5.0
-"""The same while there is none."""
+"""Interval between checks while no roll-out is in progress."""
 FALLBACK_STEP_INTERVAL_S = 0.4
-"""The same for a router that would write only what the first one does not."""
+"""Interval between checks of a router that is not the leader."""
 FALLBACK_WRITE_DELAY_S = 1.0
-"""Time after which a router writes what the first one should have written."""
+"""How long a write may be due before a router that is not the leader makes it."""
 
 
 class RolloutCoordinator:
-    """Reads and writes records while orders are under way.
+    """Reads and writes the records of roll-outs in progress.
 
     Parameters
     ----------
     context : RouterContext
-        The router's state.
+        Shared state of the router.
     store : KeyValueClient
-        The platform's store.
+        Client of the platform's store.
     store_health : StoreHealth
-        Paces calls of it that failed.
+        Tracks the results of store calls.
     shared_reads : SharedReads
-        What the routers ask each other about the store.
+        Shares reads of the store between routers.
     role : ReadRole
-        Whether this router reads the store for itself only.
+        Whether this router shares store reads with its peers.
     wall_clock : callable
         Time of day, in seconds since the epoch.
     """
@@ -102,14 +102,14 @@
         context.rollouts.record_age_s = self._record_age_s
 
     def wake(self) -> None:
-        """Look at once."""
+        """Check the roll-outs immediately."""
         self._wake_event.set()
 
     def _record_age_s(self) -> float:
         return float("inf") if self._mirror is None else self._mirror.age_s()
 
     async def run(self) -> None:
-        """Follow orders for ever."""
+        """Process orders forever."""
         async with create_task_group() as tasks:
             while True:
                 is_busy = self._needs_records()
@@ -120,17 +120,17 @@
                 if self._is_loaded:
                     await self._step()
 
-    # Reading.
+    # Reading
 
     def _needs_records(self) -> bool:
-        """Return whether an order is under way, or its end is still to be told."""
+        """Return whether a roll-out is in progress or its status unpublished."""
         return any(
             progress.is_open or self._needs_status_update(progress)
             for progress in self._context.rollouts.progresses
         )
 
     def _update_mirror(self, tasks: TaskGroup) -> None:
-        """Read records while that is wanted, and only then."""
+        """Start or stop the mirror of the records as needed."""
         if self._needs_records():
             if self._mirror is None:
                 self._mirror = self._new_mirror()
@@ -182,7 +182,7 @@
         self.wake()
 
     def _load_record(self, item: KeyValue) -> None:
-        """Take a record; one that can't be read is written anew."""
+        """Apply a stored record; an unreadable one is overwritten."""
         service = service_of_record_key(item.key)
         known = self._revisions_by_service.get(service, 0)
         self._revisions_by_service[service] = max(known, item.mod_revision)
@@ -210,7 +210,7 @@
         )
         context.dispatcher.pump_all(context.clock())
 
-    # Writing.
+    # Writing
 
     async def _step(self) -> None:
         context = self._context
@@ -230,7 +230,7 @@
                 await self._write_status(progress)
 
     def _is_due(self, progress: Progress, step: str, now: float) -> bool:
-        """Return whether it is for this router to take a step now."""
+        """Return whether this router has to take a step now."""
         key = (f"{progress.order.service}/{progress.order.revision}", step)
         since = self._due_since.setdefault(key, now)
         return (
@@ -238,13 +238,13 @@
         )
 
     def _next_record(self, progress: Progress, now: float) -> Record | None:
-        """Return the record as it has to be written; None if it needs no change."""
+        """Return the record to be written; None if it needs no change."""
         rollouts = self._context.rollouts
         order = progress.order
         if progress.record is None:
             former = rollouts.record(order.service)
             if former is not None and former.order_revision > order.revision:
-                # A newer order has been read by others.
+                # Another router has already processed a newer order.
                 return None
             return Record.begun(order, former, self._wall_clock())
         peers = self._context.peers
@@ -265,7 +265,7 @@
         )
 
     async def _write(self, service: str, record: Record) -> None:
-        """Write a record under the condition that nobody has changed it."""
+        """Write a record if it has not been changed since it was read."""
         revision = self._revisions_by_service.get(service, 0)
         result = await self._store_health.track(
             "write-rollout",
@@ -285,14 +285,14 @@
             case Lost() | Unavailable():
                 await self._store_health.back_off(1)
 
-    # Telling operators.
+    # Status for operators
 
     def _needs_status_update(self, progress: Progress) -> bool:
         record = progress.record
         return record is not None and progress.told_number < record.number
 
     async def _write_status(self, progress: Progress) -> None:
-        """Write the status that follows from the record, unless it is there."""
+        """Publish the status that follows from the record, if it has changed."""
         record, service = progress.record, progress.order.service
         key = rollout_status_key(service)
         item = await self._store_health.track(
--- a/libs/direct/src/berylwalk/direct/_shared_reads.py
+++ b/libs/direct/src/berylwalk/direct/_shared_reads.py
@@ -1,14 +1,13 @@
-"""One reading of the store for many routers.
+"""Shares reads of the store between routers.
 
-In a fleet that tells news by failure domain, the first router of each domain that is
-heard reads the store, a little more often than it would for itself. The others ask it
-how fresh its knowledge is and what changed, and make no calls while that is enough. If
-it does not answer, or what it knows grows old, they ask the reader of another domain,
-and if that is old as well, they read the store themselves, as a router alone does.
+In a fleet of several failure domains, the first live router of each domain reads the
+store for all. The others poll it for the age and the changes of its data and make no
+store calls while that is fresh enough. If it does not answer or its data is too old,
+they poll the reader of another domain, and as a last resort read the store themselves.
 
-Nothing is agreed: who reads follows from who is heard, several readers do no harm, and
-every word is dated by the question that it answers, so that a router that was paused,
-cut off or restarted can't make another one believe for longer than its bounds allow.
+There is no election: the reader follows from the set of live peers, and several readers
+do no harm. The age of data is counted from the query that it answers, so a router that
+was paused, partitioned or restarted can't pass off outdated data as fresh.
 """
 
 from collections.abc import Callable, Iterable
@@ -25,39 +24,38 @@
 from berylwalk.reading import PendingAsks, ReadingAsk, ReadingTell
 
 MAX_AGE_S = 1e6
-"""Logged for what was never known."""
+"""Logged for data that was never received."""
 QUERY_INTERVAL_S = 0.4
-"""Time between two questions: a fifth of the age up to which their answers are enough
-in fleets whose bounds are four seconds."""
+"""Interval between two queries."""
 
 
 class ReadMode(StrEnum):
-    """How a router comes to know the store."""
+    """Source of a router's data about the store."""
 
     READER = "reads-for-others"
-    """It reads, and others go by its word."""
+    """Reads the store and answers the queries of other routers."""
 
     STANDALONE = "reads-alone"
-    """It reads for itself: the fleet is small, or the word of others is too old."""
+    """Reads the store for itself: the fleet is small or peer data is too old."""
 
     FOLLOWER = "goes-by-the-word-of-others"
 
 
 GAUGE_VALUE_BY_MODE = {ReadMode.FOLLOWER: 0, ReadMode.STANDALONE: 1, ReadMode.READER: 2}
-"""How metrics show the way."""
+"""Value of the metric for each mode."""
 
 Send = Callable[[bytes, Iterable[Peer]], None]
 
 
 class SharedReads:
-    """Asks and tells what is known of the store.
+    """Queries other routers for data of the store and answers their queries.
 
     Parameters
     ----------
     context : RouterContext
-        The router's state.
+        Shared state of the router.
     store_health : StoreHealth
-        Whether the store answers this router.
+        Tracks whether the store answers this router.
     send : callable
         Sends a message to peers.
     """
@@ -75,27 +73,27 @@
         self._last_source = ""
 
     def add(self, mirror: MirroredPrefix) -> None:
-        """Ask and tell of some items from now on."""
+        """Start sharing a mirror."""
         self._mirrors_by_name[mirror.name] = mirror
 
     def remove(self, mirror: MirroredPrefix) -> None:
-        """Ask and tell of some items no more."""
+        """Stop sharing a mirror."""
         self._mirrors_by_name.pop(mirror.name, None)
 
     def serves_peers(self) -> bool:
-        """Return whether other routers take this one's word."""
+        """Return whether other routers rely on the data of this one."""
         peers = self._context.peers
         is_shared = bool(peers.far_domains())
         return is_shared and peers.is_relay(self._context.clock())
 
     def follows_peers(self) -> bool:
-        """Return whether this router takes the word of others in place of calls."""
+        """Return whether this router uses the data of peers instead of store calls."""
         if not self._context.peers.far_domains():
             return False
         return not self.serves_peers() and self._store_health.accepts_peer_data()
 
     async def run(self) -> None:
-        """Ask for ever."""
+        """Send queries forever."""
         while True:
             await sleep(QUERY_INTERVAL_S)
             self._update_mode()
@@ -104,7 +102,7 @@
 
     @property
     def mode(self) -> ReadMode:
-        """How this router comes to know the store now."""
+        """Source of this router's data at present."""
         if self.serves_peers():
             return ReadMode.READER
         return (
@@ -147,7 +145,7 @@
         return all(mirror.is_fresh for mirror in self._mirrors_by_name.values())
 
     def _remote_reader(self, far_domains: list[str], now: float) -> list[Peer]:
-        """Return the reader of another failure domain, another one each time."""
+        """Return the reader of another failure domain; a different domain each time."""
         turn = next(self._remote_turns) % len(far_domains)
         reader = self._context.peers.relay_of(far_domains[turn], now)
         return [] if reader is None else [reader]
@@ -164,7 +162,7 @@
         self._send(msgpack.encode(ask), [peer])
 
     def handle_query(self, ask: ReadingAsk) -> None:
-        """Answer with what is known here."""
+        """Answer a query with the data of the own mirrors."""
         words = [
             self._mirrors_by_name[name].word(since)
             for name, since in ask.revisions.items()
@@ -179,7 +177,7 @@
         self._send(msgpack.encode(tell), [asker])
 
     def handle_reply(self, tell: ReadingTell) -> None:
-        """Take what another router knows."""
+        """Apply the data of another router."""
         asked_at = self._pending.answer(tell.number, tell.sender)
         if asked_at is None or not self._store_health.accepts_peer_data():
             return
--- a/libs/direct/src/berylwalk/direct/_speed_store.py
+++ b/libs/direct/src/berylwalk/direct/_speed_store.py
@@ -1,8 +1,7 @@
-"""A note of learned speeds that a restart of all routers does not lose.
+"""Persists the learned speeds of targets so that they survive a restart of all routers.
 
-Load pattern: all routers are killed at once, and what waited comes back in the same
-second. Without the note, the first seconds spread long prompts and long answers over
-engines whose speeds differ several times, as if they were alike.
+Without them, the first requests after a restart would be spread evenly over targets
+whose speeds differ several times.
 """
 
 from math import isfinite
@@ -17,20 +16,20 @@
 
 SNAPSHOT_KEY = b"berylwalk/speeds"
 WRITE_INTERVAL_S = 4.0
-"""Time between two notes. Speeds change seldom, and each call is paid for."""
+"""Interval between two snapshots."""
 DECIMALS = 5
-"""Decimals of the times that are noted, in seconds."""
+"""Decimal places of stored times, in seconds."""
 
 
 class Speeds(Struct):
-    """What is noted.
+    """Content of a snapshot.
 
     Parameters
     ----------
     targets : dict
-        Speeds by the life of a target.
+        Speeds by incarnation id of the target.
     start_models : dict
-        Coefficients of start models by service.
+        Coefficients of the first event models by service.
     """
 
     targets: dict[str, TargetSpeed]
@@ -38,18 +37,18 @@
 
 
 class SpeedStore:
-    """Reads the note of an earlier life once, then writes it now and then.
+    """Loads the snapshot at the start, then writes it periodically.
 
-    Only one router writes.
+    Only the leader writes.
 
     Parameters
     ----------
     context : RouterContext
-        The router's state.
+        Shared state of the router.
     store : KeyValueClient
-        The platform's store.
+        Client of the platform's store.
     store_health : StoreHealth
-        Paces calls of it that failed.
+        Tracks the results of store calls.
     """
 
     def __init__(
@@ -61,7 +60,7 @@
         self._last_written: Speeds | None = None
 
     async def run(self) -> None:
-        """Read once, then write for ever."""
+        """Load the snapshot, then write it forever."""
         failures = 0
         while isinstance(snapshot := await self._read(), Unavailable):
             failures += 1
--- a/libs/direct/src/berylwalk/direct/_spending_store.py
+++ b/libs/direct/src/berylwalk/direct/_spending_store.py
@@ -1,4 +1,4 @@
-"""A note of large spending that a restart of all routers does not lose."""
+"""Persists high spending so that it survives a restart of all routers."""
 
 from typing import Annotated
 
@@ -12,33 +12,31 @@
 
 SNAPSHOT_KEY = b"berylwalk/spending"
 SNAPSHOT_LEASE_S = 14.0
-"""Time for which a note is kept: longer than the window that allowances are judged
-by and than a restart takes."""
+"""Time to live of a snapshot: longer than the quota window and a restart."""
 WRITE_INTERVAL_S = 0.5
-"""Time between two notes while some account spends much. Its sum may stay while
-what makes it up changes, so that no note serves for longer."""
+"""Interval between snapshots while an account's spending is high; written even if the
+sum stays the same, since its distribution over the window changes."""
 MAX_UNITS = 1e12
-"""Bound of what is believed of one noted sum: more than any account may spend."""
+"""Upper bound of a plausible sum in a snapshot."""
 SNAPSHOT_TYPE = dict[str, list[Annotated[float, Meta(ge=0, le=MAX_UNITS)]]]
-"""Units by account and part of the window, the latest first."""
+"""Units by account and time bin of the window, newest first."""
 LEASE_RENEW_INTERVAL_S = 4.0
-"""Time between renewals: what is left then still is longer than the window."""
+"""Interval between renewals of the lease; the remaining lease outlasts the window."""
 
 
 class SpendingStore:
-    """Reads the note of an earlier life once, then writes it as needed.
+    """Loads the snapshot at the start, then writes it while spending is high.
 
-    Only one router writes, and only while some account has spent much: usual
-    spending causes no call of the store.
+    Only the leader writes, and only while the spending of some account is high.
 
     Parameters
     ----------
     context : RouterContext
-        The router's state.
+        Shared state of the router.
     store : KeyValueClient
-        The platform's store.
+        Client of the platform's store.
     store_health : StoreHealth
-        Paces calls of it that failed.
+        Tracks the results of store calls.
     """
 
     def __init__(
@@ -51,7 +49,7 @@
         self._renewed_at = float("-inf")
 
     async def run(self) -> None:
-        """Read the note of an earlier life once, then write it as needed."""
+        """Load the snapshot, then write it as needed."""
         failures = 0
         while isinstance(snapshot := await self._read(), Unavailable):
             failures += 1
@@ -95,7 +93,7 @@
             self._lease_id = None
 
     async def _ensure_lease(self) -> bool:
-        """Keep the lease of the note: renewing it costs a tenth of a new one."""
+        """Renew the lease, or acquire a new one; return whether there is one."""
         now = self._context.clock()
         if self._lease_id is not None:
             if now - self._renewed_at < LEASE_RENEW_INTERVAL_S:
--- a/libs/direct/src/berylwalk/direct/_statement_aggregate.py
+++ b/libs/direct/src/berylwalk/direct/_statement_aggregate.py
@@ -1,4 +1,4 @@
-"""What a relay tells the other failure domains of targets."""
+"""Aggregates the flow control signals of a failure domain for other domains."""
 
 from msgspec.structs import replace
 
@@ -7,20 +7,20 @@
 
 
 class StatementAggregate:
-    """What the routers of the own failure domain said of targets, as last heard."""
+    """Latest signals that each router of the own failure domain sent."""
 
     def __init__(self) -> None:
         self._received_by_router: dict[str, tuple[float, list[StatementUpdate]]] = {}
 
     def note(self, router: str, news: list[StatementUpdate], now: float) -> None:
-        """Take what a router nearby told, in place of what it told before."""
+        """Replace the signals received from a direct peer."""
         if news:
             self._received_by_router[router] = (now, news)
         else:
             self._received_by_router.pop(router, None)
 
     def merged(self, own: list[StatementUpdate], now: float) -> list[StatementUpdate]:
-        """Return what was said of each target: its limit by the newest, as of now."""
+        """Return the signals of each target, with the newest limit and its age."""
         merged = {each.life_id: each for each in own}
         for router, (heard_at, news) in list(self._received_by_router.items()):
             if now - heard_at > NEWS_KEPT_S:
@@ -43,7 +43,7 @@
 
 
 def _merge(one: StatementUpdate, other: StatementUpdate) -> StatementUpdate:
-    """Return the newer word on the limit, and that it leaves if either says so."""
+    """Return the newer limit; the target is leaving if either says so."""
     ages = [
         float("inf") if each.limit_age_s is None else each.limit_age_s
         for each in (one, other)
--- a/libs/direct/src/berylwalk/direct/_statements.py
+++ b/libs/direct/src/berylwalk/direct/_statements.py
@@ -1,7 +1,7 @@
-"""What targets state of themselves: taken from answers, shared between routers.
+"""Flow control signals of targets: taken from responses and shared between routers.
 
-Each router tells what its own answers said and how long ago. What it heard of others it
-doesn't tell on: an observation that goes round would never grow old.
+Each router sends only the signals of its own responses, with their age. Forwarding
+those of other routers would keep outdated signals circulating.
 """
 
 from collections.abc import Iterable
@@ -19,27 +19,28 @@
 )
 
 MAX_STATEMENTS = 64
-"""Statements in one message at most, a few kilobytes; of more, others in each turn."""
+"""Largest number of signals in one message; further ones follow in turn."""
 MAX_RELAYED_STATEMENTS = 256
-"""The same in a message of a relay."""
+"""Largest number of signals in a message of a relay."""
 ROTATION_INTERVAL_S = 0.25
-"""Time after which others are told where there are too many for one message."""
+"""Interval after which the next signals are sent if there are too many for one
+message."""
 
 
 class StatementUpdate(Struct, array_like=True):
-    """What the answers of one target said to one router.
+    """Signals of one target in the responses that one router received.
 
     Parameters
     ----------
     life_id : str
-        The life of the target.
+        Incarnation id of the target.
     limit_age_s : float or None
-        How long ago they said something of a limit, in seconds; None if they never did.
+        Age of the last signal about a rate limit, in seconds; None if there was none.
     limit_per_s : float or None
-        Requests a second that it takes of all routers; None if it names no limit
-        any more.
+        Rate limit over all routers, in requests per second; None if the target no
+        longer advertises one.
     is_leaving : bool
-        Whether it leaves.
+        Whether the target is leaving.
     """
 
     life_id: Annotated[str, Meta(max_length=200)]
@@ -49,14 +50,14 @@
 
     @property
     def content(self) -> tuple[str, float | None, bool]:
-        """What it says, its age left out."""
+        """The signals without their age, for comparison."""
         return self.life_id, self.limit_per_s, self.is_leaving
 
 
 def apply_statement(
     context: RouterContext, target: Target, statement: TargetStatement, sent_at: float
 ) -> None:
-    """Take what an answer states of a target; the other routers are told soon."""
+    """Apply the signals of a response; other routers are notified of changes."""
     now = context.clock()
     changed = target.needs.note_answer(statement, sent_at=sent_at, now=now)
     _on_needs_changed(context, target, changed, source="target")
@@ -67,7 +68,7 @@
 def merge_statements(
     context: RouterContext, news: Iterable[StatementUpdate], source: str
 ) -> None:
-    """Take what another router told of targets."""
+    """Apply the signals that another router received."""
     now = context.clock()
     for each in news:
         target = context.targets.by_life_id.get(each.life_id)
@@ -83,7 +84,7 @@
 
 
 def own_statements(context: RouterContext) -> list[StatementUpdate]:
-    """Return what own answers said lately, to be told."""
+    """Return the recent signals of own responses, to be sent to other routers."""
     now = context.clock()
     told = []
     for target in context.targets.in_need():
@@ -101,7 +102,7 @@
 
 
 def rotate(news: list[StatementUpdate], most: int, now: float) -> list[StatementUpdate]:
-    """Return as many as go into one message, others each time."""
+    """Return the part of the updates that goes into the next message."""
     if len(news) <= most:
         return news
     begin = int(now / ROTATION_INTERVAL_S) * most % len(news)
@@ -109,7 +110,7 @@
 
 
 def update_limit_shares(context: RouterContext) -> None:
-    """Give each limit the part of it that is for this router."""
+    """Update this router's share of each advertised rate limit."""
     now = context.clock()
     for target in context.targets.in_need():
         _update_limit_share(context, target, now)
--- a/libs/direct/src/berylwalk/direct/_store_health.py
+++ b/libs/direct/src/berylwalk/direct/_store_health.py
@@ -1,4 +1,4 @@
-"""Whether the platform's store answers, as all its users in one router see it."""
+"""Tracks whether the platform's store answers, across all its users in one router."""
 
 from collections.abc import Awaitable
 from typing import TypeVar
@@ -9,7 +9,7 @@
 from berylwalk.platform import Lost, Unavailable, UnavailableReason, backoff_s
 
 CALL_TIMEOUT_S = 0.9
-"""Bound of one call of the store: four times its answers when it is slow."""
+"""Timeout of a store call."""
 
 ANSWERED_REASONS = frozenset(
     {
@@ -18,46 +18,42 @@
         UnavailableReason.HISTORY_GONE,
     }
 )
-"""Failures by which the store shows that it is there."""
+"""Reasons of failures that still prove that the store is reachable."""
 FIRST_BACKOFF_S = 0.15
-"""Bound of the first pause after a failed call."""
+"""Upper bound of the first delay after a failed call."""
 MAX_PROBE_BACKOFF_S = 0.6
-"""Bound of the pause of the one user that finds out when the store is back: with a
-read that takes long, a changed configuration is still in force within its bound."""
+"""Upper bound of the retry delay of the user that detects the recovery of the store."""
 MAX_BACKOFF_S = 3.0
-"""The same for all others, which are woken when it is back. Calls that fail are paid
-for as well."""
+"""Upper bound of the retry delay of other users, which are woken on recovery."""
 MIN_OUTAGE_S = 1.0
-"""Time that the store has to be away for entries to lapse. What is removed in a
-shorter gap, such as that of a watch that was cut, has left."""
+"""Shortest outage in which entries may lapse. An entry that is removed in a shorter one
+has been deleted by its owner."""
 MAX_ANSWER_GAP_S = 2.2
-"""Time between two answers of a store that is well at most: its configuration is read
-each 1.9 s."""
+"""Longest time between two answers of a healthy store."""
 HARMLESS_MISSED_RENEWALS = 2
-"""Intervals between an entry's renewals that it outlasts in any case: it lapses after
-three without one, and the first may be due as an outage begins."""
+"""Renewals that an entry can miss without lapsing."""
 HARMLESS_GAP_MARGIN_S = 0.2
-"""Margin of that, for the way of the last renewal and of the first answer."""
+"""Margin for the latencies of the last renewal and of the first answer."""
 PEER_HEALTH_TTL_S = 1.0
-"""Time for which the word of another router on the store counts."""
+"""How long the store health reported by a peer is valid."""
 LAPSE_RETURN_MARGIN_S = 0.6
-"""Time after the bound of their return for which lapsed entries are looked for."""
+"""How much longer than their grace period lapsed entries are expected to return."""
 
 Result = TypeVar("Result")
 
 
 class StoreHealth:
-    """Notes how calls end and paces those that are made again.
+    """Tracks the results of store calls and delays retries.
 
     Parameters
     ----------
     context : RouterContext
-        The router's state.
+        Shared state of the router.
 
     Attributes
     ----------
     unreachable_since : float or None
-        Since when calls fail; None while they succeed.
+        Since when calls have failed; None while they succeed.
     healthy_since : float
         Since when answers have come without a gap in which entries could lapse.
     """
@@ -80,21 +76,21 @@
     async def track(
         self, purpose: str, call: Awaitable[Result], *, held_s: float = 0.0
     ) -> Result:
-        """Make a call and note how it ended.
+        """Await a call and record its result.
 
         Parameters
         ----------
         purpose : str
-            What the call is for, as metrics and logs name it.
+            Purpose of the call, for metrics and logs.
         call : awaitable
             The call of the store's client.
         held_s : float
-            Time for which the store may hold it back, in seconds.
+            How long the store may hold the call, in seconds.
 
         Returns
         -------
         object
-            What the client returned.
+            Result of the client.
         """
         asked_at = self._context.clock()
         result = await call
@@ -104,18 +100,18 @@
     def record_result(
         self, purpose: str, result: object, asked_at: float, *, held_s: float = 0.0
     ) -> None:
-        """Note how a call ended.
+        """Record the result of a call.
 
         Parameters
         ----------
         purpose : str
-            What the call was for, as metrics and logs name it.
+            Purpose of the call, for metrics and logs.
         result : object
-            What the client returned.
+            Result of the client.
         asked_at : float
             When the call was made.
         held_s : float
-            Time for which the store might hold it back, in seconds.
+            How long the store may have held the call, in seconds.
         """
         context = self._context
         failed = _is_failure(result)
@@ -129,7 +125,7 @@
                 asked_ms_ago=round((now - asked_at) * 1000),
                 detail=result.detail,
             )
-            # A call that was due before another was answered tells nothing new.
+            # A call that was due before a later answer says nothing new.
             if (
                 self.unreachable_since is None
                 and asked_at + held_s >= self._answered_at
@@ -143,27 +139,27 @@
         if gap_s >= self._harmless_gap_s:
             self.healthy_since = now
         unreachable_s = self._record_recovery(purpose, now)
-        # Without an answer before there is no gap: the router has just started.
+        # The first answer after the start of the router does not end a gap.
         is_outage = self._outage_gap_s <= gap_s < float("inf")
         if is_outage or unreachable_s >= MIN_OUTAGE_S:
             self._expect_lapses(now, answered_before_at)
 
     def healthy_s(self, now: float) -> float:
-        """Return for how long the store has been well, in seconds."""
+        """Return how long the store has been healthy, in seconds."""
         if now - self._answered_at >= self._harmless_gap_s:
             return 0.0
         return now - self.healthy_since
 
     def update_peer_health(self, healthy_s: float) -> None:
-        """Take for how long the store has been well for another router.
+        """Update how long the store has been healthy for a peer.
 
-        If that is since before an outage here, this router was cut off, and the
-        entries did not lapse: what is removed has left.
+        If that is since before an outage here, only this router was cut off. Then
+        entries did not lapse, and removed ones were deleted by their owners.
 
         Parameters
         ----------
         healthy_s : float
-            As from `healthy_s` there, in seconds.
+            Result of `healthy_s` of the peer, in seconds.
         """
         now = self._context.clock()
         healthy_since = now - healthy_s
@@ -175,24 +171,24 @@
             self._context.targets.note_no_lapse(now)
 
     def record_peer_answer(self, known_at: float) -> None:
-        """Note that the store answered another router at some moment.
+        """Record that the store answered a peer.
 
-        A router that goes by the word of others calls it seldom itself: the time
-        between its own calls is no outage.
+        A router that uses the data of peers rarely calls the store itself; the time
+        between its own calls is not an outage.
 
         Parameters
         ----------
         known_at : float
-            A moment before that answer, on the own clock.
+            A time before that answer, on the own clock.
         """
         self._peer_answered_at = max(self._peer_answered_at, known_at)
 
     def accepts_peer_data(self) -> bool:
-        """Return whether what others say of the store can be taken for its state.
+        """Return whether the data of peers reflects the state of the store.
 
-        After an outage of the store, removed entries may be such that lapsed, and
-        every router has to see by itself when that is over. A router that the store
-        has turned away alone goes by the word of the others.
+        After an outage of the store, removed entries may have lapsed, and every router
+        has to check by itself when they have returned. After an outage of this router's
+        connection alone, the data of peers is valid.
         """
         now = self._context.clock()
         if self.unreachable_since is not None:
@@ -201,18 +197,18 @@
         return is_over or self._was_isolated(now)
 
     def entries_may_return(self, within_s: float) -> bool:
-        """Return whether entries that lapsed in an outage may still come back.
+        """Return whether entries that lapsed in an outage may still return.
 
         Parameters
         ----------
         within_s : float
-            Time after an outage within which they do, in seconds.
+            Time after an outage within which they return, in seconds.
         """
         since_s = self._context.clock() - self._lapses_expected_since
         return since_s < within_s + LAPSE_RETURN_MARGIN_S
 
     def _record_recovery(self, purpose: str, now: float) -> float:
-        """Note an answer; returns for how long calls had failed, in seconds."""
+        """Record an answer; return how long calls had failed, in seconds."""
         if self.unreachable_since is None:
             return 0.0
         unreachable_s = now - self.unreachable_since
@@ -225,30 +221,30 @@
         return unreachable_s
 
     def _expect_lapses(self, now: float, answered_before_at: float) -> None:
-        """Take removals for lapses for a while, unless this router was cut off."""
+        """Treat removals as lapses for a while, unless the router was isolated."""
         self._lapses_expected_since = now
         self._answered_before_outage_at = answered_before_at
         if not self._was_isolated(now):
             self._context.targets.note_outage_ended(now)
 
     def _was_isolated(self, now: float) -> bool:
-        """Return whether the store was well elsewhere during the last outage here."""
+        """Return whether the store was healthy for a peer during the last outage."""
         return self._is_healthy_for_peer(now, since=self._answered_before_outage_at)
 
     def _is_healthy_for_peer(self, now: float, *, since: float) -> bool:
-        """Return whether the store has been well for another router since a moment."""
+        """Return whether the store has been healthy for a peer since a time."""
         is_recent = now - self._peer_health_at <= PEER_HEALTH_TTL_S
         return is_recent and self._peer_healthy_since < since
 
     async def back_off(self, failures: int, *, is_probe: bool = False) -> None:
-        """Wait before a call that failed is made again.
+        """Wait before a failed call is retried.
 
         Parameters
         ----------
         failures : int
-            Failures of this user in a row, from 1.
+            Consecutive failures of this user, from 1.
         is_probe : bool
-            Whether this is the user that finds out when the store is back.
+            Whether this user detects the recovery of the store.
         """
         longest_s = MAX_PROBE_BACKOFF_S if is_probe else MAX_BACKOFF_S
         pause_s = backoff_s(failures, first_s=FIRST_BACKOFF_S, largest_s=longest_s)
@@ -257,7 +253,7 @@
 
 
 def _is_failure(result: object) -> bool:
-    """Return whether the store did not answer a call, as far as can be told."""
+    """Return whether the store may not have answered a call."""
     if isinstance(result, Unavailable):
         return result.reason not in ANSWERED_REASONS
     return isinstance(result, Lost)
--- a/libs/direct/src/berylwalk/direct/_suspension_detector.py
+++ b/libs/direct/src/berylwalk/direct/_suspension_detector.py
@@ -1,27 +1,26 @@
-"""Notices that the VM was suspended."""
+"""Detects suspensions of the VM."""
 
 import time
 from collections.abc import Callable
 
 MIN_SUSPENSION_S = 0.05
-"""Shorter differences of the clocks are no suspension: they are read one after the
-other."""
+"""Shorter differences come from reading the two clocks one after the other."""
 
 
 class SuspensionDetector:
-    """Compares a clock that counts suspension with one that does not.
+    """Compares a clock that includes suspensions with one that does not.
 
     Parameters
     ----------
     clock : callable
-        Goes on while the VM is suspended, in seconds.
+        Time including suspensions, in seconds.
     monotonic : callable
-        Stands still meanwhile.
+        Time excluding suspensions, in seconds.
 
     Attributes
     ----------
     total_s : float
-        Time of all suspensions that were noticed, in seconds.
+        Total duration of the detected suspensions, in seconds.
     """
 
     def __init__(
@@ -36,7 +35,7 @@
         self.total_s = 0.0
 
     def poll(self) -> float:
-        """Return the time of a suspension since the last look, in seconds, or 0."""
+        """Return the duration of a suspension since the last call, in seconds, or 0."""
         offset_s = self._clock() - self._monotonic()
         suspended_s = offset_s - self._offset_s
         if suspended_s < MIN_SUSPENSION_S:
--- a/libs/direct/src/berylwalk/direct/_target_feed.py
+++ b/libs/direct/src/berylwalk/direct/_target_feed.py
@@ -1,4 +1,4 @@
-"""Keeps the list of targets up to date with the platform's store."""
+"""Synchronizes the table of targets with the platform's store."""
 
 from berylwalk.direct._context import RouterContext
 from berylwalk.direct._invalid_items import InvalidItemLog
@@ -24,35 +24,35 @@
 )
 
 LIST_INTERVAL_AFTER_OUTAGE_S = 0.6
-"""Time between lists while entries that lapsed in an outage may come back."""
+"""Interval between lists while entries that lapsed in an outage may return."""
 CHANGE_BATCH_S = 0.2
-"""Time for which changes gather at the store before they are asked for again: a
-replaced target makes several in a row, and each answer is paid for."""
+"""How long changes are batched at the store between watch calls: a replaced target
+writes several in a row, and each response is billed."""
 ROUNDING_TOLERANCE_S = 1e-6
 MISSING_START_DETAIL = "the target has told when it started, and this entry does not"
 
 
 class TargetFeed:
-    """Mirrors the entries of targets into the table of targets.
+    """Mirrors the target entries in the store to the table of targets.
 
-    A target that leaves must get no request some time after the store has its word,
-    so that what is known of the entries is never older than that.
+    A target that is draining must get no requests after a bounded time, so entries
+    older than that bound are not used.
 
     Parameters
     ----------
     context : RouterContext
-        The router's state.
+        Shared state of the router.
     store : KeyValueClient
-        The platform's store.
+        Client of the platform's store.
     store_health : StoreHealth
-        Notes how calls end.
+        Tracks the results of store calls.
     role : ReadRole
-        Whether this router reads the store for itself only.
+        Whether this router shares store reads with its peers.
 
     Attributes
     ----------
     mirror : MirroredPrefix
-        What is known of the entries.
+        The mirrored entries.
     """
 
     def __init__(
@@ -88,12 +88,12 @@
         )
 
     async def run(self) -> None:
-        """List and watch for ever."""
+        """List and watch forever."""
         self._log_short_bound()
         await self.mirror.run()
 
     def _log_short_bound(self) -> None:
-        """Tell operators of a bound that can't be kept when an answer is lost."""
+        """Log a staleness bound that can't be kept if a watch response is lost."""
         bound_s = self._context.settings.drain_s
         may_be_s = max_age_s(bound_s, CHANGE_BATCH_S)
         if may_be_s > bound_s + ROUNDING_TOLERANCE_S:
@@ -152,7 +152,7 @@
             self._on_target_removed(target_id, "removed", item.mod_revision)
 
     def _decode_usable(self, item: KeyValue) -> TargetEntry | None:
-        """Return the entry if it names a target; one that does not ends its use."""
+        """Decode an entry; an invalid one removes its target and yields None."""
         entry = decode_target(item)
         if isinstance(entry, TargetEntry):
             versions = self._context.rollouts.versions
@@ -172,15 +172,15 @@
         return None
 
     def _is_missing_start(self, entry: TargetEntry) -> bool:
-        """Return whether an entry misses the start that its target has told before."""
+        """Return whether an entry lacks a start time that was reported before."""
         known = self._context.targets.by_id.get(entry.target_id)
         has_told = known is not None and known.entry.started_ms is not None
         return has_told and entry.started_ms is None
 
     def _check_service(self, entry: TargetEntry) -> None:
-        """Tell of an entry whose service no configuration names: it gets no work.
+        """Report an entry whose service is not configured.
 
-        It is kept, since the next version may name the service.
+        The target is kept because the next configuration may add the service.
         """
         current = self._context.configuration.current
         if current is not None and entry.service not in current.services_by_name:
--- a/libs/direct/src/berylwalk/direct/_version_observer.py
+++ b/libs/direct/src/berylwalk/direct/_version_observer.py
@@ -1,8 +1,7 @@
-"""What the answer of one send says of the version of its target.
+"""Classifies responses of targets to judge versions during a roll-out.
 
-Load pattern: routes whose prompts differ a hundredfold, at targets whose speeds differ
-several times and that are busy. An answer is slow against what the service's targets
-take for such a request behind the same prompts, not against others of its version.
+Response times are compared with the usual times of the service's other targets for the
+same kind of request, since prompts and the speeds of targets vary widely.
 """
 
 from collections.abc import Sequence
@@ -14,26 +13,27 @@
 from berylwalk.rollout import AnswerKind
 
 SLOW_FACTOR = 3.5
-"""Times as long as is typical from which an answer is slow: targets of one version
-differ less in most answers, and a bad version's are several times later."""
+"""Multiple of the usual time from which a response is slow."""
 SLOW_MARGIN_S = 0.05
-"""Time above what is typical from which an answer is slow, in seconds."""
+"""Time above that multiple from which a response is slow, in seconds."""
 FAILED_ENDS = (AttemptEnd.FAILED, AttemptEnd.BROKEN, AttemptEnd.SILENT)
 
 
 class VersionObserver:
-    """Notes one send to a service that is under a roll-out; made when it begins.
+    """Observes one attempt at a service that is being rolled out.
+
+    Created when the attempt starts.
 
     Parameters
     ----------
     context : RouterContext
-        The router's state.
+        Shared state of the router.
     admitted : Admitted
         The request.
     target : Target
-        Where it is sent.
+        Target of the attempt.
     start : ExpectedStart
-        When its first event is expected there.
+        Estimate of the time to the first event.
     """
 
     def __init__(
@@ -68,7 +68,7 @@
     def _typical_start_s(
         self, others: Sequence[Target], start: ExpectedStart
     ) -> float | None:
-        """Return what a first event, or a plain answer, takes; None if unknown."""
+        """Return the usual time to a first event or full response, or None."""
         if self._admitted.facts.work.prompt_tokens:
             model = self._target.start_model
             reading_s = model.reading_s(
@@ -79,16 +79,16 @@
         return sum(known) / len(known) + start.slot_wait_s if known else None
 
     def record(self, attempt: Attempt, elapsed_s: float, tokens_per_event: int) -> None:
-        """Count the answer.
+        """Count the response.
 
         Parameters
         ----------
         attempt : Attempt
-            How the send ended.
+            The attempt, which has ended.
         elapsed_s : float
-            Time since the send, in seconds.
+            Time since it was sent, in seconds.
         tokens_per_event : int
-            Output tokens in an event of a stream.
+            Output tokens per event of a stream.
         """
         rollouts, service = self._context.rollouts, self._admitted.service
         kind = self._classify(attempt, elapsed_s, tokens_per_event)
@@ -103,20 +103,20 @@
         self._count(kind)
 
     def check_progress(self, attempt: Attempt, elapsed_s: float) -> None:
-        """Count an answer as slow as soon as it is: its end may be seconds away.
+        """Count a response as slow as soon as it is late, before the attempt ends.
 
         Parameters
         ----------
         attempt : Attempt
-            The send, which goes on.
+            The attempt, which is running.
         elapsed_s : float
-            Time since the send, in seconds.
+            Time since it was sent, in seconds.
         """
         if attempt.first_event_at is None and self._is_late(elapsed_s):
             self._count(AnswerKind.SLOW)
 
     def _count(self, kind: AnswerKind) -> None:
-        """Count the answer, once."""
+        """Count the response once."""
         if self._is_counted:
             return
         self._is_counted = True
@@ -126,7 +126,7 @@
     def _classify(
         self, attempt: Attempt, elapsed_s: float, tokens_per_event: int
     ) -> AnswerKind | None:
-        """Return what it says of the version; None if nothing."""
+        """Return the class of the response; None if it is not conclusive."""
         if attempt.end in FAILED_ENDS:
             return AnswerKind.FAILED
         if attempt.end is AttemptEnd.ANSWERED:
