--- a/libs/direct/src/berylwalk/direct/_peer_messages.py
+++ b/libs/direct/src/berylwalk/direct/_peer_messages.py
@@ -14,7 +14,7 @@
 """Requests in flight and waiting prompt tokens, by incarnation id of the target."""
 
 Reads = list[tuple[int, str]]
-"""Hashes of prompt prefixes with the incarnation ids of the targets they were sent to."""
+"""Hashes of prompt prefixes with the target incarnations they were sent to."""
 
 
 class MemberEntry(Struct):
