--- a/libs/direct/src/berylwalk/direct/_admission.py
+++ b/libs/direct/src/berylwalk/direct/_admission.py
@@ -6,8 +6,8 @@
 from berylwalk.direct._context import RouterContext
 from berylwalk.dispatch import Account, AllowanceState, Allowed, Denied, Route
 from berylwalk.forwarding import CallerRequest
-from berylwalk.platform import BadHeaders, CallFacts, read_call
-from berylwalk.quarantine import Identity, Standing, request_identity
+from berylwalk.platform import InvalidHeaders, RequestHeaders, parse_request_headers
+from berylwalk.quarantine import Identity, QuarantineStatus, request_identity
 
 TIMEOUT_MARGIN_S = 0.03
 """How long before a caller's own deadline the response is due."""
@@ -25,7 +25,7 @@
     ----------
     request : CallerRequest
         The request as the caller sent it.
-    facts : CallFacts
+    facts : RequestHeaders
         Its parsed headers.
     route : Route
         The route that it matched.
@@ -48,7 +48,7 @@
     """
 
     request: CallerRequest
-    facts: CallFacts
+    facts: RequestHeaders
     route: Route
     account: Account | None
     rank: tuple[int, int]
@@ -122,20 +122,20 @@
 
 def admit(context: RouterContext, request: CallerRequest) -> Admitted | Refusal:
     """Admit or reject a request; an admitted one is charged to its account."""
-    facts = read_call(request.headers)
-    if isinstance(facts, BadHeaders):
+    facts = parse_request_headers(request.headers)
+    if isinstance(facts, InvalidHeaders):
         return Refusal(400, f"bad-headers: {facts.detail}", None, b"")
     now = context.clock()
     path = request.target.decode("latin-1")
-    access = context.configuration.check(facts.host, path, facts.key, now)
+    access = context.configuration.check(facts.host, path, facts.api_key, now)
     if isinstance(access, Denied):
         retry_after_s = RETRY_AFTER_UNREADY_S if access.status == 503 else None
         return Refusal(access.status, access.reason, retry_after_s, facts.request_id)
     admitted = _admitted(request, facts, access)
-    match context.quarantine.standing(admitted.identity, context.clock()):
-        case Standing.BLAMED:
+    match context.quarantine.status(admitted.identity, context.clock()):
+        case QuarantineStatus.BLAMED:
             return quarantine_refusal(context, admitted)
-        case Standing.TRIAL:
+        case QuarantineStatus.TRIAL:
             admitted = replace(admitted, is_trial=True)
     if admitted.account is None:
         return admitted
@@ -165,7 +165,9 @@
     )
 
 
-def _admitted(request: CallerRequest, facts: CallFacts, access: Allowed) -> Admitted:
+def _admitted(
+    request: CallerRequest, facts: RequestHeaders, access: Allowed
+) -> Admitted:
     route = access.route
     limit_s = route.timeout_s
     if facts.time_limit_s is not None:
@@ -188,9 +190,9 @@
     )
 
 
-def _cost(account: Account | None, facts: CallFacts) -> float:
+def _cost(account: Account | None, facts: RequestHeaders) -> float:
     if account is None:
         return 0.0
     if not account.counts_tokens:
         return 1.0
-    return float(facts.tokens or account.plain_cost)
+    return float(facts.total_tokens or account.plain_cost)
--- a/libs/direct/src/berylwalk/direct/_attempt_feedback.py
+++ b/libs/direct/src/berylwalk/direct/_attempt_feedback.py
@@ -41,7 +41,7 @@
         """Record that the target was alive when the attempt started."""
         context = self._context
         life_id = target.entry.life_id
-        context.quarantine.note_alive(life_id, self._started_at, context.clock())
+        context.quarantine.record_alive(life_id, self._started_at, context.clock())
 
     def elapsed_s(self, since: float) -> float:
         """Return the seconds since a time, excluding suspensions of the VM."""
@@ -85,11 +85,11 @@
         quarantine, now = self._context.quarantine, self._context.clock()
         identity = self._admitted.identity
         if attempt.target_ended and self._was_active(target):
-            if quarantine.note_ended(identity, target.entry.life_id, now):
+            if quarantine.record_crash(identity, target.entry.life_id, now):
                 self._log.log_target_ended(self._admitted, target)
         elif attempt.end in (AttemptEnd.ANSWERED, AttemptEnd.FAILED):
             self.record_alive(target)
-            if quarantine.note_answered(identity, now):
+            if quarantine.record_success(identity, now):
                 self._log.log_cleared(self._admitted, target)
 
     def _was_active(self, target: Target) -> bool:
--- a/libs/direct/src/berylwalk/direct/_attempt_runner.py
+++ b/libs/direct/src/berylwalk/direct/_attempt_runner.py
@@ -25,7 +25,7 @@
     expected_start,
 )
 from berylwalk.forwarding import TargetConnection, end_to_end, request_head
-from berylwalk.platform import for_target, resuming_after
+from berylwalk.platform import headers_for_target, headers_to_resume
 
 PROGRESS_CHECK_INTERVAL_S = 0.25
 """How often an attempt without progress is checked."""
@@ -139,7 +139,7 @@
         """Observe the attempt if a version of the service is being rolled out."""
         context, admitted = self._context, self._admitted
         self._version_observer = None
-        if context.rollouts.is_watched(admitted.service):
+        if context.rollouts.is_in_progress(admitted.service):
             self._version_observer = VersionObserver(context, admitted, target, start)
 
     def _is_still_allowed(self, target: Target) -> bool:
@@ -150,8 +150,8 @@
             return False
         # The request may have been quarantined in the meantime.
         quarantine, now = self._context.quarantine, self._context.clock()
-        standing = quarantine.standing(self._admitted.identity, now)
-        if standing.is_held_back and not self._admitted.is_trial:
+        standing = quarantine.status(self._admitted.identity, now)
+        if standing.is_blocked and not self._admitted.is_trial:
             return False
         # The target may have announced in the meantime that it is leaving or wants no
         # requests for a while.
@@ -205,12 +205,12 @@
         request = self._admitted.request
         headers = end_to_end(request.headers)
         if self._response_writer.last_event_id > self._admitted.facts.last_event_id:
-            headers = resuming_after(headers, self._response_writer.last_event_id)
-        headers = for_target(
+            headers = headers_to_resume(headers, self._response_writer.last_event_id)
+        headers = headers_for_target(
             headers,
             target_id=target.entry.target_id,
             account=self._admitted.account_name,
-            left_s=self._admitted.ends_at - self._context.clock(),
+            remaining_s=self._admitted.ends_at - self._context.clock(),
         )
         if request.body or request.method not in (b"GET", b"HEAD"):
             headers.append((b"Content-Length", b"%d" % len(request.body)))
@@ -235,7 +235,7 @@
     ) -> None:
         self._response_writer.set_on_writable(None)
         if attempt.end in REUSABLE_ENDS:
-            self._context.pool.give_back(target.entry.life_id, connection)
+            self._context.pool.release(target.entry.life_id, connection)
         else:
             # Closing the connection makes the target stop processing the request.
             connection.close()
--- a/libs/direct/src/berylwalk/direct/_configuration_feed.py
+++ b/libs/direct/src/berylwalk/direct/_configuration_feed.py
@@ -18,7 +18,7 @@
 from berylwalk.direct._store_health import StoreHealth
 from berylwalk.platform import (
     CONFIGURATION_KEY,
-    FORMAT_ERRORS,
+    DECODE_ERRORS,
     OPERATORS_PREFIX,
     KeyValue,
     KeyValueClient,
@@ -83,7 +83,7 @@
             list_gap_s=self._list_gap_s,
             peer_data_max_age_s=self._peer_data_max_age_s,
             is_probe=True,
-            is_steady=True,
+            rarely_changes=True,
         )
         self.mirror = MirroredPrefix(
             store,
@@ -121,7 +121,7 @@
             if item.key == CONFIGURATION_KEY:
                 self._apply(item, known_at)
         self._apply_orders([item for item in items if is_rollout_order(item.key)])
-        self._context.rollouts.versions.note_orders_known(self.mirror.revision)
+        self._context.rollouts.versions.record_orders_known(self.mirror.revision)
 
     def _apply_changes(self, events: list[WatchEvent], known_at: float) -> None:
         changed = {event.key_value.key for event in events}
@@ -172,7 +172,7 @@
             return
         try:
             configuration = decode_configuration(item.value)
-        except FORMAT_ERRORS as error:
+        except DECODE_ERRORS as error:
             # An unreadable revision may revoke keys, so the current one is not
             # confirmed.
             detail = f"revision {item.mod_revision}: {error!r}"
--- a/libs/direct/src/berylwalk/direct/_daemon.py
+++ b/libs/direct/src/berylwalk/direct/_daemon.py
@@ -39,8 +39,8 @@
 )
 from berylwalk.forwarding import CallerConnection, CallerRequest, TargetPool
 from berylwalk.platform import REQUEST_ID_HEADER, KeyValueClient
-from berylwalk.quarantine import Change, Quarantine
-from berylwalk.rollout import Judged, Rollouts
+from berylwalk.quarantine import Quarantine, QuarantineChange
+from berylwalk.rollout import Rollouts, VersionRejection
 
 KEY_TRUST_MARGIN_S = 0.5
 """How long before the revocation bound API keys are no longer trusted."""
@@ -77,9 +77,9 @@
         self._spending_store = SpendingStore(context, store, store_health)
         self._speed_store = SpeedStore(context, store, store_health)
         self._quarantine_store = QuarantineStore(context, store, store_health)
-        context.quarantine.on_news = self._peering.send_soon
+        context.quarantine.on_urgent_update = self._peering.send_soon
         context.quarantine.on_change = self._on_quarantine_change
-        context.rollouts.on_judged = self._on_version_rejected
+        context.rollouts.on_rejected = self._on_version_rejected
         shared_reads = self._peering.shared_reads
         role = ReadRole(
             follows_peers=shared_reads.follows_peers,
@@ -94,8 +94,8 @@
         )
         context.on_placed = self._peering.announce_placement
         context.on_statement_change = self._peering.send_soon
-        context.rollouts.on_news = self._peering.send_soon
-        context.rollouts.on_orders = self._rollout_coordinator.wake
+        context.rollouts.on_urgent_update = self._peering.send_soon
+        context.rollouts.on_orders_changed = self._rollout_coordinator.wake
         self._exchanges_by_connection: dict[CallerConnection, Exchange] = {}
         self._tasks: TaskGroup | None = None
         self._stopping_since: float | None = None
@@ -104,7 +104,7 @@
             settings.caller_address,
             clock=context.clock,
             serve=self._serve,
-            on_gone=self._on_caller_disconnected,
+            on_disconnect=self._on_caller_disconnected,
             limits=self._limits,
         )
         self._readiness = Listener(
@@ -138,8 +138,8 @@
 
         peers = PeerTable(settings.name, settings.failure_domain)
         rollouts = Rollouts(settings.exposure, router=uuid4().hex)
-        rollouts.routers_known = peers.known
-        rollouts.at_other_versions = targets.in_flight_elsewhere
+        rollouts.router_count = peers.known
+        rollouts.in_flight_at_other_versions = targets.in_flight_elsewhere
         address = settings.store_address
         store = KeyValueClient.from_config(
             [f"http://{address.host}:{address.port}"], timeout_s=CALL_TIMEOUT_S
@@ -276,12 +276,12 @@
                 detail=repr(error),
                 traceback="".join(format_exception(error)),
             )
-            connection.cut()
+            connection.truncate_response()
         finally:
             if self._exchanges_by_connection.get(connection) is exchange:
                 del self._exchanges_by_connection[connection]
 
-    def _on_quarantine_change(self, change: Change) -> None:
+    def _on_quarantine_change(self, change: QuarantineChange) -> None:
         self._context.log.process(
             f"request-{change.kind}",
             identity=change.identity.hex(),
@@ -289,14 +289,14 @@
         )
         self._quarantine_store.wake()
 
-    def _on_version_rejected(self, judged: Judged) -> None:
+    def _on_version_rejected(self, judged: VersionRejection) -> None:
         self._context.log.process(
             "rollout-judged-bad",
             service=judged.order.service,
             version=judged.order.version,
             verdict=str(judged.verdict),
             route=judged.verdict.route,
-            heard=judged.heard,
+            heard=judged.from_peer,
         )
         self._rollout_coordinator.wake()
 
@@ -336,7 +336,7 @@
             self._context.note_suspension()
             for listener in (self._callers, self._readiness, self._metrics):
                 listener.sweep()
-            self._context.pool.sweep()
+            self._context.pool.close_stale()
             self._context.dispatcher.pump_all(self._context.clock())
-            self._context.quarantine.sweep(self._context.clock())
+            self._context.quarantine.expire(self._context.clock())
             self._context.log.flush()
--- a/libs/direct/src/berylwalk/direct/_exchange.py
+++ b/libs/direct/src/berylwalk/direct/_exchange.py
@@ -24,7 +24,7 @@
 )
 from berylwalk.forwarding import CallerConnection, CallerRequest
 from berylwalk.platform import refusal_headers
-from berylwalk.quarantine import Identity, Standing
+from berylwalk.quarantine import Identity, QuarantineStatus
 
 AcquireTrialPermit = Callable[[Identity], Awaitable[bool]]
 """Acquires the permit to send a quarantined request once."""
@@ -186,11 +186,11 @@
 
     def _is_quarantined(self) -> bool:
         """Return whether the request is quarantined by now."""
-        return self._standing().is_held_back
+        return self._standing().is_blocked
 
-    def _standing(self) -> Standing:
+    def _standing(self) -> QuarantineStatus:
         context = self._context
-        return context.quarantine.standing(self._admitted.identity, context.clock())
+        return context.quarantine.status(self._admitted.identity, context.clock())
 
     async def _acquire_target(self, patience: Patience) -> Target | None:
         """Return a target that the request already counts against, or None."""
@@ -265,9 +265,9 @@
         Retries are never sent to a canary.
         """
         rollouts, service = self._context.rollouts, self._admitted.service
-        if self._excluded or not rollouts.is_watched(service):
+        if self._excluded or not rollouts.is_in_progress(service):
             return None
-        rollouts.note_sent(service)
+        rollouts.count_send(service)
         route = self._admitted.route.name
         if not rollouts.take_canary(service, route, now):
             return None
@@ -276,10 +276,12 @@
         life_ids = [
             each.entry.life_id for each in targets if each.entry.version == version
         ]
-        group = rollouts.group(service, life_ids, len(targets) - len(life_ids), now)
+        group = rollouts.canary_targets(
+            service, life_ids, len(targets) - len(life_ids), now
+        )
         target = self._context.dispatcher.place_among(ticket, group, now)
         if target is None:
-            rollouts.give_back_canary(service, route)
+            rollouts.refund_canary(service, route)
         return target
 
     def _ticket(self, patience: Patience, on_place: Callable[[Target], None]) -> Ticket:
@@ -300,7 +302,7 @@
 
     def _must_run_isolated(self) -> bool:
         """Return whether the request must run on a target without other requests."""
-        return self._admitted.is_trial or self._standing() is Standing.SUSPECTED
+        return self._admitted.is_trial or self._standing() is QuarantineStatus.SUSPECTED
 
     def _complete(self, attempt: Attempt) -> None:
         if attempt.is_stream:
@@ -323,7 +325,7 @@
 
     def _fail(self, end: AttemptEnd, reason: str) -> None:
         if self._response_writer.started:
-            self._response_writer.cut()
+            self._response_writer.truncate_response()
             self._finish(NO_STATUS, f"cut-{reason}")
             return
         status = self._attempts.final_status(end)
--- a/libs/direct/src/berylwalk/direct/_membership.py
+++ b/libs/direct/src/berylwalk/direct/_membership.py
@@ -11,8 +11,8 @@
 from berylwalk.direct._peer_messages import MemberEntry
 from berylwalk.direct._store_health import StoreHealth
 from berylwalk.dispatch import Peer
-from berylwalk.platform import KeyValue, KeyValueClient, Lost, Unavailable
-from berylwalk.reading import OrderedItems
+from berylwalk.platform import KeyValue, KeyValueClient, OutcomeUnknown, Unavailable
+from berylwalk.reading import PrefixState
 
 MEMBERS_PREFIX = b"berylwalk/routers/"
 LEASE_S = 6.0
@@ -56,7 +56,7 @@
         self._life = life
         self._on_ended = on_ended
         self._lease_id: int | None = None
-        self._ordered = OrderedItems()
+        self._ordered = PrefixState()
         self._invalid_items = InvalidItemLog(context, "member-invalid")
 
     async def leave(self) -> None:
@@ -109,7 +109,7 @@
             "enter-membership",
             self._store.put(key, json.encode(entry), lease_id=lease.lease_id),
         )
-        if isinstance(written, Unavailable | Lost):
+        if isinstance(written, Unavailable | OutcomeUnknown):
             return False
         self._lease_id = lease.lease_id
         self._context.log.process("membership-entered", lease=lease.lease_id)
@@ -129,7 +129,7 @@
                 continue
             failures = 0
             # A stale list may be older than the previous one.
-            if self._ordered.take_list(listing):
+            if self._ordered.apply_listing(listing):
                 self._apply(self._ordered.items)
             is_alone = self._context.peers.known() == 1
             gap_s = FIRST_LIST_INTERVAL_S if is_first and is_alone else LIST_INTERVAL_S
--- a/libs/direct/src/berylwalk/direct/_mirrored_prefix.py
+++ b/libs/direct/src/berylwalk/direct/_mirrored_prefix.py
@@ -13,7 +13,7 @@
     UnavailableReason,
     WatchEvent,
 )
-from berylwalk.reading import OrderedItems, Word
+from berylwalk.reading import PrefixDelta, PrefixState
 
 MAX_WATCH_HOLD_S = 8.0
 """Longest time that the store holds a watch call; each response is billed."""
@@ -97,8 +97,8 @@
         Age up to which the data of peers replaces store calls, in seconds.
     is_probe : bool
         Whether its lists detect that the store has recovered from an outage.
-    is_steady : bool
-        As in `OrderedItems`.
+    rarely_changes : bool
+        As in `PrefixState`.
     """
 
     prefix: bytes
@@ -108,7 +108,7 @@
     list_gap_s: Callable[[], float | None]
     peer_data_max_age_s: float = 0.0
     is_probe: bool = False
-    is_steady: bool = False
+    rarely_changes: bool = False
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
@@ -171,7 +171,7 @@
         self._on_changes = on_changes
         self._on_known = on_known
         self._role = role
-        self._ordered = OrderedItems(is_steady=rules.is_steady)
+        self._ordered = PrefixState(rarely_changes=rules.rarely_changes)
         self._is_listed = False
         self._list_requested = Event()
 
@@ -199,25 +199,25 @@
         """Whether data of this age from peers replaces a store call."""
         return self._is_listed and self.age_s() < self._rules.peer_data_max_age_s
 
-    def word(self, since: int) -> Word | None:
+    def word(self, since: int) -> PrefixDelta | None:
         """Return the changes for a peer that knows all up to a revision."""
         if not self._is_listed:
             return None
-        return self._ordered.word(self.name, since, self._clock())
+        return self._ordered.delta(self.name, since, self._clock())
 
-    def take_word(self, word: Word, asked_at: float) -> bool:
+    def take_word(self, word: PrefixDelta, asked_at: float) -> bool:
         """Apply the data of a peer; return whether it was complete.
 
         Parameters
         ----------
-        word : Word
+        word : PrefixDelta
             Data of the peer.
         asked_at : float
             When the peer was queried.
         """
         if not self._is_listed:
             return False
-        news = self._ordered.take_word(word, asked_at)
+        news = self._ordered.apply_delta(word, asked_at)
         if news is None:
             self._list_requested.set()
             return False
@@ -254,7 +254,7 @@
                 continue
             failures = 0
             self._list_requested = Event()
-            if self._ordered.take_list(listing, known_at=asked_at):
+            if self._ordered.apply_listing(listing, known_at=asked_at):
                 self._on_list(self._ordered.items, listing.revision, asked_at)
             self._is_listed = True
             await self._wait_until_list_due()
@@ -314,7 +314,7 @@
             # A response without changes was held for the whole time.
             is_unchanged = not changes.events and not changes.unreadable
             known_at = asked_at + (held_s if is_unchanged else 0.0)
-            news = self._ordered.take_changes(changes, known_at=known_at)
+            news = self._ordered.apply_changes(changes, known_at=known_at)
             self._publish(news)
             batched_s = rules.batch_s if news else 0.0
             if batched_s:
--- a/libs/direct/src/berylwalk/direct/_peer_messages.py
+++ b/libs/direct/src/berylwalk/direct/_peer_messages.py
@@ -7,8 +7,8 @@
 
 from berylwalk.direct._statements import StatementUpdate
 from berylwalk.dispatch import Peer
-from berylwalk.quarantine import QuarantineNews
-from berylwalk.rollout import RolloutNews
+from berylwalk.quarantine import QuarantineUpdate
+from berylwalk.rollout import RolloutUpdate
 
 Loads = dict[str, tuple[int, int]]
 """Requests in flight and waiting prompt tokens, by incarnation id of the target."""
@@ -47,7 +47,7 @@
         Most urgent rank seen and the units requested at it, by client account.
     store_healthy_s : float
         How long the store has been healthy for the router, in seconds.
-    rollouts : list of RolloutNews
+    rollouts : list of RolloutUpdate
         Its view of the roll-outs in progress.
     """
 
@@ -61,7 +61,7 @@
     spent: dict[str, int]
     demand: dict[str, tuple[int, int]] = field(default_factory=dict)
     store_healthy_s: float = 0.0
-    rollouts: list[RolloutNews] = field(default_factory=list)
+    rollouts: list[RolloutUpdate] = field(default_factory=list)
 
     def to_peer(self) -> Peer:
         """Return the router as an entry of the peer table."""
@@ -91,7 +91,7 @@
         response to a router that asked for it.
     reads : list of (int, str)
         Prefix placements since the previous message.
-    quarantine : QuarantineNews
+    quarantine : QuarantineUpdate
         Changes in the quarantine.
     statements : list of StatementUpdate
         Signals of targets in the sender's responses.
@@ -102,7 +102,7 @@
     history_from: str | None = None
     spending_history: dict[str, list[float]] | None = None
     reads: Reads = field(default_factory=list)
-    quarantine: QuarantineNews = field(default_factory=QuarantineNews)
+    quarantine: QuarantineUpdate = field(default_factory=QuarantineUpdate)
     statements: list[StatementUpdate] = field(default_factory=list)
 
 
@@ -121,7 +121,7 @@
         Whether the receiving relay has forwarded it within its own domain.
     reads : list of (int, str)
         Their prefix placements since the relay's previous message.
-    quarantine : QuarantineNews
+    quarantine : QuarantineUpdate
         Changes in the quarantine.
     statements : list of StatementUpdate
         Signals of targets in their responses.
@@ -132,7 +132,7 @@
     loads: Loads
     is_forwarded: bool = False
     reads: Reads = field(default_factory=list)
-    quarantine: QuarantineNews = field(default_factory=QuarantineNews)
+    quarantine: QuarantineUpdate = field(default_factory=QuarantineUpdate)
     statements: list[StatementUpdate] = field(default_factory=list)
 
 
--- a/libs/direct/src/berylwalk/direct/_peering.py
+++ b/libs/direct/src/berylwalk/direct/_peering.py
@@ -35,8 +35,8 @@
 from berylwalk.direct._store_health import StoreHealth
 from berylwalk.dispatch import PEERS_OF_ONE_MESH, Knowledge, Peer, Read, Target
 from berylwalk.platform import KeyValueClient
-from berylwalk.quarantine import QuarantineNews
-from berylwalk.reading import ReadingAsk, ReadingTell
+from berylwalk.quarantine import QuarantineUpdate
+from berylwalk.reading import StoreSyncReply, StoreSyncRequest
 
 SEND_INTERVAL_S = 0.05
 """Interval between two messages to direct peers."""
@@ -98,7 +98,11 @@
         self._pending_placements: Loads = {}
         self._send_requested = Event()
         self._decoder = msgpack.Decoder(
-            PeerMessage | DomainMessage | ReadingAsk | ReadingTell | LoadMessage
+            PeerMessage
+            | DomainMessage
+            | StoreSyncRequest
+            | StoreSyncReply
+            | LoadMessage
         )
 
     async def start(self) -> None:
@@ -179,7 +183,7 @@
                 self._send_to_domains(far_domains, now)
             else:
                 self._prefixes_to_relay.clear()
-                self._context.quarantine.far.clear()
+                self._context.quarantine.relay_outbox.clear()
 
     def _send_to_domains(self, far_domains: set[str], now: float) -> None:
         data = msgpack.encode(self._domain_message(now))
@@ -221,8 +225,10 @@
         history_from = self._peer_to_ask(now)
         reads = context.dispatcher.prefix_reads.take_news()
         self._prefixes_to_relay.extend(reads)
-        quarantine = context.quarantine.news(context.quarantine.near, context.clock())
-        rollouts = [replace(each, age_s=0.0) for each in context.rollouts.news(now)]
+        quarantine = context.quarantine.next_update(
+            context.quarantine.direct_outbox, context.clock()
+        )
+        rollouts = [replace(each, age_s=0.0) for each in context.rollouts.updates(now)]
         statements = own_statements(context)
         statement_contents = [each.content for each in statements]
         current = (loads, spent, rollouts, statement_contents)
@@ -262,7 +268,7 @@
             {name: round(units) for name, units in spent.items()},
             {name: (rank, round(units)) for name, (rank, units) in demand.items()},
             round(self._store_health.healthy_s(now), 1),
-            context.rollouts.news(now),
+            context.rollouts.updates(now),
         )
 
     def _domain_message(self, now: float) -> DomainMessage:
@@ -279,7 +285,9 @@
             [self._own_update(now), *news],
             context.targets.loads_with(heard),
             reads=self._take_prefixes_to_relay(),
-            quarantine=context.quarantine.news(context.quarantine.far, context.clock()),
+            quarantine=context.quarantine.next_update(
+                context.quarantine.relay_outbox, context.clock()
+            ),
             statements=self._statement_aggregate.merged(own_statements(context), now),
         )
 
@@ -333,10 +341,10 @@
         self._context.note_suspension()
         now = self._context.clock()
         match message:
-            case ReadingAsk():
+            case StoreSyncRequest():
                 self.shared_reads.handle_query(message)
                 return
-            case ReadingTell():
+            case StoreSyncReply():
                 self.shared_reads.handle_reply(message)
                 return
             case LoadMessage():
@@ -403,12 +411,12 @@
             now=now,
         )
         self._context.allowances.urgent_demand.hear(life_of(peer), news.demand, now)
-        self._context.rollouts.hear(life_of(peer), news.rollouts, now)
+        self._context.rollouts.merge(life_of(peer), news.rollouts, now)
         return True
 
-    def _merge_quarantine(self, news: QuarantineNews, *, is_near: bool) -> None:
+    def _merge_quarantine(self, news: QuarantineUpdate, *, is_near: bool) -> None:
         context = self._context
-        context.quarantine.hear(news, context.clock(), is_near=is_near)
+        context.quarantine.merge(news, context.clock(), is_direct=is_near)
 
     def _forget(self, peer: Peer) -> None:
         """Remove the state of a peer process that has ended."""
--- a/libs/direct/src/berylwalk/direct/_rollout_coordinator.py
+++ b/libs/direct/src/berylwalk/direct/_rollout_coordinator.py
@@ -23,7 +23,7 @@
     EventKind,
     KeyValue,
     KeyValueClient,
-    Lost,
+    OutcomeUnknown,
     Swapped,
     Unavailable,
     WatchEvent,
@@ -36,7 +36,7 @@
     Progress,
     Record,
     record_key,
-    service_of_record_key,
+    service_from_record_key,
 )
 
 RECORD_MAX_AGE_S = 2.4
@@ -125,7 +125,7 @@
     def _needs_records(self) -> bool:
         """Return whether a roll-out is in progress or its status unpublished."""
         return any(
-            progress.is_open or self._needs_status_update(progress)
+            progress.is_active or self._needs_status_update(progress)
             for progress in self._context.rollouts.progresses
         )
 
@@ -149,7 +149,7 @@
             bound_s=RECORD_MAX_AGE_S,
             list_gap_s=lambda: LIST_INTERVAL_S,
             peer_data_max_age_s=RECORD_PEER_DATA_MAX_AGE_S,
-            is_steady=True,
+            rarely_changes=True,
         )
         return MirroredPrefix(
             self._store,
@@ -177,13 +177,13 @@
             if event.kind is EventKind.PUT:
                 self._load_record(event.key_value)
             else:
-                service = service_of_record_key(event.key_value.key)
+                service = service_from_record_key(event.key_value.key)
                 self._revisions_by_service.pop(service, None)
         self.wake()
 
     def _load_record(self, item: KeyValue) -> None:
         """Apply a stored record; an unreadable one is overwritten."""
-        service = service_of_record_key(item.key)
+        service = service_from_record_key(item.key)
         known = self._revisions_by_service.get(service, 0)
         self._revisions_by_service[service] = max(known, item.mod_revision)
         try:
@@ -198,7 +198,7 @@
 
     def _apply_record(self, service: str, record: Record, age_s: float | None) -> None:
         context = self._context
-        if not context.rollouts.take_record(service, record, context.clock(), age_s):
+        if not context.rollouts.merge_record(service, record, context.clock(), age_s):
             return
         context.log.process(
             "rollout-phase",
@@ -242,11 +242,11 @@
         rollouts = self._context.rollouts
         order = progress.order
         if progress.record is None:
-            former = rollouts.record(order.service)
+            former = rollouts.last_record(order.service)
             if former is not None and former.order_revision > order.revision:
                 # Another router has already processed a newer order.
                 return None
-            return Record.begun(order, former, self._wall_clock())
+            return Record.start(order, former, self._wall_clock())
         peers = self._context.peers
         heard = [
             life_of(peer)
@@ -255,12 +255,12 @@
         ]
         all_are_heard = len(heard) == len(peers.by_name)
         step = rollouts.next_phase(
-            progress, heard, all_are_heard=all_are_heard, now=now
+            progress, heard, all_peers_alive=all_are_heard, now=now
         )
         if step is None:
             return None
         phase, reason = step
-        return progress.record.moved(
+        return progress.record.with_phase(
             phase, reason, rollouts.versions.known(order.service)
         )
 
@@ -277,19 +277,19 @@
             case Swapped():
                 self._revisions_by_service[service] = result.mod_revision
                 self._apply_record(service, record, None)
-                self._context.rollouts.on_news()
+                self._context.rollouts.on_urgent_update()
             case Conflict(current=None):
                 self._revisions_by_service.pop(service, None)
             case Conflict():
                 self._load_record(result.current)
-            case Lost() | Unavailable():
+            case OutcomeUnknown() | Unavailable():
                 await self._store_health.back_off(1)
 
     # Status for operators
 
     def _needs_status_update(self, progress: Progress) -> bool:
         record = progress.record
-        return record is not None and progress.told_number < record.number
+        return record is not None and progress.reported_number < record.number
 
     async def _write_status(self, progress: Progress) -> None:
         """Publish the status that follows from the record, if it has changed."""
@@ -304,7 +304,7 @@
         if item is not None and is_rollout_status(
             item.value, record.phase, record.version
         ):
-            progress.told_number = record.number
+            progress.reported_number = record.number
             return
         value = encode_rollout_status(record.phase, record.version)
         revision = 0 if item is None else item.mod_revision
@@ -312,7 +312,7 @@
             "write-rollout-status", self._store.compare_and_swap(key, value, revision)
         )
         if isinstance(result, Swapped):
-            progress.told_number = record.number
+            progress.reported_number = record.number
             self._context.log.process(
                 "rollout-told",
                 service=service,
--- a/libs/direct/src/berylwalk/direct/_shared_reads.py
+++ b/libs/direct/src/berylwalk/direct/_shared_reads.py
@@ -21,7 +21,7 @@
 from berylwalk.direct._mirrored_prefix import MirroredPrefix
 from berylwalk.direct._store_health import StoreHealth
 from berylwalk.dispatch import Peer
-from berylwalk.reading import PendingAsks, ReadingAsk, ReadingTell
+from berylwalk.reading import PendingSyncs, StoreSyncReply, StoreSyncRequest
 
 MAX_AGE_S = 1e6
 """Logged for data that was never received."""
@@ -66,7 +66,7 @@
         self._context = context
         self._store_health = store_health
         self._send = send
-        self._pending = PendingAsks()
+        self._pending = PendingSyncs()
         self._mirrors_by_name: dict[str, MirroredPrefix] = {}
         self._remote_turns = count()
         self._mode: ReadMode | None = None
@@ -133,10 +133,10 @@
         far_domains = sorted(peers.far_domains())
         if not far_domains or not self._store_health.accepts_peer_data():
             return []
-        self._pending.keep_only(set(peers.by_name))
+        self._pending.retain(set(peers.by_name))
         reader = None if peers.is_relay(now) else peers.first_near(now)
         asked = [] if reader is None else [reader]
-        answers = reader is not None and not self._pending.is_owing(reader.name)
+        answers = reader is not None and not self._pending.has_unanswered(reader.name)
         if not answers and not self._is_fresh():
             asked += self._remote_reader(far_domains, now)
         return asked
@@ -152,23 +152,23 @@
 
     def _send_query(self, peer: Peer) -> None:
         settings = self._context.settings
-        ask = ReadingAsk(
+        ask = StoreSyncRequest(
             settings.name,
             settings.caller_address.host,
             settings.peer_port,
-            self._pending.ask(peer.name, self._context.clock()),
+            self._pending.start(peer.name, self._context.clock()),
             {name: each.revision for name, each in self._mirrors_by_name.items()},
         )
         self._send(msgpack.encode(ask), [peer])
 
-    def handle_query(self, ask: ReadingAsk) -> None:
+    def handle_query(self, ask: StoreSyncRequest) -> None:
         """Answer a query with the data of the own mirrors."""
         words = [
             self._mirrors_by_name[name].word(since)
             for name, since in ask.revisions.items()
             if name in self._mirrors_by_name
         ]
-        tell = ReadingTell(
+        tell = StoreSyncReply(
             self._context.settings.name,
             ask.number,
             [word for word in words if word is not None],
@@ -176,13 +176,13 @@
         asker = Peer(ask.sender, ask.host, ask.port, "")
         self._send(msgpack.encode(tell), [asker])
 
-    def handle_reply(self, tell: ReadingTell) -> None:
+    def handle_reply(self, tell: StoreSyncReply) -> None:
         """Apply the data of another router."""
-        asked_at = self._pending.answer(tell.number, tell.sender)
+        asked_at = self._pending.resolve(tell.number, tell.sender)
         if asked_at is None or not self._store_health.accepts_peer_data():
             return
         self._last_source = tell.sender
-        for word in tell.words:
+        for word in tell.deltas:
             mirror = self._mirrors_by_name.get(word.name)
             if mirror is None:
                 continue
--- a/libs/direct/src/berylwalk/direct/_spending_store.py
+++ b/libs/direct/src/berylwalk/direct/_spending_store.py
@@ -8,7 +8,7 @@
 from berylwalk.direct._context import RouterContext
 from berylwalk.direct._store_health import StoreHealth
 from berylwalk.dispatch import Knowledge
-from berylwalk.platform import KeyValue, KeyValueClient, Lost, Unavailable
+from berylwalk.platform import KeyValue, KeyValueClient, OutcomeUnknown, Unavailable
 
 SNAPSHOT_KEY = b"berylwalk/spending"
 SNAPSHOT_LEASE_S = 14.0
@@ -89,7 +89,7 @@
             "note-spending",
             self._store.put(SNAPSHOT_KEY, value, lease_id=self._lease_id),
         )
-        if isinstance(written, Unavailable | Lost):
+        if isinstance(written, Unavailable | OutcomeUnknown):
             self._lease_id = None
 
     async def _ensure_lease(self) -> bool:
--- a/libs/direct/src/berylwalk/direct/_store_health.py
+++ b/libs/direct/src/berylwalk/direct/_store_health.py
@@ -6,7 +6,7 @@
 from anyio import Event, move_on_after
 
 from berylwalk.direct._context import RouterContext
-from berylwalk.platform import Lost, Unavailable, UnavailableReason, backoff_s
+from berylwalk.platform import OutcomeUnknown, Unavailable, UnavailableReason, backoff_s
 
 CALL_TIMEOUT_S = 0.9
 """Timeout of a store call."""
@@ -247,7 +247,9 @@
             Whether this user detects the recovery of the store.
         """
         longest_s = MAX_PROBE_BACKOFF_S if is_probe else MAX_BACKOFF_S
-        pause_s = backoff_s(failures, first_s=FIRST_BACKOFF_S, largest_s=longest_s)
+        pause_s = backoff_s(
+            failures, initial_delay_s=FIRST_BACKOFF_S, max_delay_s=longest_s
+        )
         with move_on_after(pause_s):
             await self._recovered.wait()
 
@@ -256,4 +258,4 @@
     """Return whether the store may not have answered a call."""
     if isinstance(result, Unavailable):
         return result.reason not in ANSWERED_REASONS
-    return isinstance(result, Lost)
+    return isinstance(result, OutcomeUnknown)
