--- a/libs/direct/src/berylwalk/direct/_admission.py
+++ b/libs/direct/src/berylwalk/direct/_admission.py
@@ -25,7 +25,7 @@
     ----------
     request : CallerRequest
         The request as the caller sent it.
-    facts : RequestHeaders
+    parsed_headers : RequestHeaders
         Its parsed headers.
     route : Route
         The route that it matched.
@@ -48,7 +48,7 @@
     """
 
     request: CallerRequest
-    facts: RequestHeaders
+    parsed_headers: RequestHeaders
     route: Route
     account: Account | None
     rank: tuple[int, int]
@@ -62,7 +62,7 @@
     @property
     def request_id(self) -> bytes:
         """Id that the caller gave this request."""
-        return self.facts.request_id
+        return self.parsed_headers.request_id
 
     @property
     def account_name(self) -> str | None:
@@ -122,16 +122,20 @@
 
 def admit(context: RouterContext, request: CallerRequest) -> Admitted | Refusal:
     """Admit or reject a request; an admitted one is charged to its account."""
-    facts = parse_request_headers(request.headers)
-    if isinstance(facts, InvalidHeaders):
-        return Refusal(400, f"bad-headers: {facts.detail}", None, b"")
+    parsed_headers = parse_request_headers(request.headers)
+    if isinstance(parsed_headers, InvalidHeaders):
+        return Refusal(400, f"bad-headers: {parsed_headers.detail}", None, b"")
     now = context.clock()
     path = request.target.decode("latin-1")
-    access = context.configuration.check(facts.host, path, facts.api_key, now)
+    access = context.configuration.check(
+        parsed_headers.host, path, parsed_headers.api_key, now
+    )
     if isinstance(access, Denied):
         retry_after_s = RETRY_AFTER_UNREADY_S if access.status == 503 else None
-        return Refusal(access.status, access.reason, retry_after_s, facts.request_id)
-    admitted = _admitted(request, facts, access)
+        return Refusal(
+            access.status, access.reason, retry_after_s, parsed_headers.request_id
+        )
+    admitted = _admitted(request, parsed_headers, access)
     match context.quarantine.status(admitted.identity, context.clock()):
         case QuarantineStatus.BLAMED:
             return quarantine_refusal(context, admitted)
@@ -144,7 +148,9 @@
     state = context.allowances.state(account, now)
     charge = Charge(account.name, route, cost, state)
     if wait_s > 0:
-        return Refusal(429, "allowance-spent", wait_s, facts.request_id, charge)
+        return Refusal(
+            429, "allowance-spent", wait_s, parsed_headers.request_id, charge
+        )
     return replace(admitted, charge=charge) if account.rate_per_s > 0 else admitted
 
 
@@ -166,20 +172,20 @@
 
 
 def _admitted(
-    request: CallerRequest, facts: RequestHeaders, access: Allowed
+    request: CallerRequest, parsed_headers: RequestHeaders, access: Allowed
 ) -> Admitted:
     route = access.route
     limit_s = route.timeout_s
-    if facts.time_limit_s is not None:
-        limit_s = min(limit_s, facts.time_limit_s - TIMEOUT_MARGIN_S)
+    if parsed_headers.time_limit_s is not None:
+        limit_s = min(limit_s, parsed_headers.time_limit_s - TIMEOUT_MARGIN_S)
     return Admitted(
         request=request,
-        facts=facts,
+        parsed_headers=parsed_headers,
         route=route,
         account=access.account,
         rank=access.rank,
         service=route.service_for(random()),
-        cost=_cost(access.account, facts),
+        cost=_cost(access.account, parsed_headers),
         ends_at=request.arrived_at + limit_s,
         identity=request_identity(
             None if access.account is None else access.account.name,
@@ -190,9 +196,9 @@
     )
 
 
-def _cost(account: Account | None, facts: RequestHeaders) -> float:
+def _cost(account: Account | None, parsed_headers: RequestHeaders) -> float:
     if account is None:
         return 0.0
     if not account.counts_tokens:
         return 1.0
-    return float(facts.total_tokens or account.plain_cost)
+    return float(parsed_headers.total_tokens or account.plain_cost)
--- a/libs/direct/src/berylwalk/direct/_attempt.py
+++ b/libs/direct/src/berylwalk/direct/_attempt.py
@@ -35,7 +35,7 @@
         Called when the first event has arrived.
     on_output : callable
         Called periodically with a number of events and their duration in seconds.
-    on_statement : callable
+    on_signals : callable
         Called with the signals in the response headers, and the status.
 
     Attributes
@@ -59,7 +59,7 @@
         clock: Callable[[], float],
         on_first_event: Callable[[], None],
         on_output: Callable[[int, float], None],
-        on_statement: Callable[[TargetStatement, int], None],
+        on_signals: Callable[[TargetStatement, int], None],
     ) -> None:
         self._response_writer = response_writer
         self._request_id = request_id
@@ -67,7 +67,7 @@
         self._clock = clock
         self._on_first_event = on_first_event
         self._on_output = on_output
-        self._on_statement = on_statement
+        self._on_signals = on_signals
         self._events_reported = 0
         self._reported_at = 0.0
         self._splitter: EventSplitter | None = None
@@ -101,7 +101,7 @@
         self.status = status
         self.headers = headers
         self.statement = parse_target_headers(status, headers)
-        self._on_statement(self.statement, status)
+        self._on_signals(self.statement, status)
         content_type = header_value(headers, b"content-type") or b""
         if self._expects_stream and status == 200 and EVENT_STREAM in content_type:
             if header_value(headers, REQUEST_ID_HEADER) != self._request_id:
--- a/libs/direct/src/berylwalk/direct/_attempt_runner.py
+++ b/libs/direct/src/berylwalk/direct/_attempt_runner.py
@@ -11,8 +11,8 @@
 )
 from berylwalk.direct._context import RouterContext
 from berylwalk.direct._exchange_log import ExchangeLog
+from berylwalk.direct._flow_control import apply_signals
 from berylwalk.direct._response_writer import ResponseWriter
-from berylwalk.direct._statements import apply_statement
 from berylwalk.direct._version_observer import VersionObserver
 from berylwalk.dispatch import (
     AttemptEnd,
@@ -76,7 +76,7 @@
         context.on_placed(target)
         sent_at = context.clock()
         self._attempt_feedback = AttemptFeedback(context, self._admitted, self._log)
-        attempt = self._attempt(target, sent_at)
+        attempt = self._new_attempt(target, sent_at)
         connection = None
         try:
             connection = context.pool.take_idle(target.entry.life_id)
@@ -96,8 +96,8 @@
             self._record_end(target, attempt, sent_at)
         return attempt
 
-    def _attempt(self, target: Target, sent_at: float) -> Attempt:
-        work = self._admitted.facts.work
+    def _new_attempt(self, target: Target, sent_at: float) -> Attempt:
+        work = self._admitted.parsed_headers.work
         life_id = target.entry.life_id
         prefix_reads = self._context.dispatcher.prefix_reads
         held_tokens = prefix_reads.held_tokens(work).get(life_id, 0)
@@ -116,11 +116,11 @@
             tokens = self._tokens_per_event() * events
             target.note_output(tokens, events, elapsed_s)
 
-        def on_statement(statement: TargetStatement, status: int) -> None:
+        def on_signals(statement: TargetStatement, status: int) -> None:
             if status != STATUS_MISDIRECTED_REQUEST:
                 # Status 421 comes from another target process at the same address.
-                self._log.log_statement(self._admitted, target, statement)
-                apply_statement(self._context, target, statement, sent_at)
+                self._log.log_signals(self._admitted, target, statement)
+                apply_signals(self._context, target, statement, sent_at)
                 if status < 500 and status != STATUS_TOO_MANY_REQUESTS:
                     slots = target.entry.slots
                     target.needs.rest.note_taken(slots, sent_at=sent_at)
@@ -132,7 +132,7 @@
             clock=self._context.clock,
             on_first_event=on_first_event,
             on_output=on_output,
-            on_statement=on_statement,
+            on_signals=on_signals,
         )
 
     def _observe_version(self, target: Target, start: ExpectedStart) -> None:
@@ -145,13 +145,13 @@
     def _is_still_allowed(self, target: Target) -> bool:
         """Return whether sending is still allowed once the connection is open."""
         configuration = self._context.configuration
-        is_keyed = self._admitted.account is not None
-        if is_keyed and not configuration.trusts_keys(self._context.clock()):
+        requires_key = self._admitted.account is not None
+        if requires_key and not configuration.trusts_keys(self._context.clock()):
             return False
         # The request may have been quarantined in the meantime.
         quarantine, now = self._context.quarantine, self._context.clock()
-        standing = quarantine.status(self._admitted.identity, now)
-        if standing.is_blocked and not self._admitted.is_trial:
+        quarantine_status = quarantine.status(self._admitted.identity, now)
+        if quarantine_status.is_blocked and not self._admitted.is_trial:
             return False
         # The target may have announced in the meantime that it is leaving or wants no
         # requests for a while.
@@ -204,7 +204,10 @@
     def _encode_request(self, target: Target) -> bytes:
         request = self._admitted.request
         headers = end_to_end(request.headers)
-        if self._response_writer.last_event_id > self._admitted.facts.last_event_id:
+        if (
+            self._response_writer.last_event_id
+            > self._admitted.parsed_headers.last_event_id
+        ):
             headers = headers_to_resume(headers, self._response_writer.last_event_id)
         headers = headers_for_target(
             headers,
@@ -251,7 +254,8 @@
             context.metrics.attempts.labels(admitted.service, attempt.end).inc()
         self._log.record_attempt(target, attempt, sent_at)
         target.note_left(
-            admitted.facts.work, had_first_event=attempt.first_event_at is not None
+            admitted.parsed_headers.work,
+            had_first_event=attempt.first_event_at is not None,
         )
         context.dispatcher.pump(admitted.service, context.clock())
 
--- a/libs/direct/src/berylwalk/direct/_configuration_feed.py
+++ b/libs/direct/src/berylwalk/direct/_configuration_feed.py
@@ -80,7 +80,7 @@
         rules = MirrorRules(
             prefix=OPERATORS_PREFIX,
             name="configuration",
-            list_gap_s=self._list_gap_s,
+            list_interval_s=self._list_interval_s,
             peer_data_max_age_s=self._peer_data_max_age_s,
             is_probe=True,
             rarely_changes=True,
@@ -100,7 +100,7 @@
         """List and watch forever."""
         await self.mirror.run()
 
-    def _list_gap_s(self) -> float:
+    def _list_interval_s(self) -> float:
         if self._context.configuration.current is None:
             return ABSENT_READ_INTERVAL_S
         if self._role.serves_peers():
@@ -112,9 +112,9 @@
         return self._confirm_interval_s
 
     def _apply_list(
-        self, items: list[KeyValue], revision: int, asked_at: float
+        self, items: list[KeyValue], revision: int, requested_at: float
     ) -> None:
-        self._apply_known(items, asked_at)
+        self._apply_known(items, requested_at)
 
     def _apply_known(self, items: list[KeyValue], known_at: float) -> None:
         for item in items:
@@ -165,10 +165,10 @@
                 return progress.order
         return None
 
-    def _apply(self, item: KeyValue, asked_at: float) -> None:
+    def _apply(self, item: KeyValue, requested_at: float) -> None:
         state = self._context.configuration
         if item.mod_revision == self._active_revision:
-            state.confirm(None, asked_at)
+            state.confirm(None, requested_at)
             return
         try:
             configuration = decode_configuration(item.value)
@@ -179,7 +179,7 @@
             self._invalid_items.report(item.key.decode(), "not-readable", detail)
             return
         self._invalid_items.clear(item.key.decode())
-        if state.confirm(configuration, asked_at):
+        if state.confirm(configuration, requested_at):
             self._context.allowances.set_accounts(
                 configuration.accounts, self._context.clock()
             )
--- a/libs/direct/src/berylwalk/direct/_context.py
+++ b/libs/direct/src/berylwalk/direct/_context.py
@@ -57,7 +57,7 @@
         Time including suspensions of the VM, in seconds.
     on_placed : callable
         Called with the target of each attempt.
-    on_statement_change : callable
+    on_signals_changed : callable
         Called when a response of a target carries changed signals.
     """
 
@@ -76,7 +76,7 @@
     suspension: SuspensionDetector
     clock: Callable[[], float]
     on_placed: Callable[[Target], None] = lambda _: None
-    on_statement_change: Callable[[], None] = lambda: None
+    on_signals_changed: Callable[[], None] = lambda: None
 
     def note_suspension(self) -> None:
         """Keep a suspension of the VM from counting as silence of targets.
--- a/libs/direct/src/berylwalk/direct/_daemon.py
+++ b/libs/direct/src/berylwalk/direct/_daemon.py
@@ -93,7 +93,7 @@
             context, store, store_health, shared_reads=shared_reads, role=role
         )
         context.on_placed = self._peering.announce_placement
-        context.on_statement_change = self._peering.send_soon
+        context.on_signals_changed = self._peering.send_soon
         context.rollouts.on_urgent_update = self._peering.send_soon
         context.rollouts.on_orders_changed = self._rollout_coordinator.wake
         self._exchanges_by_connection: dict[CallerConnection, Exchange] = {}
--- a/libs/direct/src/berylwalk/direct/_exchange.py
+++ b/libs/direct/src/berylwalk/direct/_exchange.py
@@ -125,7 +125,7 @@
         self._attempts = Attempts()
         self._excluded: set[str] = set()
         self._response_writer = ResponseWriter(
-            connection, last_event_id=admitted.facts.last_event_id
+            connection, last_event_id=admitted.parsed_headers.last_event_id
         )
         self._attempt_runner = AttemptRunner(
             context,
@@ -186,9 +186,9 @@
 
     def _is_quarantined(self) -> bool:
         """Return whether the request is quarantined by now."""
-        return self._standing().is_blocked
+        return self._quarantine_status().is_blocked
 
-    def _standing(self) -> QuarantineStatus:
+    def _quarantine_status(self) -> QuarantineStatus:
         context = self._context
         return context.quarantine.status(self._admitted.identity, context.clock())
 
@@ -200,7 +200,7 @@
 
         def on_place(target: Target) -> None:
             # Counted immediately so that the next placement decision includes it.
-            target.note_sent(admitted.facts.work, context.clock())
+            target.note_sent(admitted.parsed_headers.work, context.clock())
             granted.append(target)
             placed.set()
 
@@ -210,14 +210,16 @@
         if target is None:
             target = context.dispatcher.submit(ticket, started_at)
         if target is not None:
-            target.note_sent(admitted.facts.work, started_at)
+            target.note_sent(admitted.parsed_headers.work, started_at)
             self._log.record_wait(admitted, 0.0)
             return target
         try:
             await self._wait_for_placement(placed, ticket, patience)
         except BaseException:
             if not context.dispatcher.withdraw(ticket) and granted:
-                granted[0].note_left(admitted.facts.work, had_first_event=False)
+                granted[0].note_left(
+                    admitted.parsed_headers.work, had_first_event=False
+                )
                 context.dispatcher.pump(admitted.service, context.clock())
             raise
         self._log.record_wait(admitted, context.clock() - started_at)
@@ -289,7 +291,7 @@
         return Ticket(
             service=admitted.service,
             rank=admitted.rank,
-            work=admitted.facts.work,
+            work=admitted.parsed_headers.work,
             ends_at=admitted.ends_at,
             start_by=patience.start_by,
             longest_pause_s=admitted.route.longest_pause_s,
@@ -302,7 +304,10 @@
 
     def _must_run_isolated(self) -> bool:
         """Return whether the request must run on a target without other requests."""
-        return self._admitted.is_trial or self._standing() is QuarantineStatus.SUSPECTED
+        return (
+            self._admitted.is_trial
+            or self._quarantine_status() is QuarantineStatus.SUSPECTED
+        )
 
     def _complete(self, attempt: Attempt) -> None:
         if attempt.is_stream:
--- a/libs/direct/src/berylwalk/direct/_exchange_log.py
+++ b/libs/direct/src/berylwalk/direct/_exchange_log.py
@@ -61,8 +61,8 @@
             "request-placed",
             admitted.request_id,
             target=target.entry.target_id,
-            prompt_tokens=admitted.facts.work.prompt_tokens,
-            output_tokens=admitted.facts.work.output_tokens,
+            prompt_tokens=admitted.parsed_headers.work.prompt_tokens,
+            output_tokens=admitted.parsed_headers.work.output_tokens,
             ahead_tokens=start.ahead_tokens,
             own_tokens=start.own_tokens,
             expected_ms=_ms(start.total_s),
@@ -92,23 +92,23 @@
                 "longest_pause_ms": _ms(attempt.longest_pause_s),
                 "events": attempt.events,
                 "took_ms": _ms(self.context.clock() - sent_at),
-                **_statement_fields(attempt.statement),
+                **_signal_fields(attempt.statement),
             }
         )
 
-    def log_statement(
+    def log_signals(
         self, admitted: Admitted, target: Target, statement: TargetStatement
     ) -> None:
         """Log the signals of a target if they have changed."""
         if statement == target.stated:
             return
         target.stated = statement
-        self.context.metrics.target_statements.labels(admitted.service).inc()
+        self.context.metrics.target_signals.labels(admitted.service).inc()
         self.context.log.request(
             "target-statement",
             admitted.request_id,
             target=target.entry.target_id,
-            **_statement_fields(statement),
+            **_signal_fields(statement),
         )
 
     def log_retried(
@@ -192,8 +192,8 @@
             account=admitted.account_name,
             identity=admitted.identity.hex(),
             service=admitted.service,
-            prompt_tokens=admitted.facts.work.prompt_tokens,
-            output_tokens=admitted.facts.work.output_tokens,
+            prompt_tokens=admitted.parsed_headers.work.prompt_tokens,
+            output_tokens=admitted.parsed_headers.work.output_tokens,
             **_prefix_fields(admitted),
             **_charge_fields(admitted.charge),
             objective_ms=_ms(admitted.route.objective_s),
@@ -220,9 +220,9 @@
 
 def _prefix_fields(admitted: Admitted) -> dict[str, object]:
     """Return the fields about the shared prefix of the prompt."""
-    if admitted.facts.prefix_problem:
-        return {"prefix_problem": admitted.facts.prefix_problem}
-    prefix = admitted.facts.work.shared_prefix
+    if admitted.parsed_headers.prefix_problem:
+        return {"prefix_problem": admitted.parsed_headers.prefix_problem}
+    prefix = admitted.parsed_headers.work.shared_prefix
     if prefix is None:
         return {}
     return {"shared_prefix": f"{prefix.key:08x}", "shared_tokens": prefix.tokens}
@@ -254,7 +254,7 @@
     }
 
 
-def _statement_fields(statement: TargetStatement) -> dict[str, object]:
+def _signal_fields(statement: TargetStatement) -> dict[str, object]:
     """Return the fields about a target's signals; empty for most responses."""
     if statement.is_plain:
         return {}
--- a/libs/direct/src/berylwalk/direct/_statements.py
+++ b/libs/direct/src/berylwalk/direct/_flow_control.py
@@ -18,16 +18,16 @@
     most_senders,
 )
 
-MAX_STATEMENTS = 64
+MAX_SIGNALS_PER_MESSAGE = 64
 """Largest number of signals in one message; further ones follow in turn."""
-MAX_RELAYED_STATEMENTS = 256
+MAX_SIGNALS_PER_RELAY_MESSAGE = 256
 """Largest number of signals in a message of a relay."""
 ROTATION_INTERVAL_S = 0.25
 """Interval after which the next signals are sent if there are too many for one
 message."""
 
 
-class StatementUpdate(Struct, array_like=True):
+class SignalsUpdate(Struct, array_like=True):
     """Signals of one target in the responses that one router received.
 
     Parameters
@@ -54,7 +54,7 @@
         return self.life_id, self.limit_per_s, self.is_leaving
 
 
-def apply_statement(
+def apply_signals(
     context: RouterContext, target: Target, statement: TargetStatement, sent_at: float
 ) -> None:
     """Apply the signals of a response; other routers are notified of changes."""
@@ -62,11 +62,11 @@
     changed = target.needs.note_answer(statement, sent_at=sent_at, now=now)
     _on_needs_changed(context, target, changed, source="target")
     if Need.LIMIT in changed or Need.LEAVING in changed:
-        context.on_statement_change()
+        context.on_signals_changed()
 
 
-def merge_statements(
-    context: RouterContext, news: Iterable[StatementUpdate], source: str
+def merge_signals(
+    context: RouterContext, news: Iterable[SignalsUpdate], source: str
 ) -> None:
     """Apply the signals that another router received."""
     now = context.clock()
@@ -83,7 +83,7 @@
         _on_needs_changed(context, target, changed, source=source)
 
 
-def own_statements(context: RouterContext) -> list[StatementUpdate]:
+def own_signals(context: RouterContext) -> list[SignalsUpdate]:
     """Return the recent signals of own responses, to be sent to other routers."""
     now = context.clock()
     told = []
@@ -91,17 +91,17 @@
         news = target.needs.news(now)
         if news is not None:
             told.append(
-                StatementUpdate(
+                SignalsUpdate(
                     target.entry.life_id,
                     news.limit_age_s,
                     news.limit_per_s,
                     news.is_leaving,
                 )
             )
-    return rotate(told, MAX_STATEMENTS, now)
+    return rotate(told, MAX_SIGNALS_PER_MESSAGE, now)
 
 
-def rotate(news: list[StatementUpdate], most: int, now: float) -> list[StatementUpdate]:
+def rotate(news: list[SignalsUpdate], most: int, now: float) -> list[SignalsUpdate]:
     """Return the part of the updates that goes into the next message."""
     if len(news) <= most:
         return news
--- a/libs/direct/src/berylwalk/direct/_membership.py
+++ b/libs/direct/src/berylwalk/direct/_membership.py
@@ -56,7 +56,7 @@
         self._life = life
         self._on_ended = on_ended
         self._lease_id: int | None = None
-        self._ordered = PrefixState()
+        self._state = PrefixState()
         self._invalid_items = InvalidItemLog(context, "member-invalid")
 
     async def leave(self) -> None:
@@ -82,12 +82,12 @@
 
     async def _renew_or_register(self) -> bool:
         if self._lease_id is not None:
-            left_s = await self._store_health.track(
+            remaining_s = await self._store_health.track(
                 "renew-membership", self._store.keep_alive(self._lease_id)
             )
-            if isinstance(left_s, Unavailable):
+            if isinstance(remaining_s, Unavailable):
                 return False
-            if left_s > 0:
+            if remaining_s > 0:
                 return True
             self._context.log.process("membership-lapsed", lease=self._lease_id)
         self._lease_id = None
@@ -129,12 +129,14 @@
                 continue
             failures = 0
             # A stale list may be older than the previous one.
-            if self._ordered.apply_listing(listing):
-                self._apply(self._ordered.items)
+            if self._state.apply_listing(listing):
+                self._apply(self._state.items)
             is_alone = self._context.peers.known() == 1
-            gap_s = FIRST_LIST_INTERVAL_S if is_first and is_alone else LIST_INTERVAL_S
+            interval_s = (
+                FIRST_LIST_INTERVAL_S if is_first and is_alone else LIST_INTERVAL_S
+            )
             is_first = is_alone
-            await sleep(gap_s)
+            await sleep(interval_s)
 
     def _apply(self, items: list[KeyValue]) -> None:
         listed = []
--- a/libs/direct/src/berylwalk/direct/_metrics.py
+++ b/libs/direct/src/berylwalk/direct/_metrics.py
@@ -56,7 +56,7 @@
             ("service",),
             registry=registry,
         )
-        self.target_statements = Counter(
+        self.target_signals = Counter(
             "berylwalk_target_statements",
             "Times that a target stated something else of itself than before.",
             ("service",),
@@ -83,7 +83,7 @@
             ("purpose", "outcome"),
             registry=registry,
         )
-        self.words = Counter(
+        self.store_deltas = Counter(
             "berylwalk_store_words",
             "What other routers told of the store, by items and outcome.",
             ("items", "outcome"),
--- a/libs/direct/src/berylwalk/direct/_mirrored_prefix.py
+++ b/libs/direct/src/berylwalk/direct/_mirrored_prefix.py
@@ -90,7 +90,7 @@
         keep it fresh.
     batch_s : float
         How long changes are batched at the store between watch calls, in seconds.
-    list_gap_s : callable
+    list_interval_s : callable
         Returns the current interval between lists, in seconds; None if the watch
         suffices.
     peer_data_max_age_s : float
@@ -105,7 +105,7 @@
     name: str
     bound_s: float | None = None
     batch_s: float = 0.0
-    list_gap_s: Callable[[], float | None]
+    list_interval_s: Callable[[], float | None]
     peer_data_max_age_s: float = 0.0
     is_probe: bool = False
     rarely_changes: bool = False
@@ -171,7 +171,7 @@
         self._on_changes = on_changes
         self._on_known = on_known
         self._role = role
-        self._ordered = PrefixState(rarely_changes=rules.rarely_changes)
+        self._state = PrefixState(rarely_changes=rules.rarely_changes)
         self._is_listed = False
         self._list_requested = Event()
 
@@ -183,41 +183,41 @@
     @property
     def items(self) -> list[KeyValue]:
         """The current items."""
-        return self._ordered.items
+        return self._state.items
 
     @property
     def revision(self) -> int:
         """Revision of the store up to which all changes are known."""
-        return self._ordered.revision
+        return self._state.revision
 
     def age_s(self) -> float:
         """Return the seconds since the store was known to be at that revision."""
-        return self._clock() - self._ordered.known_at
+        return self._clock() - self._state.known_at
 
     @property
     def is_fresh(self) -> bool:
         """Whether data of this age from peers replaces a store call."""
         return self._is_listed and self.age_s() < self._rules.peer_data_max_age_s
 
-    def word(self, since: int) -> PrefixDelta | None:
+    def delta(self, since: int) -> PrefixDelta | None:
         """Return the changes for a peer that knows all up to a revision."""
         if not self._is_listed:
             return None
-        return self._ordered.delta(self.name, since, self._clock())
+        return self._state.delta(self.name, since, self._clock())
 
-    def take_word(self, word: PrefixDelta, asked_at: float) -> bool:
+    def apply_delta(self, delta: PrefixDelta, requested_at: float) -> bool:
         """Apply the data of a peer; return whether it was complete.
 
         Parameters
         ----------
-        word : PrefixDelta
+        delta : PrefixDelta
             Data of the peer.
-        asked_at : float
+        requested_at : float
             When the peer was queried.
         """
         if not self._is_listed:
             return False
-        news = self._ordered.apply_delta(word, asked_at)
+        news = self._state.apply_delta(delta, requested_at)
         if news is None:
             self._list_requested.set()
             return False
@@ -226,9 +226,9 @@
 
     def _publish(self, news: list[WatchEvent]) -> None:
         if news:
-            self._on_changes(news, self._ordered.known_at)
+            self._on_changes(news, self._state.known_at)
         else:
-            self._on_known(self._ordered.items, self._ordered.known_at)
+            self._on_known(self._state.items, self._state.known_at)
 
     @property
     def _is_served_by_peers(self) -> bool:
@@ -244,7 +244,7 @@
         rules = self._rules
         failures = 0
         while True:
-            asked_at = self._clock()
+            requested_at = self._clock()
             listing = await self._store_health.track(
                 f"list-{rules.name}", self._store.list_prefix(rules.prefix)
             )
@@ -254,8 +254,8 @@
                 continue
             failures = 0
             self._list_requested = Event()
-            if self._ordered.apply_listing(listing, known_at=asked_at):
-                self._on_list(self._ordered.items, listing.revision, asked_at)
+            if self._state.apply_listing(listing, known_at=requested_at):
+                self._on_list(self._state.items, listing.revision, requested_at)
             self._is_listed = True
             await self._wait_until_list_due()
 
@@ -263,13 +263,13 @@
         """Wait until a list is due or requested."""
         listed_at = self._clock()
         while not self._list_requested.is_set():
-            gap_s = self._rules.list_gap_s()
-            left_s = LIST_POLL_S
-            if gap_s is not None and not self._is_served_by_peers:
-                left_s = min(LIST_POLL_S, listed_at + gap_s - self._clock())
-            if left_s <= 0:
+            interval_s = self._rules.list_interval_s()
+            remaining_s = LIST_POLL_S
+            if interval_s is not None and not self._is_served_by_peers:
+                remaining_s = min(LIST_POLL_S, listed_at + interval_s - self._clock())
+            if remaining_s <= 0:
                 return
-            with move_on_after(left_s):
+            with move_on_after(remaining_s):
                 await self._list_requested.wait()
 
     async def _watch(self) -> None:
@@ -289,12 +289,10 @@
                 await self._wait_until_peer_data_stale()
                 # Changes that were made in the meantime are needed immediately.
                 held_s = 0.0
-            asked_at = self._clock()
+            requested_at = self._clock()
             changes = await self._store_health.track(
                 f"watch-{rules.name}",
-                self._store.changes(
-                    rules.prefix, self._ordered.revision, wait_s=held_s
-                ),
+                self._store.changes(rules.prefix, self._state.revision, wait_s=held_s),
                 held_s=held_s,
             )
             if isinstance(changes, Unavailable):
@@ -313,8 +311,8 @@
                 self._list_requested.set()
             # A response without changes was held for the whole time.
             is_unchanged = not changes.events and not changes.unreadable
-            known_at = asked_at + (held_s if is_unchanged else 0.0)
-            news = self._ordered.apply_changes(changes, known_at=known_at)
+            known_at = requested_at + (held_s if is_unchanged else 0.0)
+            news = self._state.apply_changes(changes, known_at=known_at)
             self._publish(news)
             batched_s = rules.batch_s if news else 0.0
             if batched_s:
@@ -331,5 +329,5 @@
 
     async def _wait_until_peer_data_stale(self) -> None:
         while self._is_served_by_peers:
-            left_s = self._rules.peer_data_max_age_s - self.age_s()
-            await sleep(min(LIST_POLL_S, max(MIN_SLEEP_S, left_s)))
+            remaining_s = self._rules.peer_data_max_age_s - self.age_s()
+            await sleep(min(LIST_POLL_S, max(MIN_SLEEP_S, remaining_s)))
--- a/libs/direct/src/berylwalk/direct/_peer_messages.py
+++ b/libs/direct/src/berylwalk/direct/_peer_messages.py
@@ -5,7 +5,7 @@
 
 from msgspec import Struct, field
 
-from berylwalk.direct._statements import StatementUpdate
+from berylwalk.direct._flow_control import SignalsUpdate
 from berylwalk.dispatch import Peer
 from berylwalk.quarantine import QuarantineUpdate
 from berylwalk.rollout import RolloutUpdate
@@ -80,7 +80,7 @@
 
     Parameters
     ----------
-    news : RouterUpdate
+    update : RouterUpdate
         State of the sender.
     loads : dict
         Loads of the sender at targets.
@@ -93,17 +93,17 @@
         Prefix placements since the previous message.
     quarantine : QuarantineUpdate
         Changes in the quarantine.
-    statements : list of StatementUpdate
+    signals : list of SignalsUpdate
         Signals of targets in the sender's responses.
     """
 
-    news: RouterUpdate
+    update: RouterUpdate
     loads: Loads
     history_from: str | None = None
     spending_history: dict[str, list[float]] | None = None
     reads: Reads = field(default_factory=list)
     quarantine: QuarantineUpdate = field(default_factory=QuarantineUpdate)
-    statements: list[StatementUpdate] = field(default_factory=list)
+    signals: list[SignalsUpdate] = field(default_factory=list)
 
 
 class DomainMessage(Struct, array_like=True, tag=2):
@@ -123,7 +123,7 @@
         Their prefix placements since the relay's previous message.
     quarantine : QuarantineUpdate
         Changes in the quarantine.
-    statements : list of StatementUpdate
+    signals : list of SignalsUpdate
         Signals of targets in their responses.
     """
 
@@ -133,7 +133,7 @@
     is_forwarded: bool = False
     reads: Reads = field(default_factory=list)
     quarantine: QuarantineUpdate = field(default_factory=QuarantineUpdate)
-    statements: list[StatementUpdate] = field(default_factory=list)
+    signals: list[SignalsUpdate] = field(default_factory=list)
 
 
 class LoadMessage(Struct, array_like=True, tag=5):
--- a/libs/direct/src/berylwalk/direct/_peering.py
+++ b/libs/direct/src/berylwalk/direct/_peering.py
@@ -16,6 +16,11 @@
 from msgspec.structs import replace
 
 from berylwalk.direct._context import RouterContext
+from berylwalk.direct._flow_control import (
+    merge_signals,
+    own_signals,
+    update_limit_shares,
+)
 from berylwalk.direct._membership import Membership
 from berylwalk.direct._peer_messages import (
     DomainMessage,
@@ -26,12 +31,7 @@
     RouterUpdate,
 )
 from berylwalk.direct._shared_reads import SharedReads
-from berylwalk.direct._statement_aggregate import StatementAggregate
-from berylwalk.direct._statements import (
-    merge_statements,
-    own_statements,
-    update_limit_shares,
-)
+from berylwalk.direct._signals_aggregate import SignalsAggregate
 from berylwalk.direct._store_health import StoreHealth
 from berylwalk.dispatch import PEERS_OF_ONE_MESH, Knowledge, Peer, Read, Target
 from berylwalk.platform import KeyValueClient
@@ -94,7 +94,7 @@
         self._last_sent_at = float("-inf")
         self._updates_by_name: dict[str, RouterUpdate] = {}
         self._prefixes_to_relay: deque[Read] = deque(maxlen=MAX_RELAYED_PREFIXES)
-        self._statement_aggregate = StatementAggregate()
+        self._signals_aggregate = SignalsAggregate()
         self._pending_placements: Loads = {}
         self._send_requested = Event()
         self._decoder = msgpack.Decoder(
@@ -222,16 +222,16 @@
         loads = context.targets.own_loads()
         spent = context.allowances.spent_by_account()
         now = context.clock()
-        history_from = self._peer_to_ask(now)
+        history_from = self._history_source(now)
         reads = context.dispatcher.prefix_reads.take_news()
         self._prefixes_to_relay.extend(reads)
         quarantine = context.quarantine.next_update(
             context.quarantine.direct_outbox, context.clock()
         )
         rollouts = [replace(each, age_s=0.0) for each in context.rollouts.updates(now)]
-        statements = own_statements(context)
-        statement_contents = [each.content for each in statements]
-        current = (loads, spent, rollouts, statement_contents)
+        signals = own_signals(context)
+        signal_contents = [each.content for each in signals]
+        current = (loads, spent, rollouts, signal_contents)
         is_unchanged = self._last_sent == current and history_from is None and not reads
         if (
             is_unchanged
@@ -247,7 +247,7 @@
             history_from,
             reads=reads,
             quarantine=quarantine,
-            statements=statements,
+            signals=signals,
         )
         self._send(msgpack.encode(message), context.peers.near())
 
@@ -275,20 +275,20 @@
         context = self._context
         peers = context.peers
         heard = [peer.name for peer in peers.near() if peers.is_heard(peer, now)]
-        news = [
+        updates = [
             self._updates_by_name[name]
             for name in heard
             if name in self._updates_by_name
         ]
         return DomainMessage(
             context.settings.failure_domain,
-            [self._own_update(now), *news],
+            [self._own_update(now), *updates],
             context.targets.loads_with(heard),
             reads=self._take_prefixes_to_relay(),
             quarantine=context.quarantine.next_update(
                 context.quarantine.relay_outbox, context.clock()
             ),
-            statements=self._statement_aggregate.merged(own_statements(context), now),
+            signals=self._signals_aggregate.merge(own_signals(context), now),
         )
 
     def _take_prefixes_to_relay(self) -> list[Read]:
@@ -302,7 +302,7 @@
 
     # Spending history for routers that have just started
 
-    def _peer_to_ask(self, now: float) -> str | None:
+    def _history_source(self, now: float) -> str | None:
         """Return the peer to request the spending history from; None if it is complete.
 
         A random one each time, because a peer may not have it or its response may be
@@ -315,7 +315,7 @@
         heard = [peer.name for peer in peers.near() if peers.is_heard(peer, now)]
         return choice(heard) if heard else None
 
-    def _answer_newcomer(self, newcomer: Peer, now: float) -> None:
+    def _send_history(self, receiver: Peer, now: float) -> None:
         """Send the spending history to a router that asked for it, if complete here.
 
         It takes kilobytes, so it is sent to that router only.
@@ -328,7 +328,7 @@
             context.targets.own_loads(),
             spending_history=context.allowances.spent_by_bin(now),
         )
-        self._send(msgpack.encode(message), [newcomer])
+        self._send(msgpack.encode(message), [receiver])
 
     # Receiving
 
@@ -358,18 +358,18 @@
 
     def _receive_peer_message(self, message: PeerMessage, now: float) -> None:
         context = self._context
-        sender = message.news.to_peer()
-        if not self._receive_update(message.news, now):
+        sender = message.update.to_peer()
+        if not self._receive_update(message.update, now):
             return
         if context.peers.is_near(sender):
             context.targets.hear_loads(sender.name, message.loads)
             context.dispatcher.prefix_reads.hear(message.reads)
             self._prefixes_to_relay.extend(message.reads)
             self._merge_quarantine(message.quarantine, is_near=True)
-            merge_statements(context, message.statements, sender.name)
-            self._statement_aggregate.note(sender.name, message.statements, now)
+            merge_signals(context, message.signals, sender.name)
+            self._signals_aggregate.note(sender.name, message.signals, now)
         if message.history_from == context.settings.name:
-            self._answer_newcomer(sender, now)
+            self._send_history(sender, now)
         if message.spending_history is not None:
             context.allowances.learn(message.spending_history, Knowledge.ALL, now)
 
@@ -384,44 +384,46 @@
         context = self._context
         if message.failure_domain == context.settings.failure_domain:
             return
-        for news in message.routers:
-            if news.name != context.settings.name:
-                self._receive_update(news, now)
+        for update in message.routers:
+            if update.name != context.settings.name:
+                self._receive_update(update, now)
         if message.failure_domain in context.peers.far_domains():
             source = DOMAIN_SOURCE + message.failure_domain
             context.targets.hear_loads(source, message.loads)
         context.dispatcher.prefix_reads.hear(message.reads)
         self._merge_quarantine(message.quarantine, is_near=False)
-        merge_statements(context, message.statements, message.failure_domain)
+        merge_signals(context, message.signals, message.failure_domain)
         if not message.is_forwarded:
             data = msgpack.encode(replace(message, is_forwarded=True))
             self._send(data, context.peers.near())
 
-    def _receive_update(self, news: RouterUpdate, now: float) -> bool:
+    def _receive_update(self, update: RouterUpdate, now: float) -> bool:
         """Apply an update about a router; return False if it is outdated."""
-        peer = news.to_peer()
+        peer = update.to_peer()
         if not self._context.peers.hear(peer, now):
             return False
-        self._updates_by_name[news.name] = news
-        self._store_health.update_peer_health(news.store_healthy_s)
+        self._updates_by_name[update.name] = update
+        self._store_health.update_peer_health(update.store_healthy_s)
         self._context.allowances.hear(
-            life_of(peer),
-            news.spent,
-            is_new=news.age_s < now - self._started_at,
+            incarnation_of(peer),
+            update.spent,
+            is_new=update.age_s < now - self._started_at,
             now=now,
         )
-        self._context.allowances.urgent_demand.hear(life_of(peer), news.demand, now)
-        self._context.rollouts.merge(life_of(peer), news.rollouts, now)
+        self._context.allowances.urgent_demand.hear(
+            incarnation_of(peer), update.demand, now
+        )
+        self._context.rollouts.merge(incarnation_of(peer), update.rollouts, now)
         return True
 
-    def _merge_quarantine(self, news: QuarantineUpdate, *, is_near: bool) -> None:
+    def _merge_quarantine(self, update: QuarantineUpdate, *, is_near: bool) -> None:
         context = self._context
-        context.quarantine.merge(news, context.clock(), is_direct=is_near)
+        context.quarantine.merge(update, context.clock(), is_direct=is_near)
 
     def _forget(self, peer: Peer) -> None:
         """Remove the state of a peer process that has ended."""
         self._context.targets.hear_loads(peer.name, {})
-        self._context.allowances.forget(life_of(peer))
+        self._context.allowances.forget(incarnation_of(peer))
         self._updates_by_name.pop(peer.name, None)
 
 
@@ -446,6 +448,6 @@
     return min(shortest_s * max(1.0, peers / PEERS_OF_ONE_MESH), MAX_SEND_INTERVAL_S)
 
 
-def life_of(peer: Peer) -> str:
+def incarnation_of(peer: Peer) -> str:
     """Return the id of one process lifetime of a router."""
     return f"{peer.name}/{peer.life}"
--- a/libs/direct/src/berylwalk/direct/_quarantine_store.py
+++ b/libs/direct/src/berylwalk/direct/_quarantine_store.py
@@ -157,14 +157,14 @@
     def _due(self, now: float, *, is_first: bool) -> list[Identity]:
         """Return the requests with evidence that is missing in the store."""
         quarantine = self._context.quarantine
-        wanting = [
+        missing = [
             identity
             for identity in (*quarantine.blames, *quarantine.suspected)
             if quarantine.stored_crashes.get(identity, 0)
             < min(CRASHES_TO_BLAME, len(quarantine.crashed_incarnations(identity)))
         ]
         self._due_since = {
-            identity: self._due_since.get(identity, now) for identity in wanting
+            identity: self._due_since.get(identity, now) for identity in missing
         }
         return [
             identity
@@ -230,12 +230,12 @@
         if not await self._read_all("look-quarantine"):
             return
         now_s = self._wall_clock()
-        old = [
+        expired = [
             identity
             for identity, known in self._stored.items()
             if now_s - known.record.noted_s > RECORD_TTL_S
         ]
-        for identity in old:
+        for identity in expired:
             if await self._delete(identity):
                 self._release(identity)
 
@@ -279,8 +279,8 @@
                 key=item.key.decode("latin-1"),
                 detail=repr(error),
             )
-            spent = Record([], trials=len(TRIAL_DELAYS_S))
-            self._stored[identity] = _StoredRecord(spent, item.mod_revision)
+            exhausted = Record([], trials=len(TRIAL_DELAYS_S))
+            self._stored[identity] = _StoredRecord(exhausted, item.mod_revision)
             return None
         known = self._stored[identity] = _StoredRecord(record, item.mod_revision)
         quarantine = self._context.quarantine
--- a/libs/direct/src/berylwalk/direct/_rollout_coordinator.py
+++ b/libs/direct/src/berylwalk/direct/_rollout_coordinator.py
@@ -15,7 +15,7 @@
 from berylwalk.direct._context import RouterContext
 from berylwalk.direct._invalid_items import InvalidItemLog
 from berylwalk.direct._mirrored_prefix import MirroredPrefix, MirrorRules, ReadRole
-from berylwalk.direct._peering import life_of
+from berylwalk.direct._peering import incarnation_of
 from berylwalk.direct._shared_reads import SharedReads
 from berylwalk.direct._store_health import StoreHealth
 from berylwalk.platform import (
@@ -147,7 +147,7 @@
             prefix=RECORDS_PREFIX,
             name="rollouts",
             bound_s=RECORD_MAX_AGE_S,
-            list_gap_s=lambda: LIST_INTERVAL_S,
+            list_interval_s=lambda: LIST_INTERVAL_S,
             peer_data_max_age_s=RECORD_PEER_DATA_MAX_AGE_S,
             rarely_changes=True,
         )
@@ -156,7 +156,7 @@
             self._store_health,
             rules,
             clock=self._context.clock,
-            on_list=lambda items, revision, asked_at: self._apply_all(items),
+            on_list=lambda items, revision, requested_at: self._apply_all(items),
             on_changes=self._apply_changes,
             on_known=lambda items, known_at: self._apply_all(items),
             role=self._role,
@@ -249,7 +249,7 @@
             return Record.start(order, former, self._wall_clock())
         peers = self._context.peers
         heard = [
-            life_of(peer)
+            incarnation_of(peer)
             for peer in peers.by_name.values()
             if peers.is_heard(peer, now)
         ]
--- a/libs/direct/src/berylwalk/direct/_shared_reads.py
+++ b/libs/direct/src/berylwalk/direct/_shared_reads.py
@@ -68,7 +68,7 @@
         self._send = send
         self._pending = PendingSyncs()
         self._mirrors_by_name: dict[str, MirroredPrefix] = {}
-        self._remote_turns = count()
+        self._remote_domain_index = count()
         self._mode: ReadMode | None = None
         self._last_source = ""
 
@@ -135,58 +135,60 @@
             return []
         self._pending.retain(set(peers.by_name))
         reader = None if peers.is_relay(now) else peers.first_near(now)
-        asked = [] if reader is None else [reader]
-        answers = reader is not None and not self._pending.has_unanswered(reader.name)
-        if not answers and not self._is_fresh():
-            asked += self._remote_reader(far_domains, now)
-        return asked
+        queried = [] if reader is None else [reader]
+        reader_responds = reader is not None and not self._pending.has_unanswered(
+            reader.name
+        )
+        if not reader_responds and not self._is_fresh():
+            queried += self._remote_reader(far_domains, now)
+        return queried
 
     def _is_fresh(self) -> bool:
         return all(mirror.is_fresh for mirror in self._mirrors_by_name.values())
 
     def _remote_reader(self, far_domains: list[str], now: float) -> list[Peer]:
         """Return the reader of another failure domain; a different domain each time."""
-        turn = next(self._remote_turns) % len(far_domains)
-        reader = self._context.peers.relay_of(far_domains[turn], now)
+        index = next(self._remote_domain_index) % len(far_domains)
+        reader = self._context.peers.relay_of(far_domains[index], now)
         return [] if reader is None else [reader]
 
     def _send_query(self, peer: Peer) -> None:
         settings = self._context.settings
-        ask = StoreSyncRequest(
+        request = StoreSyncRequest(
             settings.name,
             settings.caller_address.host,
             settings.peer_port,
             self._pending.start(peer.name, self._context.clock()),
             {name: each.revision for name, each in self._mirrors_by_name.items()},
         )
-        self._send(msgpack.encode(ask), [peer])
+        self._send(msgpack.encode(request), [peer])
 
-    def handle_query(self, ask: StoreSyncRequest) -> None:
+    def handle_query(self, request: StoreSyncRequest) -> None:
         """Answer a query with the data of the own mirrors."""
-        words = [
-            self._mirrors_by_name[name].word(since)
-            for name, since in ask.revisions.items()
+        deltas = [
+            self._mirrors_by_name[name].delta(since)
+            for name, since in request.revisions.items()
             if name in self._mirrors_by_name
         ]
-        tell = StoreSyncReply(
+        reply = StoreSyncReply(
             self._context.settings.name,
-            ask.number,
-            [word for word in words if word is not None],
+            request.number,
+            [delta for delta in deltas if delta is not None],
         )
-        asker = Peer(ask.sender, ask.host, ask.port, "")
-        self._send(msgpack.encode(tell), [asker])
+        requester = Peer(request.sender, request.host, request.port, "")
+        self._send(msgpack.encode(reply), [requester])
 
-    def handle_reply(self, tell: StoreSyncReply) -> None:
+    def handle_reply(self, reply: StoreSyncReply) -> None:
         """Apply the data of another router."""
-        asked_at = self._pending.resolve(tell.number, tell.sender)
-        if asked_at is None or not self._store_health.accepts_peer_data():
+        requested_at = self._pending.resolve(reply.number, reply.sender)
+        if requested_at is None or not self._store_health.accepts_peer_data():
             return
-        self._last_source = tell.sender
-        for word in tell.deltas:
-            mirror = self._mirrors_by_name.get(word.name)
+        self._last_source = reply.sender
+        for delta in reply.deltas:
+            mirror = self._mirrors_by_name.get(delta.name)
             if mirror is None:
                 continue
-            is_all = mirror.take_word(word, asked_at)
-            self._store_health.record_peer_answer(asked_at - word.age_s)
-            outcome = "taken" if is_all else "changes-not-told"
-            self._context.metrics.words.labels(word.name, outcome).inc()
+            is_complete = mirror.apply_delta(delta, requested_at)
+            self._store_health.record_peer_answer(requested_at - delta.age_s)
+            outcome = "taken" if is_complete else "changes-not-told"
+            self._context.metrics.store_deltas.labels(delta.name, outcome).inc()
--- a/libs/direct/src/berylwalk/direct/_spending_store.py
+++ b/libs/direct/src/berylwalk/direct/_spending_store.py
@@ -98,10 +98,10 @@
         if self._lease_id is not None:
             if now - self._renewed_at < LEASE_RENEW_INTERVAL_S:
                 return True
-            left_s = await self._store_health.track(
+            remaining_s = await self._store_health.track(
                 "renew-spending", self._store.keep_alive(self._lease_id)
             )
-            if not isinstance(left_s, Unavailable) and left_s > 0:
+            if not isinstance(remaining_s, Unavailable) and remaining_s > 0:
                 self._renewed_at = now
                 return True
             self._lease_id = None
--- a/libs/direct/src/berylwalk/direct/_store_health.py
+++ b/libs/direct/src/berylwalk/direct/_store_health.py
@@ -92,13 +92,13 @@
         object
             Result of the client.
         """
-        asked_at = self._context.clock()
+        requested_at = self._context.clock()
         result = await call
-        self.record_result(purpose, result, asked_at, held_s=held_s)
+        self.record_result(purpose, result, requested_at, held_s=held_s)
         return result
 
     def record_result(
-        self, purpose: str, result: object, asked_at: float, *, held_s: float = 0.0
+        self, purpose: str, result: object, requested_at: float, *, held_s: float = 0.0
     ) -> None:
         """Record the result of a call.
 
@@ -108,7 +108,7 @@
             Purpose of the call, for metrics and logs.
         result : object
             Result of the client.
-        asked_at : float
+        requested_at : float
             When the call was made.
         held_s : float
             How long the store may have held the call, in seconds.
@@ -122,13 +122,13 @@
             context.log.process(
                 "store-call-failed",
                 purpose=purpose,
-                asked_ms_ago=round((now - asked_at) * 1000),
+                asked_ms_ago=round((now - requested_at) * 1000),
                 detail=result.detail,
             )
             # A call that was due before a later answer says nothing new.
             if (
                 self.unreachable_since is None
-                and asked_at + held_s >= self._answered_at
+                and requested_at + held_s >= self._answered_at
             ):
                 self.unreachable_since = now
                 context.log.process("store-lost", purpose=purpose, detail=result.detail)
--- a/libs/direct/src/berylwalk/direct/_target_feed.py
+++ b/libs/direct/src/berylwalk/direct/_target_feed.py
@@ -71,7 +71,7 @@
             name="targets",
             bound_s=context.settings.drain_s,
             batch_s=CHANGE_BATCH_S,
-            list_gap_s=self._list_gap_s,
+            list_interval_s=self._list_interval_s,
             peer_data_max_age_s=peer_data_max_age_s(
                 context.settings.drain_s, CHANGE_BATCH_S
             ),
@@ -95,25 +95,27 @@
     def _log_short_bound(self) -> None:
         """Log a staleness bound that can't be kept if a watch response is lost."""
         bound_s = self._context.settings.drain_s
-        may_be_s = max_age_s(bound_s, CHANGE_BATCH_S)
-        if may_be_s > bound_s + ROUNDING_TOLERANCE_S:
+        worst_age_s = max_age_s(bound_s, CHANGE_BATCH_S)
+        if worst_age_s > bound_s + ROUNDING_TOLERANCE_S:
             self._context.log.process(
                 "bound-too-short",
                 setting="drain_s",
                 bound_ms=round(bound_s * 1000),
-                may_be_ms=round(may_be_s * 1000),
+                may_be_ms=round(worst_age_s * 1000),
             )
 
-    def _list_gap_s(self) -> float | None:
+    def _list_interval_s(self) -> float | None:
         entries_may_return = self._store_health.entries_may_return(
             self._context.targets.absence_grace_s
         )
         return LIST_INTERVAL_AFTER_OUTAGE_S if entries_may_return else None
 
-    def _apply_all(self, items: list[KeyValue], revision: int, asked_at: float) -> None:
+    def _apply_all(
+        self, items: list[KeyValue], revision: int, requested_at: float
+    ) -> None:
         context = self._context
         now = context.clock()
-        context.targets.note_confirmed(asked_at)
+        context.targets.note_confirmed(requested_at)
         entries = []
         for item in items:
             entry = self._decode_usable(item)
@@ -174,8 +176,8 @@
     def _is_missing_start(self, entry: TargetEntry) -> bool:
         """Return whether an entry lacks a start time that was reported before."""
         known = self._context.targets.by_id.get(entry.target_id)
-        has_told = known is not None and known.entry.started_ms is not None
-        return has_told and entry.started_ms is None
+        was_reported = known is not None and known.entry.started_ms is not None
+        return was_reported and entry.started_ms is None
 
     def _check_service(self, entry: TargetEntry) -> None:
         """Report an entry whose service is not configured.
--- a/libs/direct/src/berylwalk/direct/_version_observer.py
+++ b/libs/direct/src/berylwalk/direct/_version_observer.py
@@ -69,7 +69,7 @@
         self, others: Sequence[Target], start: ExpectedStart
     ) -> float | None:
         """Return the usual time to a first event or full response, or None."""
-        if self._admitted.facts.work.prompt_tokens:
+        if self._admitted.parsed_headers.work.prompt_tokens:
             model = self._target.start_model
             reading_s = model.reading_s(
                 self._token_s, start.ahead_tokens, start.own_tokens
--- a/libs/direct/tests/virtual_statements.py
+++ b/libs/direct/tests/virtual_statements.py
@@ -132,8 +132,8 @@
             sendto=self._send, is_closing=lambda: False
         )
         self.context.on_placed = self.peering.announce_placement
-        if hasattr(self.context, "on_statement_news"):
-            self.context.on_statement_change = self.peering.send_soon
+        if hasattr(self.context, "on_signals_changed"):
+            self.context.on_signals_changed = self.peering.send_soon
 
     def _note_bytes(self, life_id):
         target = self.context.targets.by_life_id.get(life_id)
@@ -176,7 +176,7 @@
         headers = [(b"Attempt-Id", request_id), (b"X-Router", self.name.encode())]
         admitted = Admitted(
             request=CallerRequest(b"GET", b"/", headers, b"", b"", now, True),
-            facts=parse_request_headers(headers),
+            parsed_headers=parse_request_headers(headers),
             route=self.play.route,
             account=None,
             rank=(0, 0),
