--- a/libs/agent/src/berylwalk/agent/_dispatch.py
+++ b/libs/agent/src/berylwalk/agent/_dispatch.py
@@ -219,7 +219,7 @@
         statement = read_statement(stream.status, headers)
         if statement.problem:
             logging.warning("the target states: %s", statement.problem)
-        if not statement.is_plain or self._shell.machine.awaits_statement:
+        if not statement.is_empty or self._shell.machine.awaits_statement:
             is_taken = stream.status < SERVER_ERROR and stream.status != TURNED_AWAY
             self._shell.handle(TargetStated(statement, sent_at, is_taken))
 
--- a/libs/agent/src/berylwalk/agent/_events.py
+++ b/libs/agent/src/berylwalk/agent/_events.py
@@ -3,7 +3,7 @@
 from dataclasses import dataclass
 from enum import StrEnum
 
-from berylwalk.dispatch import TargetStatement
+from berylwalk.dispatch import TargetSignals
 from berylwalk.model import Refusal, RequestId, TierPolicy
 from berylwalk.wire import ControlMessage, Datagram, Grant
 
@@ -50,7 +50,7 @@
 
     Parameters
     ----------
-    statement : TargetStatement
+    statement : TargetSignals
         What it states.
     sent_at : float
         When its request was sent, in seconds.
@@ -58,7 +58,7 @@
         Whether the target took the request.
     """
 
-    statement: TargetStatement
+    statement: TargetSignals
     sent_at: float
     is_taken: bool
 
--- a/libs/agent/src/berylwalk/agent/_slots.py
+++ b/libs/agent/src/berylwalk/agent/_slots.py
@@ -13,7 +13,7 @@
 )
 from berylwalk.agent._config import AgentConfig
 from berylwalk.agent._events import DispatchEnd, TargetProgress, TargetStated
-from berylwalk.dispatch import Need, StatedNeeds
+from berylwalk.dispatch import FlowControl, FlowControlSignal
 from berylwalk.model import RequestId, TierPolicy
 from berylwalk.wire import Grant
 
@@ -63,7 +63,7 @@
         self.tiers: tuple[TierPolicy, ...] = ()
         self.running_by_id: dict[RequestId, Running] = {}
         self._now = 0.0
-        self._needs = StatedNeeds()
+        self._needs = FlowControl()
         self.forget_needs()
         self._held = 0
         # Running requests and held slots.
@@ -82,22 +82,22 @@
     @property
     def is_held_back(self) -> bool:
         """Whether the target has said that it takes nothing at this moment."""
-        return self._needs.obstacle(self._now) is not None
+        return self._needs.ineligibility_reason(self._now) is not None
 
     @property
     def is_at_rest(self) -> bool:
         """Whether it wants nothing, not even what has its slot already."""
-        return self._needs.rest.is_on(self._now)
+        return self._needs.backoff.is_on(self._now)
 
     @property
     def awaits_statement(self) -> bool:
         """Whether an answer that states nothing would be news."""
         needs = self._needs
-        return needs.limit.per_s is not None or needs.rest.sends_left is not None
+        return needs.limit.per_s is not None or needs.backoff.sends_left is not None
 
     def opens_in_s(self) -> float:
         """Return the time until the target takes more, as far as it has said."""
-        return max(0.0, self._needs.opens_at(self._now) - self._now)
+        return max(0.0, self._needs.available_at(self._now) - self._now)
 
     def wait_s(self, ahead: Work) -> float:
         """Return the expected wait behind some work, in seconds."""
@@ -113,12 +113,12 @@
             event.statement, sent_at=event.sent_at, now=self._now
         )
         if event.is_taken:
-            self._needs.rest.note_taken(self.limit, sent_at=event.sent_at)
-        return Need.LEAVING in changed
+            self._needs.backoff.note_accepted(self.limit, sent_at=event.sent_at)
+        return FlowControlSignal.LEAVING in changed
 
     def forget_needs(self) -> None:
         """Begin with a target that has said nothing: it has started again."""
-        self._needs = StatedNeeds()
+        self._needs = FlowControl()
         # All work for the target passes through here.
         self._needs.limit.set_share(1.0, self._now)
 
--- a/libs/agent/tests/test_agent_stated_needs.py
+++ b/libs/agent/tests/test_agent_stated_needs.py
@@ -11,14 +11,14 @@
     TargetStated,
     Tick,
 )
-from berylwalk.dispatch import TargetStatement
+from berylwalk.dispatch import TargetSignals
 from berylwalk.model import RefusalReason
 from berylwalk.wire import Queued, Ready, Withdraw
 
 
 def states(driver, *, is_taken=True, **statement):
     """Let an answer state something of the target."""
-    stated = TargetStatement(**statement)
+    stated = TargetSignals(**statement)
     driver.handle(TargetStated(stated, driver.now - 0.1, is_taken))
 
 
@@ -88,14 +88,14 @@
         """Not even what has got its slot before."""
         driver = Driver(initial_limit=4)
         assert driver.receive(reserve(rid(1))) == [Ready(rid(1), 1)]
-        states(driver, rest_s=3.0, is_taken=False)
+        states(driver, retry_after_s=3.0, is_taken=False)
         assert driver.grant(rid(1)) is RefusalReason.NO_SLOT
         assert dispatched(driver, 2.8) == 0
 
     def test_one_first_and_then_more(self):
         """As the target takes them."""
         driver = Driver(initial_limit=4)
-        states(driver, rest_s=1.0, is_taken=False)
+        states(driver, retry_after_s=1.0, is_taken=False)
         driver.handle(Tick(), after=1.0)
         assert driver.grant(rid(1), conditional=True) is None
         assert driver.grant(rid(2), conditional=True) is RefusalReason.NO_SLOT
--- a/libs/cli/src/berylwalk/cli/_parser.py
+++ b/libs/cli/src/berylwalk/cli/_parser.py
@@ -137,7 +137,7 @@
         default=[],
         type=setting_change,
         metavar="NAME=VALUE",
-        help="change a setting, such as _place_limits.RESERVED_PLACES=0",
+        help="change a setting, such as _concurrency_limits.RESERVED_REQUESTS=0",
     )
 
     text = "show what a direct router believes, from its metrics"
--- a/libs/cli/tests/test_cli_platform_commands.py
+++ b/libs/cli/tests/test_cli_platform_commands.py
@@ -83,7 +83,7 @@
         ("options", "text"),
         [
             (["--without", "nothing"], "no mechanism 'nothing'"),
-            (["--set", "_placing.NONE=1"], "NONE"),
+            (["--set", "_placement.NONE=1"], "NONE"),
             (["--set", "_nowhere.NONE=1"], "_nowhere"),
         ],
     )
--- a/libs/direct/src/berylwalk/direct/_admission.py
+++ b/libs/direct/src/berylwalk/direct/_admission.py
@@ -4,7 +4,7 @@
 from random import random
 
 from berylwalk.direct._context import RouterContext
-from berylwalk.dispatch import Account, AllowanceState, Allowed, Denied, Route
+from berylwalk.dispatch import Account, Allowed, Denied, QuotaState, Route
 from berylwalk.forwarding import CallerRequest
 from berylwalk.platform import BadHeaders, CallFacts, read_call
 from berylwalk.quarantine import Identity, Standing, request_identity
@@ -110,14 +110,14 @@
         Where the request goes, or would go.
     cost : float
         Its units.
-    state : AllowanceState
+    state : QuotaState
         What was counted; the cost included if the request was taken.
     """
 
     account_name: str
     route: Route
     cost: float
-    state: AllowanceState
+    state: QuotaState
 
 
 def admit(context: RouterContext, request: CallerRequest) -> Admitted | Refusal:
@@ -140,8 +140,8 @@
     if admitted.account is None:
         return admitted
     account, route, cost = admitted.account, admitted.route, admitted.cost
-    wait_s = context.allowances.take(account, cost, route.priority, now)
-    state = context.allowances.state(account, now)
+    wait_s = context.quotas.take(account, cost, route.priority, now)
+    state = context.quotas.state(account, now)
     spent = Spent(account.name, route, cost, state)
     if wait_s > 0:
         return Refusal(429, "allowance-spent", wait_s, facts.request_id, spent)
--- a/libs/direct/src/berylwalk/direct/_attempt.py
+++ b/libs/direct/src/berylwalk/direct/_attempt.py
@@ -5,7 +5,7 @@
 from anyio import Event as Signal
 
 from berylwalk.direct._relay import Relay
-from berylwalk.dispatch import NOTHING_STATED, AttemptEnd, TargetStatement
+from berylwalk.dispatch import NO_SIGNALS, AttemptEnd, TargetSignals
 from berylwalk.forwarding import AnswerEnd, EventSplitter, Headers, header_value
 from berylwalk.platform import REQUEST_ID_HEADER, read_statement, says_not_run
 
@@ -60,7 +60,7 @@
         clock: Callable[[], float],
         on_first_event: Callable[[], None],
         on_output: Callable[[int, float], None],
-        on_statement: Callable[[TargetStatement, int], None],
+        on_statement: Callable[[TargetSignals, int], None],
     ) -> None:
         self._relay = relay
         self._request_id = request_id
@@ -76,7 +76,7 @@
         self._body_bytes = 0
         self.status = 0
         self.headers: Headers = []
-        self.statement = NOTHING_STATED
+        self.statement = NO_SIGNALS
         self.done = Signal()
         self.end: AttemptEnd | None = None
         self.detail = ""
--- a/libs/direct/src/berylwalk/direct/_configuration_feed.py
+++ b/libs/direct/src/berylwalk/direct/_configuration_feed.py
@@ -171,7 +171,7 @@
             return
         self._findings.clear(item.key.decode())
         if state.confirm(configuration, asked_at):
-            self._context.allowances.set_accounts(
+            self._context.quotas.set_accounts(
                 configuration.accounts, self._context.clock()
             )
             self._context.metrics.configuration_version.set(configuration.version)
--- a/libs/direct/src/berylwalk/direct/_context.py
+++ b/libs/direct/src/berylwalk/direct/_context.py
@@ -7,10 +7,10 @@
 from berylwalk.direct._metrics import RouterMetrics
 from berylwalk.direct._suspension import SuspensionWatch
 from berylwalk.dispatch import (
-    Allowances,
     ConfigurationState,
     Dispatcher,
     PeerTable,
+    QuotaTracker,
     RouterSettings,
     Target,
     TargetTable,
@@ -35,7 +35,7 @@
         Beliefs about targets.
     dispatcher : Dispatcher
         Places and waiting requests.
-    allowances : Allowances
+    quotas : QuotaTracker
         What client accounts may spend.
     retries : WindowedRetryBudget
         What may be sent again.
@@ -65,7 +65,7 @@
     configuration: ConfigurationState
     targets: TargetTable
     dispatcher: Dispatcher
-    allowances: Allowances
+    quotas: QuotaTracker
     retries: WindowedRetryBudget
     quarantine: Quarantine
     rollouts: Rollouts
--- a/libs/direct/src/berylwalk/direct/_daemon.py
+++ b/libs/direct/src/berylwalk/direct/_daemon.py
@@ -27,11 +27,11 @@
 from berylwalk.direct._suspension import SuspensionWatch
 from berylwalk.direct._target_feed import TargetFeed
 from berylwalk.dispatch import (
-    Allowances,
     CallerLimits,
     ConfigurationState,
     Dispatcher,
     PeerTable,
+    QuotaTracker,
     RouterSettings,
     SocketAddress,
     TargetTable,
@@ -130,15 +130,15 @@
         )
         targets = TargetTable()
 
-        def note_bytes(life_id: str) -> None:
-            target = targets.by_life_id.get(life_id)
+        def note_bytes(incarnation_id: str) -> None:
+            target = targets.by_incarnation_id.get(incarnation_id)
             if target is not None:
                 target.note_heard(clock())
 
         peers = PeerTable(settings.name, settings.failure_domain)
         rollouts = Rollouts(settings.exposure, router=uuid4().hex)
-        rollouts.routers_known = peers.known
-        rollouts.at_other_versions = targets.in_flight_elsewhere
+        rollouts.routers_known = peers.known_count
+        rollouts.at_other_versions = targets.in_flight_other_versions
         address = settings.store_address
         store = KeyValueClient.from_config(
             [f"http://{address.host}:{address.port}"], timeout_s=CALL_TIMEOUT_S
@@ -152,7 +152,7 @@
                 failure_domain=settings.failure_domain,
                 rollouts=rollouts,
             ),
-            allowances=Allowances(settings.allowances, started_at=clock()),
+            quotas=QuotaTracker(settings.allowances, started_at=clock()),
             retries=WindowedRetryBudget(
                 ratio=settings.retry_ratio,
                 slack=settings.retry_slack,
@@ -336,6 +336,6 @@
             for listener in (self._callers, self._readiness, self._metrics):
                 listener.sweep()
             self._context.pool.sweep()
-            self._context.dispatcher.pump_all(self._context.clock())
+            self._context.dispatcher.dispatch_all_queued(self._context.clock())
             self._context.quarantine.sweep(self._context.clock())
             self._context.log.flush()
--- a/libs/direct/src/berylwalk/direct/_exchange.py
+++ b/libs/direct/src/berylwalk/direct/_exchange.py
@@ -15,12 +15,12 @@
 from berylwalk.dispatch import (
     AttemptEnd,
     Attempts,
-    Patience,
+    PendingRequest,
+    RequestDeadlines,
     Target,
-    Ticket,
-    patience_after_failure,
-    patience_at_arrival,
-    return_time_s,
+    deadlines_after_failure,
+    deadlines_at_arrival,
+    retry_after_s,
 )
 from berylwalk.forwarding import CallerConnection, CallerRequest
 from berylwalk.platform import refusal_headers
@@ -139,11 +139,11 @@
             self._give_up(AttemptEnd.NOT_SENT, HELD_BACK)
             return
         context.retries.record_request(admitted.service, context.clock())
-        patience = patience_at_arrival(
+        deadlines = deadlines_at_arrival(
             admitted.request.arrived_at, admitted.route.objective_s, admitted.ends_at
         )
         while True:
-            target = await self._place(patience)
+            target = await self._place(deadlines)
             if target is None:
                 self._give_up(AttemptEnd.NOT_SENT, "no-place")
                 return
@@ -155,8 +155,8 @@
             if reason:
                 self._end_failed(attempt, reason)
                 return
-            self._excluded.add(target.entry.life_id)
-            patience = patience_after_failure(context.clock(), admitted.ends_at)
+            self._excluded.add(target.entry.incarnation_id)
+            deadlines = deadlines_after_failure(context.clock(), admitted.ends_at)
             self._log.tell_repeated(
                 admitted, target, attempt, self._relay.last_event_id
             )
@@ -185,56 +185,56 @@
         context = self._context
         return context.quarantine.standing(self._admitted.identity, context.clock())
 
-    async def _place(self, patience: Patience) -> Target | None:
+    async def _place(self, deadlines: RequestDeadlines) -> Target | None:
         """Return a target at which the request is counted, or None."""
         context, admitted = self._context, self._admitted
         placed = Event()
         granted: list[Target] = []
 
-        def on_place(target: Target) -> None:
+        def on_placed(target: Target) -> None:
             # Counted at once: the next decision has to see it.
             target.note_sent(admitted.facts.work, context.clock())
             granted.append(target)
             placed.set()
 
-        ticket = self._ticket(patience, on_place)
+        pending = self._ticket(deadlines, on_placed)
         started_at = context.clock()
-        target = self._canary_target(ticket, started_at)
+        target = self._canary_target(pending, started_at)
         if target is None:
-            target = context.dispatcher.submit(ticket, started_at)
+            target = context.dispatcher.submit(pending, started_at)
         if target is not None:
             target.note_sent(admitted.facts.work, started_at)
             self._log.note_waited(admitted, 0.0)
             return target
         try:
-            await self._until_placed(placed, ticket, patience)
+            await self._until_placed(placed, pending, deadlines)
         except BaseException:
-            if not context.dispatcher.withdraw(ticket) and granted:
-                granted[0].note_left(admitted.facts.work, had_first_event=False)
-                context.dispatcher.pump(admitted.service, context.clock())
+            if not context.dispatcher.cancel(pending) and granted:
+                granted[0].note_finished(admitted.facts.work, had_first_event=False)
+                context.dispatcher.dispatch_queued(admitted.service, context.clock())
             raise
         self._log.note_waited(admitted, context.clock() - started_at)
         if granted:
             return granted[0]
-        context.dispatcher.withdraw(ticket)
-        self._log.tell_not_placed(admitted, ticket)
+        context.dispatcher.cancel(pending)
+        self._log.tell_not_placed(admitted, pending)
         return None
 
     async def _until_placed(
-        self, placed: Event, ticket: Ticket, patience: Patience
+        self, placed: Event, pending: PendingRequest, deadlines: RequestDeadlines
     ) -> None:
         """Wait for a place; no longer than there may be one in time."""
         clock = self._context.clock
         while not placed.is_set():
             now = clock()
-            wait_until = self._worth_waiting_until(ticket, patience, now)
+            wait_until = self._worth_waiting_until(pending, deadlines, now)
             if wait_until <= now:
                 return
             with move_on_after(min(wait_until - now, LOOK_S)):
                 await placed.wait()
 
     def _worth_waiting_until(
-        self, ticket: Ticket, patience: Patience, now: float
+        self, pending: PendingRequest, deadlines: RequestDeadlines, now: float
     ) -> float:
         """Return until when to wait for a place; no longer than it can help.
 
@@ -243,17 +243,19 @@
         """
         context, service = self._context, self._admitted.service
         dispatcher = context.dispatcher
-        self._opens_at = opens_at = dispatcher.opens_at(ticket, now)
-        if opens_at > patience.wait_until or not dispatcher.may_find_place(ticket, now):
+        self._opens_at = available_at = dispatcher.available_at(pending, now)
+        if available_at > deadlines.wait_until or not dispatcher.has_candidate(
+            pending, now
+        ):
             return now
-        if opens_at > now:
+        if available_at > now:
             get_running_loop().call_later(
-                opens_at - now + OPENING_MARGIN_S,
-                lambda: dispatcher.pump(service, context.clock()),
+                available_at - now + OPENING_MARGIN_S,
+                lambda: dispatcher.dispatch_queued(service, context.clock()),
             )
-        return patience.wait_until
+        return deadlines.wait_until
 
-    def _canary_target(self, ticket: Ticket, now: float) -> Target | None:
+    def _canary_target(self, pending: PendingRequest, now: float) -> Target | None:
         """Return a target of a version that is to be tried; seldom there is one.
 
         What is sent again goes to versions that are proved.
@@ -268,26 +270,30 @@
         version = rollouts.progress(service).order.version
         targets = self._context.targets.of_service(service)
         lives = [
-            each.entry.life_id for each in targets if each.entry.version == version
+            each.entry.incarnation_id
+            for each in targets
+            if each.entry.version == version
         ]
         group = rollouts.group(service, lives, len(targets) - len(lives), now)
-        target = self._context.dispatcher.place_among(ticket, group, now)
+        target = self._context.dispatcher.choose_among(pending, group, now)
         if target is None:
             rollouts.give_back_canary(service, route)
         return target
 
-    def _ticket(self, patience: Patience, on_place: Callable[[Target], None]) -> Ticket:
+    def _ticket(
+        self, deadlines: RequestDeadlines, on_placed: Callable[[Target], None]
+    ) -> PendingRequest:
         admitted = self._admitted
-        return Ticket(
+        return PendingRequest(
             service=admitted.service,
             rank=admitted.rank,
             work=admitted.facts.work,
-            ends_at=admitted.ends_at,
-            start_by=patience.start_by,
+            deadline=admitted.ends_at,
+            start_by=deadlines.start_by,
             longest_pause_s=admitted.route.longest_pause_s,
-            on_place=on_place,
+            on_placed=on_placed,
             excluded=self._excluded,
-            apart_as=admitted.identity if self._runs_apart() else b"",
+            isolation_key=admitted.identity if self._runs_apart() else b"",
             arrived_at=admitted.request.arrived_at,
             version_draw=random(),
         )
@@ -328,12 +334,14 @@
         """Give the cost back; returns when the caller should come back, in seconds."""
         admitted, now = self._admitted, self._context.clock()
         if admitted.account is not None:
-            self._context.allowances.give_back(admitted.account, admitted.cost, now)
+            self._context.quotas.refund(admitted.account, admitted.cost, now)
         if reason == HELD_BACK:
             return self._context.quarantine.retry_after_s(
                 admitted.identity, self._context.clock()
             )
-        return return_time_s(admitted.ends_at - now, opens_in_s=self._opens_at - now)
+        return retry_after_s(
+            admitted.ends_at - now, available_in_s=self._opens_at - now
+        )
 
     def _settle(self, status: int, reason: str) -> None:
         self.is_settled = True
--- a/libs/direct/src/berylwalk/direct/_exchange_log.py
+++ b/libs/direct/src/berylwalk/direct/_exchange_log.py
@@ -5,7 +5,7 @@
 from berylwalk.direct._admission import Admitted, Refusal, Spent
 from berylwalk.direct._attempt import Attempt
 from berylwalk.direct._context import RouterContext
-from berylwalk.dispatch import ExpectedStart, Target, TargetStatement, Ticket
+from berylwalk.dispatch import FirstEventEstimate, PendingRequest, Target, TargetSignals
 from berylwalk.quarantine import Identity
 
 UNKNOWN_KIND = "unknown"
@@ -38,7 +38,7 @@
         self.waited_s += waited_s
         self.context.metrics.waited_s.labels(admitted.service).observe(waited_s)
 
-    def tell_not_placed(self, admitted: Admitted, ticket: Ticket) -> None:
+    def tell_not_placed(self, admitted: Admitted, pending: PendingRequest) -> None:
         """Tell why it found no place."""
         context = self.context
         now = context.clock()
@@ -47,14 +47,14 @@
             admitted.request_id,
             service=admitted.service,
             rank=admitted.rank,
-            waiting=context.dispatcher.waiting(admitted.service),
+            waiting=context.dispatcher.queue_length(admitted.service),
             targets=len(context.targets.of_service(admitted.service)),
-            obstacles=context.dispatcher.obstacles(ticket, now),
-            routers_heard=context.peers.heard(now),
+            obstacles=context.dispatcher.ineligibility_reasons(pending, now),
+            routers_heard=context.peers.alive_count(now),
         )
 
     def tell_placed(
-        self, admitted: Admitted, target: Target, start: ExpectedStart
+        self, admitted: Admitted, target: Target, start: FirstEventEstimate
     ) -> None:
         """Tell where it goes, and what decided that."""
         self.context.log.request(
@@ -72,7 +72,7 @@
             peer_in_flight=target.peer_in_flight,
             token_ms=_known_ms(target.output_token_s),
             paused_share=round(target.paused_share, 3),
-            error_share=round(target.errors, 3),
+            error_share=round(target.error_rate, 3),
         )
 
     def note_attempt(self, target: Target, attempt: Attempt, sent_at: float) -> None:
@@ -97,12 +97,12 @@
         )
 
     def tell_statement(
-        self, admitted: Admitted, target: Target, statement: TargetStatement
+        self, admitted: Admitted, target: Target, statement: TargetSignals
     ) -> None:
         """Tell what a target states of itself, where that has changed."""
-        if statement == target.stated:
+        if statement == target.last_signals:
             return
-        target.stated = statement
+        target.last_signals = statement
         self.context.metrics.target_statements.labels(admitted.service).inc()
         self.context.log.request(
             "target-statement",
@@ -254,14 +254,14 @@
     }
 
 
-def _statement_fields(statement: TargetStatement) -> dict[str, object]:
+def _statement_fields(statement: TargetSignals) -> dict[str, object]:
     """Return what a target states of itself; nothing for most answers."""
-    if statement.is_plain:
+    if statement.is_empty:
         return {}
     fields: dict[str, object] = {
         "limit_per_s": statement.limit_per_s,
         "is_leaving": statement.is_leaving,
-        "rest_ms": _known_ms(statement.rest_s),
+        "rest_ms": _known_ms(statement.retry_after_s),
     }
     if statement.problem:
         fields["statement_problem"] = statement.problem
--- a/libs/direct/src/berylwalk/direct/_gauges.py
+++ b/libs/direct/src/berylwalk/direct/_gauges.py
@@ -17,36 +17,40 @@
     metrics.configuration_age_s.set(age_s)
     targets_age_s = min(now - context.targets.confirmed_at, LONGEST_AGE_S)
     metrics.targets_age_s.set(targets_age_s)
-    for service, length in context.dispatcher.lengths().items():
+    for service, length in context.dispatcher.queue_lengths().items():
         metrics.waiting.labels(service).set(length)
         metrics.retries_left.labels(service).set(context.retries.left(service, now))
     for target_id, target in context.targets.by_id.items():
         metrics.in_flight.labels(target_id).set(target.in_flight)
         metrics.peer_in_flight.labels(target_id).set(target.peer_in_flight)
         metrics.target_token_s.labels(target_id).set(target.output_token_s or 0.0)
-        metrics.target_errors.labels(target_id).set(target.errors)
-        heard_s = min(now - target.heard_at, LONGEST_AGE_S)
+        metrics.target_errors.labels(target_id).set(target.error_rate)
+        heard_s = min(now - target.last_heard_at, LONGEST_AGE_S)
         metrics.target_heard_age_s.labels(target_id).set(heard_s)
         _refresh_needs(context, target, now)
-    for name, spent in context.allowances.spent_in_window(now).items():
+    for name, spent in context.quotas.spent_in_window(now).items():
         metrics.allowance_spent.labels(name).set(spent)
     quarantine = context.quarantine
     metrics.quarantine.labels("known").set(len(quarantine))
     metrics.quarantine.labels("suspected").set(len(set(quarantine.suspected)))
     metrics.quarantine.labels("blamed").set(len(quarantine.blames))
     _refresh_rollouts(context)
-    metrics.peers_heard.set(context.peers.heard(now))
-    metrics.peers_known.set(context.peers.known())
+    metrics.peers_heard.set(context.peers.alive_count(now))
+    metrics.peers_known.set(context.peers.known_count())
     metrics.log_lines_dropped.set(context.log.dropped)
 
 
 def _refresh_needs(context: RouterContext, target: Target, now: float) -> None:
-    metrics, needs, target_id = context.metrics, target.needs, target.entry.target_id
+    metrics, needs, target_id = (
+        context.metrics,
+        target.flow_control,
+        target.entry.target_id,
+    )
     limit = needs.limit
     limit_per_s = NO_LIMIT if limit.per_s is None else limit.per_s
     metrics.target_limit_per_s.labels(target_id).set(limit_per_s)
     metrics.target_limit_share.labels(target_id).set(limit.share)
-    metrics.target_rest_s.labels(target_id).set(max(0.0, needs.rest.until - now))
+    metrics.target_rest_s.labels(target_id).set(max(0.0, needs.backoff.until - now))
     metrics.target_leaving.labels(target_id).set(needs.is_leaving)
 
 
--- a/libs/direct/src/berylwalk/direct/_lesson.py
+++ b/libs/direct/src/berylwalk/direct/_lesson.py
@@ -40,8 +40,8 @@
     def note_alive(self, target: Target) -> None:
         """Note that the target has answered: it had not ended when this began."""
         context = self._context
-        life_id = target.entry.life_id
-        context.quarantine.note_alive(life_id, self._began_at, context.clock())
+        incarnation_id = target.entry.incarnation_id
+        context.quarantine.note_alive(incarnation_id, self._began_at, context.clock())
 
     def taken_s(self, since: float) -> float:
         """Return the time since a moment, in seconds; not that of a suspension."""
@@ -78,14 +78,14 @@
             case AttemptEnd.REFUSED if attempt.status == MISDIRECTED:
                 target.note_replaced()
             case AttemptEnd.REFUSED:
-                target.note_full(now, FULL_PAUSE_S)
+                target.note_refused(now, FULL_PAUSE_S)
 
     def _learn_of_ends(self, target: Target, attempt: Attempt) -> None:
         """Note whether the target ended under the request, or outlived it."""
         quarantine, now = self._context.quarantine, self._context.clock()
         identity = self._admitted.identity
         if attempt.target_ended and self._was_in_use(target):
-            if quarantine.note_ended(identity, target.entry.life_id, now):
+            if quarantine.note_ended(identity, target.entry.incarnation_id, now):
                 self._log.tell_target_ended(self._admitted, target)
         elif attempt.end in (AttemptEnd.ANSWERED, AttemptEnd.FAILED):
             self.note_alive(target)
--- a/libs/direct/src/berylwalk/direct/_membership.py
+++ b/libs/direct/src/berylwalk/direct/_membership.py
@@ -132,7 +132,7 @@
             # A cheap list may be older than the one before.
             if self._ordered.take_list(listing):
                 self._take(self._ordered.items)
-            is_alone = self._context.peers.known() == 1
+            is_alone = self._context.peers.known_count() == 1
             gap_s = FIRST_LIST_S if is_first and is_alone else LIST_S
             is_first = is_alone
             await sleep(gap_s)
@@ -157,4 +157,4 @@
         after = set(self._context.peers.by_name)
         if before != after:
             self._context.log.process("members", routers=sorted(after))
-        self._context.retries.set_routers(self._context.peers.known())
+        self._context.retries.set_routers(self._context.peers.known_count())
--- a/libs/direct/src/berylwalk/direct/_peering.py
+++ b/libs/direct/src/berylwalk/direct/_peering.py
@@ -34,7 +34,13 @@
 )
 from berylwalk.direct._statements_to_relay import StatementsToRelay
 from berylwalk.direct._store_reach import StoreReach
-from berylwalk.dispatch import PEERS_OF_ONE_MESH, Knowledge, Peer, Read, Target
+from berylwalk.dispatch import (
+    MAX_FULL_MESH_PEERS,
+    HistoryCoverage,
+    Peer,
+    PrefixPlacement,
+    Target,
+)
 from berylwalk.platform import KeyValueClient
 from berylwalk.quarantine import QuarantineNews
 from berylwalk.reading import ReadingAsk, ReadingTell
@@ -95,7 +101,7 @@
         self._told: tuple[object, ...] | None = None
         self._told_at = float("-inf")
         self._news_by_name: dict[str, RouterNews] = {}
-        self._reads_to_relay: deque[Read] = deque(maxlen=MOST_READS_RELAYED)
+        self._reads_to_relay: deque[PrefixPlacement] = deque(maxlen=MOST_READS_RELAYED)
         self._statements_to_relay = StatementsToRelay()
         self._placed: Loads = {}
         self._urgent = Event()
@@ -146,12 +152,12 @@
         Load pattern: many routers and few places. Each sees a place that falls free,
         and until it hears of the others' sends it takes it for its own.
         """
-        if not 0 < len(self._context.peers.near()) <= TOLD_AT_ONCE:
+        if not 0 < len(self._context.peers.direct_peers()) <= TOLD_AT_ONCE:
             return
         if not self._placed:
             get_running_loop().call_later(GATHER_S, self._tell_placed)
         load = (target.in_flight, target.waiting_tokens)
-        self._placed[target.entry.life_id] = load
+        self._placed[target.entry.incarnation_id] = load
 
     def _tell_placed(self) -> None:
         if self._transport is None or self._transport.is_closing():
@@ -160,11 +166,13 @@
         name = self._context.settings.name
         message = LoadMessage(name, self._life, self._sequence, self._placed)
         self._placed = {}
-        self._send(msgpack.encode(message), self._context.peers.near())
+        self._send(msgpack.encode(message), self._context.peers.direct_peers())
 
     async def _tell(self) -> None:
         while True:
-            with move_on_after(tell_interval_s(len(self._context.peers.near()))):
+            with move_on_after(
+                tell_interval_s(len(self._context.peers.direct_peers()))
+            ):
                 await self._urgent.wait()
             self._urgent = Event()
             self._leave_to_silent_peers()
@@ -172,18 +180,18 @@
 
     async def _relay(self) -> None:
         while True:
-            await sleep(relay_interval_s(len(self._context.peers.near())))
+            await sleep(relay_interval_s(len(self._context.peers.direct_peers())))
             peers, now = self._context.peers, self._context.clock()
-            far_domains = peers.far_domains()
-            if far_domains and peers.is_relay(now):
-                self._tell_domains(far_domains, now)
+            relayed_domains = peers.relayed_domains()
+            if relayed_domains and peers.is_relay(now):
+                self._tell_domains(relayed_domains, now)
             else:
                 self._reads_to_relay.clear()
                 self._context.quarantine.far.clear()
 
-    def _tell_domains(self, far_domains: set[str], now: float) -> None:
+    def _tell_domains(self, relayed_domains: set[str], now: float) -> None:
         data = msgpack.encode(self._domain_message(now))
-        for failure_domain in sorted(far_domains):
+        for failure_domain in sorted(relayed_domains):
             receiver = self._context.peers.relay_of(failure_domain, now)
             if receiver is not None:
                 self._send(data, [receiver])
@@ -192,34 +200,34 @@
         """Leave silent peers their part of the allowances, and forget their loads."""
         context = self._context
         peers, now = context.peers, context.clock()
-        context.allowances.set_share(peers.heard(now), peers.known())
-        context.dispatcher.set_relayed(bool(peers.far_domains()))
+        context.quotas.set_share(peers.alive_count(now), peers.known_count())
+        context.dispatcher.set_relayed(bool(peers.relayed_domains()))
         share_limits(context)
         counted = self._counted_sources(now)
-        for source in context.targets.sources_of_loads():
+        for source in context.targets.peers_with_loads():
             if source not in counted:
                 # What it had in flight is answered by now or unknown.
-                context.targets.hear_loads(source, {})
+                context.targets.replace_peer_loads(source, {})
 
     def _counted_sources(self, now: float) -> set[str]:
         """Return under which names loads count: near peers and far domains heard."""
         peers = self._context.peers
-        heard = [peer for peer in peers.by_name.values() if peers.is_heard(peer, now)]
-        near = {peer.name for peer in heard if peers.is_near(peer)}
+        heard = [peer for peer in peers.by_name.values() if peers.is_alive(peer, now)]
+        near = {peer.name for peer in heard if peers.is_direct(peer)}
         far = {
             DOMAIN_SOURCE + peer.failure_domain
             for peer in heard
-            if not peers.is_near(peer)
+            if not peers.is_direct(peer)
         }
         return near | far
 
     def _send_if_due(self) -> None:
         context = self._context
         loads = context.targets.own_loads()
-        spent = context.allowances.spent_by_account()
+        spent = context.quotas.spent_by_account()
         now = context.clock()
         asks = self._peer_to_ask(now)
-        reads = context.dispatcher.prefix_reads.take_news()
+        reads = context.dispatcher.prefix_cache_index.take_updates()
         self._reads_to_relay.extend(reads)
         quarantine = context.quarantine.news(context.quarantine.near, context.clock())
         rollouts = [replace(each, age_s=0.0) for each in context.rollouts.news(now)]
@@ -239,14 +247,14 @@
             quarantine=quarantine,
             statements=statements,
         )
-        self._send(msgpack.encode(message), context.peers.near())
+        self._send(msgpack.encode(message), context.peers.direct_peers())
 
     def _own_news(self, now: float) -> RouterNews:
         context = self._context
         settings = context.settings
         self._sequence += 1
-        spent = context.allowances.spent_by_account()
-        asked = context.allowances.urgent_demand.totals()
+        spent = context.quotas.spent_by_account()
+        asked = context.quotas.urgent_demand.totals()
         return RouterNews(
             settings.name,
             settings.caller_address.host,
@@ -264,20 +272,22 @@
     def _domain_message(self, now: float) -> DomainMessage:
         context = self._context
         peers = context.peers
-        heard = [peer.name for peer in peers.near() if peers.is_heard(peer, now)]
+        heard = [
+            peer.name for peer in peers.direct_peers() if peers.is_alive(peer, now)
+        ]
         news = [
             self._news_by_name[name] for name in heard if name in self._news_by_name
         ]
         return DomainMessage(
             context.settings.failure_domain,
             [self._own_news(now), *news],
-            context.targets.loads_with(heard),
+            context.targets.total_loads(heard),
             reads=self._take_reads_to_relay(),
             quarantine=context.quarantine.news(context.quarantine.far, context.clock()),
             statements=self._statements_to_relay.merged(own_statements(context), now),
         )
 
-    def _take_reads_to_relay(self) -> list[Read]:
+    def _take_reads_to_relay(self) -> list[PrefixPlacement]:
         reads = list(self._reads_to_relay)
         self._reads_to_relay.clear()
         return reads
@@ -294,10 +304,12 @@
         Another one each time, since one may not know or its answer be lost.
         """
         context = self._context
-        if context.allowances.knows_window(now):
+        if context.quotas.has_full_window(now):
             return None
         peers = context.peers
-        heard = [peer.name for peer in peers.near() if peers.is_heard(peer, now)]
+        heard = [
+            peer.name for peer in peers.direct_peers() if peers.is_alive(peer, now)
+        ]
         return choice(heard) if heard else None
 
     def _tell_newcomer(self, newcomer: Peer, now: float) -> None:
@@ -307,12 +319,12 @@
         the links of small VMs if each told it to all.
         """
         context = self._context
-        if not context.allowances.knows_window(now):
+        if not context.quotas.has_full_window(now):
             return
         message = PeerMessage(
             self._own_news(now),
             context.targets.own_loads(),
-            recent=context.allowances.spent_by_bin(now),
+            recent=context.quotas.spent_by_bin(now),
         )
         self._send(msgpack.encode(message), [newcomer])
 
@@ -340,16 +352,16 @@
                 self._hear_peer(message, now)
             case DomainMessage():
                 self._hear_domain(message, now)
-        self._context.dispatcher.pump_all(now)
+        self._context.dispatcher.dispatch_all_queued(now)
 
     def _hear_peer(self, message: PeerMessage, now: float) -> None:
         context = self._context
         sender = message.news.to_peer()
         if not self._hear_news(message.news, now):
             return
-        if context.peers.is_near(sender):
-            context.targets.hear_loads(sender.name, message.loads)
-            context.dispatcher.prefix_reads.hear(message.reads)
+        if context.peers.is_direct(sender):
+            context.targets.replace_peer_loads(sender.name, message.loads)
+            context.dispatcher.prefix_cache_index.merge(message.reads)
             self._reads_to_relay.extend(message.reads)
             self._hear_of_suspects(message.quarantine, is_near=True)
             hear_statements(context, message.statements, sender.name)
@@ -357,14 +369,16 @@
         if message.asks == context.settings.name:
             self._tell_newcomer(sender, now)
         if message.recent is not None:
-            context.allowances.learn(message.recent, Knowledge.ALL, now)
+            context.quotas.restore(message.recent, HistoryCoverage.COMPLETE, now)
 
     def _hear_loads(self, message: LoadMessage, now: float) -> None:
         context, name = self._context, message.name
-        if not context.peers.hear_again(name, message.life, message.sequence, now):
+        if not context.peers.record_heartbeat(
+            name, message.life, message.sequence, now
+        ):
             return
-        if context.peers.is_near(context.peers.by_name[name]):
-            context.targets.hear_some_loads(name, message.loads)
+        if context.peers.is_direct(context.peers.by_name[name]):
+            context.targets.update_peer_loads(name, message.loads)
 
     def _hear_domain(self, message: DomainMessage, now: float) -> None:
         context = self._context
@@ -373,30 +387,32 @@
         for news in message.routers:
             if news.name != context.settings.name:
                 self._hear_news(news, now)
-        if message.failure_domain in context.peers.far_domains():
+        if message.failure_domain in context.peers.relayed_domains():
             source = DOMAIN_SOURCE + message.failure_domain
-            context.targets.hear_loads(source, message.loads)
-        context.dispatcher.prefix_reads.hear(message.reads)
+            context.targets.replace_peer_loads(source, message.loads)
+        context.dispatcher.prefix_cache_index.merge(message.reads)
         self._hear_of_suspects(message.quarantine, is_near=False)
         hear_statements(context, message.statements, message.failure_domain)
         if not message.is_passed_on:
             data = msgpack.encode(replace(message, is_passed_on=True))
-            self._send(data, context.peers.near())
+            self._send(data, context.peers.direct_peers())
 
     def _hear_news(self, news: RouterNews, now: float) -> bool:
         """Take what is new of a router; False if it is old."""
         peer = news.to_peer()
-        if not self._context.peers.hear(peer, now):
+        if not self._context.peers.record_message(peer, now):
             return False
         self._news_by_name[news.name] = news
         self._reach.hear_elsewhere(news.store_well_s)
-        self._context.allowances.hear(
+        self._context.quotas.record_peer_totals(
             life_of(peer),
             news.spent,
             is_new=news.age_s < now - self._started_at,
             now=now,
         )
-        self._context.allowances.urgent_demand.hear(life_of(peer), news.asked, now)
+        self._context.quotas.urgent_demand.record_peer_totals(
+            life_of(peer), news.asked, now
+        )
         self._context.rollouts.hear(life_of(peer), news.rollouts, now)
         return True
 
@@ -406,8 +422,8 @@
 
     def _forget(self, peer: Peer) -> None:
         """Forget a peer whose life has ended."""
-        self._context.targets.hear_loads(peer.name, {})
-        self._context.allowances.forget(life_of(peer))
+        self._context.targets.replace_peer_loads(peer.name, {})
+        self._context.quotas.forget_peer(life_of(peer))
         self._news_by_name.pop(peer.name, None)
 
 
@@ -429,9 +445,9 @@
 
 
 def _grown_s(shortest_s: float, peers: int) -> float:
-    return min(shortest_s * max(1.0, peers / PEERS_OF_ONE_MESH), LONGEST_TELL_S)
+    return min(shortest_s * max(1.0, peers / MAX_FULL_MESH_PEERS), LONGEST_TELL_S)
 
 
 def life_of(peer: Peer) -> str:
     """Return what identifies one life of a router."""
-    return f"{peer.name}/{peer.life}"
+    return f"{peer.name}/{peer.incarnation}"
--- a/libs/direct/src/berylwalk/direct/_quarantine_note.py
+++ b/libs/direct/src/berylwalk/direct/_quarantine_note.py
@@ -139,7 +139,7 @@
 
     async def _turn(self) -> None:
         now = self._context.clock()
-        is_first = self._context.peers.is_first(now)
+        is_first = self._context.peers.is_leader(now)
         for identity in self._due(now, is_first=is_first):
             if not await self._write_evidence(identity):
                 return
--- a/libs/direct/src/berylwalk/direct/_rollout_note.py
+++ b/libs/direct/src/berylwalk/direct/_rollout_note.py
@@ -206,14 +206,14 @@
             number=record.number,
             reason=record.reason,
         )
-        context.dispatcher.pump_all(context.clock())
+        context.dispatcher.dispatch_all_queued(context.clock())
 
     # Writing.
 
     async def _turn(self) -> None:
         context = self._context
         now = context.clock()
-        is_first = context.peers.is_first(now)
+        is_first = context.peers.is_leader(now)
         if not is_first and now - self._looked_at < OTHERS_LOOK_S:
             return
         self._looked_at = now
@@ -229,7 +229,7 @@
         """Return whether it is for this router to take a step now."""
         key = (f"{progress.order.service}/{progress.order.revision}", step)
         since = self._due_since.setdefault(key, now)
-        return self._context.peers.is_first(now) or now - since >= OTHERS_WRITE_AFTER_S
+        return self._context.peers.is_leader(now) or now - since >= OTHERS_WRITE_AFTER_S
 
     def _next_record(self, progress: Progress, now: float) -> Record | None:
         """Return the record as it has to be written; None if it needs no change."""
@@ -245,7 +245,7 @@
         heard = [
             life_of(peer)
             for peer in peers.by_name.values()
-            if peers.is_heard(peer, now)
+            if peers.is_alive(peer, now)
         ]
         all_are_heard = len(heard) == len(peers.by_name)
         step = rollouts.next_phase(
--- a/libs/direct/src/berylwalk/direct/_sending.py
+++ b/libs/direct/src/berylwalk/direct/_sending.py
@@ -13,12 +13,12 @@
 from berylwalk.dispatch import (
     AttemptEnd,
     Attempts,
-    ExpectedStart,
+    FirstEventEstimate,
     RouteKind,
     Target,
+    TargetSignals,
     TargetState,
-    TargetStatement,
-    expected_start,
+    estimate_first_event,
 )
 from berylwalk.forwarding import TargetConnection, end_to_end, request_head
 from berylwalk.platform import for_target, resuming_after
@@ -75,7 +75,7 @@
         attempt = self._attempt(target, sent_at)
         connection = None
         try:
-            connection = context.pool.take_idle(target.entry.life_id)
+            connection = context.pool.take_idle(target.entry.incarnation_id)
             if connection is None:
                 connection = await context.pool.open(target.entry)
             if connection is None:
@@ -92,11 +92,11 @@
 
     def _attempt(self, target: Target, sent_at: float) -> Attempt:
         work = self._admitted.facts.work
-        life_id = target.entry.life_id
-        prefix_reads = self._context.dispatcher.prefix_reads
-        held_tokens = prefix_reads.held_tokens(work).get(life_id, 0)
-        start = expected_start(target, work, held_tokens=held_tokens)
-        prefix_reads.note_sent(work, life_id)
+        incarnation_id = target.entry.incarnation_id
+        prefix_cache_index = self._context.dispatcher.prefix_cache_index
+        cached_tokens = prefix_cache_index.cached_tokens(work).get(incarnation_id, 0)
+        start = estimate_first_event(target, work, cached_tokens=cached_tokens)
+        prefix_cache_index.note_sent(work, incarnation_id)
         self._log.tell_placed(self._admitted, target, start)
         self._watch_version(target, start)
 
@@ -108,14 +108,14 @@
             tokens = self._tokens_per_event() * events
             target.note_output(tokens, events, taken_s)
 
-        def on_statement(statement: TargetStatement, status: int) -> None:
+        def on_statement(statement: TargetSignals, status: int) -> None:
             if status != MISDIRECTED:
                 # What another life at this address states is not said of this one.
                 self._log.tell_statement(self._admitted, target, statement)
                 take_statement(self._context, target, statement, sent_at)
                 if status < 500 and status != TURNED_AWAY:
                     slots = target.entry.slots
-                    target.needs.rest.note_taken(slots, sent_at=sent_at)
+                    target.flow_control.backoff.note_accepted(slots, sent_at=sent_at)
 
         return Attempt(
             self._relay,
@@ -127,7 +127,7 @@
             on_statement=on_statement,
         )
 
-    def _watch_version(self, target: Target, start: ExpectedStart) -> None:
+    def _watch_version(self, target: Target, start: FirstEventEstimate) -> None:
         """Note the send for the judgement of versions, while one is not proved."""
         context, admitted = self._context, self._admitted
         self._version_watch = None
@@ -148,8 +148,8 @@
         # While the connection was opened, the target may have said that it leaves, or
         # asked for rest.
         is_known = self._context.targets.by_id.get(target.entry.target_id) is target
-        takes_any = target.needs.takes_any(self._context.clock())
-        return is_known and takes_any and target.entry.state is TargetState.READY
+        accepts_placed = target.flow_control.accepts_placed(self._context.clock())
+        return is_known and accepts_placed and target.entry.state is TargetState.READY
 
     async def _transfer(
         self, target: Target, connection: TargetConnection, attempt: Attempt
@@ -160,16 +160,16 @@
             else:
                 connection.pause()
 
-        def on_life_ended() -> None:
+        def on_incarnation_ended() -> None:
             attempt.note_target_ended("the target started again")
 
         self._relay.when_writable(on_writable)
         connection.send(self._encoded(target), self._admitted.request_id, attempt)
-        target.on_life_ended.add(on_life_ended)
+        target.on_incarnation_ended.add(on_incarnation_ended)
         try:
             await self._until_ended(target, attempt)
         finally:
-            target.on_life_ended.discard(on_life_ended)
+            target.on_incarnation_ended.discard(on_incarnation_ended)
 
     async def _until_ended(self, target: Target, attempt: Attempt) -> None:
         clock, ends_at = self._context.clock, self._admitted.ends_at
@@ -219,7 +219,7 @@
     ) -> None:
         self._relay.when_writable(None)
         if attempt.end in WHOLE_ENDS:
-            self._context.pool.give_back(target.entry.life_id, connection)
+            self._context.pool.give_back(target.entry.incarnation_id, connection)
         else:
             # By this the target stops working on the request.
             connection.close()
@@ -234,10 +234,10 @@
             self._attempts.note(attempt.end)
             context.metrics.attempts.labels(admitted.service, attempt.end).inc()
         self._log.note_attempt(target, attempt, sent_at)
-        target.note_left(
+        target.note_finished(
             admitted.facts.work, had_first_event=attempt.first_event_at is not None
         )
-        context.dispatcher.pump(admitted.service, context.clock())
+        context.dispatcher.dispatch_queued(admitted.service, context.clock())
 
     def _tokens_per_event(self) -> int:
         current = self._context.configuration.current
--- a/libs/direct/src/berylwalk/direct/_shared_reading.py
+++ b/libs/direct/src/berylwalk/direct/_shared_reading.py
@@ -83,12 +83,12 @@
     def reads_for_others(self) -> bool:
         """Return whether other routers take this one's word."""
         peers = self._context.peers
-        is_shared = bool(peers.far_domains())
+        is_shared = bool(peers.relayed_domains())
         return is_shared and peers.is_relay(self._context.clock())
 
     def leans(self) -> bool:
         """Return whether this router takes the word of others in place of calls."""
-        if not self._context.peers.far_domains():
+        if not self._context.peers.relayed_domains():
             return False
         return not self.reads_for_others() and self._reach.trusts_others()
 
@@ -126,24 +126,24 @@
 
     def _peers_to_ask(self) -> list[Peer]:
         peers, now = self._context.peers, self._context.clock()
-        far_domains = sorted(peers.far_domains())
-        if not far_domains or not self._reach.trusts_others():
+        relayed_domains = sorted(peers.relayed_domains())
+        if not relayed_domains or not self._reach.trusts_others():
             return []
         self._pending.keep_only(set(peers.by_name))
-        reader = None if peers.is_relay(now) else peers.first_near(now)
+        reader = None if peers.is_relay(now) else peers.first_direct_peer(now)
         asked = [] if reader is None else [reader]
         answers = reader is not None and not self._pending.is_owing(reader.name)
         if not answers and not self._is_fresh():
-            asked += self._far_reader(far_domains, now)
+            asked += self._far_reader(relayed_domains, now)
         return asked
 
     def _is_fresh(self) -> bool:
         return all(mirror.is_fresh for mirror in self._mirrors_by_name.values())
 
-    def _far_reader(self, far_domains: list[str], now: float) -> list[Peer]:
+    def _far_reader(self, relayed_domains: list[str], now: float) -> list[Peer]:
         """Return the reader of another failure domain, another one each time."""
-        turn = next(self._far_turns) % len(far_domains)
-        reader = self._context.peers.relay_of(far_domains[turn], now)
+        turn = next(self._far_turns) % len(relayed_domains)
+        reader = self._context.peers.relay_of(relayed_domains[turn], now)
         return [] if reader is None else [reader]
 
     def _ask(self, peer: Peer) -> None:
--- a/libs/direct/src/berylwalk/direct/_speed_note.py
+++ b/libs/direct/src/berylwalk/direct/_speed_note.py
@@ -70,7 +70,7 @@
             self._learn_from(note)
         while True:
             await sleep(NOTE_GAP_S)
-            if self._context.peers.is_first(self._context.clock()):
+            if self._context.peers.is_leader(self._context.clock()):
                 await self._write()
 
     async def _read(self) -> KeyValue | Unavailable | None:
@@ -84,8 +84,8 @@
             context.log.process("speeds-invalid", detail=repr(error))
             return
         possible = {
-            life_id: speed
-            for life_id, speed in speeds.targets.items()
+            incarnation_id: speed
+            for incarnation_id, speed in speeds.targets.items()
             if speed.is_possible
         }
         start_models = {
@@ -107,7 +107,7 @@
             for target_id, speed in targets.speeds_by_id().items()
             if speed.slot_s is not None
         }
-        speeds = Speeds(speeds_by_id, targets.start_models_by_service())
+        speeds = Speeds(speeds_by_id, targets.first_event_models_by_service())
         if speeds_by_id and speeds != self._noted:
             await self._reach.ask(
                 "note-speeds", self._store.put(NOTE_KEY, json.encode(speeds))
--- a/libs/direct/src/berylwalk/direct/_spending_note.py
+++ b/libs/direct/src/berylwalk/direct/_spending_note.py
@@ -7,7 +7,7 @@
 
 from berylwalk.direct._context import RouterContext
 from berylwalk.direct._store_reach import StoreReach
-from berylwalk.dispatch import Knowledge
+from berylwalk.dispatch import HistoryCoverage
 from berylwalk.platform import KeyValue, KeyValueClient, Lost, Unavailable
 
 NOTE_KEY = b"berylwalk/spending"
@@ -60,8 +60,8 @@
         while True:
             await sleep(NOTE_GAP_S)
             now = self._context.clock()
-            spent = self._context.allowances.spent_much(now)
-            if spent and self._context.peers.is_first(now):
+            spent = self._context.quotas.heavy_spending_by_bin(now)
+            if spent and self._context.peers.is_leader(now):
                 await self._write(spent)
 
     async def _read(self) -> KeyValue | Unavailable | None:
@@ -76,7 +76,7 @@
                 self._context.log.process("spending-invalid", detail=repr(error))
                 return
         context = self._context
-        context.allowances.learn(spent, Knowledge.NOTE, context.clock())
+        context.quotas.restore(spent, HistoryCoverage.PARTIAL, context.clock())
         context.log.process("spending-learned", accounts=sorted(spent))
 
     async def _write(self, spent: dict[str, list[float]]) -> None:
--- a/libs/direct/src/berylwalk/direct/_statements.py
+++ b/libs/direct/src/berylwalk/direct/_statements.py
@@ -11,11 +11,11 @@
 
 from berylwalk.direct._context import RouterContext
 from berylwalk.dispatch import (
-    Need,
-    NeedsNews,
+    FlowControlSignal,
+    FlowControlUpdate,
     Target,
-    TargetStatement,
-    most_senders,
+    TargetSignals,
+    max_senders,
 )
 
 MOST_TOLD = 64
@@ -31,7 +31,7 @@
 
     Parameters
     ----------
-    life_id : str
+    incarnation_id : str
         The life of the target.
     limit_age_s : float or None
         How long ago they said something of a limit, in seconds; None if they never did.
@@ -42,7 +42,7 @@
         Whether it leaves.
     """
 
-    life_id: Annotated[str, Meta(max_length=200)]
+    incarnation_id: Annotated[str, Meta(max_length=200)]
     limit_age_s: Annotated[float, Meta(ge=0)] | None = None
     limit_per_s: Annotated[float, Meta(ge=0)] | None = None
     is_leaving: bool = False
@@ -50,17 +50,17 @@
     @property
     def belief(self) -> tuple[str, float | None, bool]:
         """What it says, its age left out."""
-        return self.life_id, self.limit_per_s, self.is_leaving
+        return self.incarnation_id, self.limit_per_s, self.is_leaving
 
 
 def take_statement(
-    context: RouterContext, target: Target, statement: TargetStatement, sent_at: float
+    context: RouterContext, target: Target, statement: TargetSignals, sent_at: float
 ) -> None:
     """Take what an answer states of a target; the other routers are told soon."""
     now = context.clock()
-    changed = target.needs.note_answer(statement, sent_at=sent_at, now=now)
+    changed = target.flow_control.note_answer(statement, sent_at=sent_at, now=now)
     _note_changed(context, target, changed, told_by="target")
-    if Need.LIMIT in changed or Need.LEAVING in changed:
+    if FlowControlSignal.LIMIT in changed or FlowControlSignal.LEAVING in changed:
         context.on_statement_news()
 
 
@@ -70,15 +70,15 @@
     """Take what another router told of targets."""
     now = context.clock()
     for each in news:
-        target = context.targets.by_life_id.get(each.life_id)
+        target = context.targets.by_incarnation_id.get(each.incarnation_id)
         if target is None:
             continue
-        heard = NeedsNews(
+        heard = FlowControlUpdate(
             limit_per_s=each.limit_per_s,
             limit_age_s=each.limit_age_s,
             is_leaving=each.is_leaving,
         )
-        changed = target.needs.hear(heard, now)
+        changed = target.flow_control.apply_update(heard, now)
         _note_changed(context, target, changed, told_by=told_by)
 
 
@@ -86,12 +86,12 @@
     """Return what own answers said lately, to be told."""
     now = context.clock()
     told = []
-    for target in context.targets.in_need():
-        news = target.needs.news(now)
+    for target in context.targets.flow_controlled():
+        news = target.flow_control.pending_update(now)
         if news is not None:
             told.append(
                 StatementNews(
-                    target.entry.life_id,
+                    target.entry.incarnation_id,
                     news.limit_age_s,
                     news.limit_per_s,
                     news.is_leaving,
@@ -111,27 +111,31 @@
 def share_limits(context: RouterContext) -> None:
     """Give each limit the part of it that is for this router."""
     now = context.clock()
-    for target in context.targets.in_need():
+    for target in context.targets.flow_controlled():
         _share_limit(context, target, now)
 
 
 def _share_limit(context: RouterContext, target: Target, now: float) -> None:
-    limit = target.needs.limit
+    limit = target.flow_control.limit
     if limit.per_s is not None:
-        senders = most_senders(limit.per_s)
-        share = context.peers.part_of(target.entry.life_id, senders, now)
+        senders = max_senders(limit.per_s)
+        share = context.peers.rate_share(target.entry.incarnation_id, senders, now)
         limit.set_share(share, now)
 
 
 def _note_changed(
-    context: RouterContext, target: Target, changed: list[Need], *, told_by: str
+    context: RouterContext,
+    target: Target,
+    changed: list[FlowControlSignal],
+    *,
+    told_by: str,
 ) -> None:
     if not changed:
         return
-    context.targets.note_in_need(target)
-    needs, now = target.needs, context.clock()
+    context.targets.note_flow_controlled(target)
+    needs, now = target.flow_control, context.clock()
     _share_limit(context, target, now)
-    rest_s = needs.rest.until - now if needs.rest.is_on(now) else 0.0
+    rest_s = needs.backoff.until - now if needs.backoff.is_on(now) else 0.0
     context.log.process(
         "target-needs",
         target=target.entry.target_id,
--- a/libs/direct/src/berylwalk/direct/_statements_to_relay.py
+++ b/libs/direct/src/berylwalk/direct/_statements_to_relay.py
@@ -3,7 +3,7 @@
 from msgspec.structs import replace
 
 from berylwalk.direct._statements import MOST_RELAYED, StatementNews, in_turn
-from berylwalk.dispatch import NEWS_KEPT_S
+from berylwalk.dispatch import UPDATE_TTL_S
 
 
 class StatementsToRelay:
@@ -21,15 +21,17 @@
 
     def merged(self, own: list[StatementNews], now: float) -> list[StatementNews]:
         """Return what was said of each target: its limit by the newest, as of now."""
-        merged = {each.life_id: each for each in own}
+        merged = {each.incarnation_id: each for each in own}
         for router, (heard_at, news) in list(self._heard_by_router.items()):
-            if now - heard_at > NEWS_KEPT_S:
+            if now - heard_at > UPDATE_TTL_S:
                 del self._heard_by_router[router]
                 continue
             for each in news:
                 aged = _aged(each, now - heard_at)
-                known = merged.get(each.life_id)
-                merged[each.life_id] = aged if known is None else _both(known, aged)
+                known = merged.get(each.incarnation_id)
+                merged[each.incarnation_id] = (
+                    aged if known is None else _both(known, aged)
+                )
         return in_turn(list(merged.values()), MOST_RELAYED, now)
 
 
@@ -37,7 +39,7 @@
     if news.limit_age_s is None:
         return news
     age_s = news.limit_age_s + by_s
-    if age_s > NEWS_KEPT_S:
+    if age_s > UPDATE_TTL_S:
         return replace(news, limit_age_s=None, limit_per_s=None)
     return replace(news, limit_age_s=age_s)
 
--- a/libs/direct/src/berylwalk/direct/_target_feed.py
+++ b/libs/direct/src/berylwalk/direct/_target_feed.py
@@ -120,7 +120,7 @@
         for target_id in context.targets.replace(entries, now):
             self._note_gone(target_id, "not listed", revision)
         self._note_ended_lives(revision)
-        context.dispatcher.pump_all(now)
+        context.dispatcher.dispatch_all_queued(now)
 
     def _note_known(self, items: list[KeyValue], known_at: float) -> None:
         self._context.targets.note_confirmed(known_at)
@@ -139,7 +139,9 @@
             self._log_change(entry, item.mod_revision)
             self._context.targets.update(entry, self._context.clock())
             self._note_ended_lives(item.mod_revision)
-            self._context.dispatcher.pump(entry.service, self._context.clock())
+            self._context.dispatcher.dispatch_queued(
+                entry.service, self._context.clock()
+            )
 
     def _remove(self, item: KeyValue) -> None:
         self._findings.clear(item.key.decode())
@@ -181,19 +183,19 @@
             self._strangers.note(entry.target_id, "unknown-service", entry.service)
 
     def _note_ended_lives(self, revision: int) -> None:
-        for target in self._context.targets.pop_ended_lives():
+        for target in self._context.targets.pop_ended_incarnations():
             self._context.log.process(
                 "target-started-again",
                 target=target.entry.target_id,
-                ended_life=target.entry.life_id,
+                ended_life=target.entry.incarnation_id,
                 in_flight=target.in_flight,
                 revision=revision,
             )
-        self._context.pool.keep_only(self._context.targets.by_life_id)
+        self._context.pool.keep_only(self._context.targets.by_incarnation_id)
 
     def _note_gone(self, target_id: str, detail: str, revision: int) -> None:
         self._strangers.clear(target_id)
-        self._context.pool.keep_only(self._context.targets.by_life_id)
+        self._context.pool.keep_only(self._context.targets.by_incarnation_id)
         self._context.metrics.forget_target(target_id)
         self._context.log.process(
             "target-gone", target=target_id, detail=detail, revision=revision
--- a/libs/direct/src/berylwalk/direct/_version_watch.py
+++ b/libs/direct/src/berylwalk/direct/_version_watch.py
@@ -10,7 +10,7 @@
 from berylwalk.direct._admission import Admitted
 from berylwalk.direct._attempt import Attempt
 from berylwalk.direct._context import RouterContext
-from berylwalk.dispatch import AttemptEnd, ExpectedStart, Target, mean_token_s
+from berylwalk.dispatch import AttemptEnd, FirstEventEstimate, Target, mean_token_s
 from berylwalk.rollout import AnswerKind
 
 SLOW_FACTOR = 3.5
@@ -32,7 +32,7 @@
         The request.
     target : Target
         Where it is sent.
-    start : ExpectedStart
+    start : FirstEventEstimate
         When its first event is expected there.
     """
 
@@ -41,7 +41,7 @@
         context: RouterContext,
         admitted: Admitted,
         target: Target,
-        start: ExpectedStart,
+        start: FirstEventEstimate,
     ) -> None:
         self._context = context
         self._admitted = admitted
@@ -51,7 +51,7 @@
         self._row = context.rollouts.row_of(
             admitted.service,
             target.entry.version,
-            target.entry.life_id,
+            target.entry.incarnation_id,
             admitted.route.name,
             context.clock(),
         )
@@ -66,11 +66,11 @@
         self._typical_s = self._typical_start_s(others, start)
 
     def _typical_start_s(
-        self, others: Sequence[Target], start: ExpectedStart
+        self, others: Sequence[Target], start: FirstEventEstimate
     ) -> float | None:
         """Return what a first event, or a plain answer, takes; None if unknown."""
         if self._admitted.facts.work.prompt_tokens:
-            model = self._target.start_model
+            model = self._target.first_event_model
             reading_s = model.reading_s(
                 self._token_s, start.ahead_tokens, start.own_tokens
             )
@@ -95,8 +95,8 @@
         if kind is None:
             return
         if attempt.target_ended:
-            life_id = self._target.entry.life_id
-            rollouts.note_end_of_target(service, life_id, is_new=self._is_new)
+            incarnation_id = self._target.entry.incarnation_id
+            rollouts.note_end_of_target(service, incarnation_id, is_new=self._is_new)
             return
         if not self._is_new:
             rollouts.note_taken(service, taken_s)
--- a/libs/direct/tests/conftest.py
+++ b/libs/direct/tests/conftest.py
@@ -6,7 +6,7 @@
 from anyio import create_memory_object_stream, create_task_group
 
 from berylwalk.direct import DirectRouter
-from berylwalk.dispatch import AllowanceRules, RouterSettings, SocketAddress
+from berylwalk.dispatch import QuotaRules, RouterSettings, SocketAddress
 from berylwalk.standins import serving
 from direct_fleet import HOST, STORE, Fleet, ScriptedTarget
 
@@ -30,7 +30,7 @@
             "peer_port": free_port(),
             "metrics_port": free_port(),
             "store_address": SocketAddress(*STORE),
-            "allowances": AllowanceRules(window_s=0.05),
+            "allowances": QuotaRules(window_s=0.05),
         }
         return RouterSettings(**{**values, **changes})
 
--- a/libs/direct/tests/test_direct_lives.py
+++ b/libs/direct/tests/test_direct_lives.py
@@ -46,7 +46,7 @@
 async def sent_to_first(fleet, path):
     """Send a request that reaches the first target; return its reader and writer."""
     now = fleet.router._context.clock()
-    fleet.router._context.targets.by_id["i-1"].note_full(now, 0.4)
+    fleet.router._context.targets.by_id["i-1"].note_refused(now, 0.4)
     reader, writer = await fleet.connect()
     writer.write(fleet.encoded(path))
     await fleet.until(lambda: fleet.targets[0].received)
@@ -190,7 +190,7 @@
             assert (await fleet.call("/idempotent/")).status == 200
             target = fleet.router._context.targets.by_id["i-0"]
             assert target.paused_share == 0.0
-            spent = fleet.router._context.allowances.spent_in_window
+            spent = fleet.router._context.quotas.spent_in_window
             assert spent(fleet.router._context.clock()).get("t", 0) < 1000
 
     async def test_configuration_that_can_not_be_read(self, running):
--- a/libs/direct/tests/test_direct_needs.py
+++ b/libs/direct/tests/test_direct_needs.py
@@ -4,7 +4,7 @@
 from anyio import sleep
 
 from berylwalk.direct._gauges import refresh_gauges
-from berylwalk.dispatch import Obstacle
+from berylwalk.dispatch import IneligibilityReason
 from direct_fleet import ScriptedTarget, answers, head
 
 pytestmark = pytest.mark.anyio
@@ -23,7 +23,7 @@
 
 def needs_of(router, target_id):
     """Return what a router believes of a target."""
-    return router._context.targets.by_id[target_id].needs
+    return router._context.targets.by_id[target_id].flow_control
 
 
 async def add_target(fleet, port, script):
@@ -60,8 +60,8 @@
             await fleet.call("/idempotent/")
             await fleet.until(lambda: needs_of(second, "i-0").is_leaving)
             target = second._context.targets.by_id["i-0"]
-            obstacle = target.obstacle(second._context.clock())
-        assert obstacle is Obstacle.LEAVING
+            ineligibility_reason = target.ineligibility_reason(second._context.clock())
+        assert ineligibility_reason is IneligibilityReason.LEAVING
 
     async def test_gauges_show_it(self, running):
         """Beside limit and rest."""
@@ -112,7 +112,7 @@
             async def open_slowly(entry):
                 if not asked:
                     asked.append(entry.target_id)
-                    needs_of(fleet.router, entry.target_id).rest.note_asked(
+                    needs_of(fleet.router, entry.target_id).backoff.note_requested(
                         60.0, context.clock()
                     )
                 return await opens(entry)
--- a/libs/direct/tests/test_direct_peering.py
+++ b/libs/direct/tests/test_direct_peering.py
@@ -11,8 +11,8 @@
     RouterNews,
 )
 from berylwalk.direct._peering import relay_interval_s, tell_interval_s
-from berylwalk.dispatch import AllowanceRules, Knowledge
-from berylwalk.dispatch._peer_view import HEARD_WITHIN_S
+from berylwalk.dispatch import HistoryCoverage, QuotaRules
+from berylwalk.dispatch._peer_table import PEER_TIMEOUT_S
 from direct_fleet import KEY, answers
 
 pytestmark = pytest.mark.anyio
@@ -27,7 +27,7 @@
             intervals = [interval_s(peers) for peers in (1, 5, 30, 319)]
             assert intervals == sorted(intervals)
             assert intervals[1] == intervals[0]
-            assert 2 * intervals[-1] < HEARD_WITHIN_S
+            assert 2 * intervals[-1] < PEER_TIMEOUT_S
 
     async def test_loads_and_spending_are_shared(self, running, beside):
         """Each sees what the other has in flight and has spent."""
@@ -44,15 +44,15 @@
             beside({"name": "edge-2"}) as (second,),
         ):
             peers, clock = second._context.peers, second._context.clock
-            await fleet.until(lambda: peers.heard(clock()) == 2)
+            await fleet.until(lambda: peers.alive_count(clock()) == 2)
             await fleet.until(lambda: "i-0" in second._context.targets.by_id)
             _, writer = await fleet.connect()
             await sleep(0.1)
             writer.write(fleet.encoded("/idempotent/", X_Api_Key=KEY))
             target = second._context.targets.by_id["i-0"]
             await fleet.until(lambda: target.peer_in_flight == 1)
-            spent = second._context.allowances.spent_by_account
-            seen = second._context.allowances._spending_by_account
+            spent = second._context.quotas.spent_by_account
+            seen = second._context.quotas._spending_by_account
             await fleet.until(lambda: seen["t"].spent_by_peer)
             assert spent() == {}
             await fleet.until(lambda: target.peer_in_flight == 0)
@@ -70,7 +70,7 @@
             beside({"name": "edge-2"}) as (second,),
         ):
             peers, clock = second._context.peers, second._context.clock
-            await fleet.until(lambda: peers.heard(clock()) == 2)
+            await fleet.until(lambda: peers.alive_count(clock()) == 2)
             await fleet.until(lambda: "i-0" in second._context.targets.by_id)
             target = second._context.targets.by_id["i-0"]
             # Its regular messages are held back from here on.
@@ -87,10 +87,10 @@
             beside({"name": "edge-2"}) as (second,),
         ):
             context = second._context
-            await fleet.until(lambda: context.peers.heard(context.clock()) == 2)
+            await fleet.until(lambda: context.peers.alive_count(context.clock()) == 2)
             await fleet.until(lambda: "i-0" in context.targets.by_id)
             peer = context.peers.by_name["edge-1"]
-            for life, sequence in ((peer.life, peer.sequence), ("gone", 10_000)):
+            for life, sequence in ((peer.incarnation, peer.sequence), ("gone", 10_000)):
                 message = LoadMessage("edge-1", life, sequence, {"i-0": (7, 70)})
                 second._peering._hear(msgpack.encode(message))
             assert context.targets.by_id["i-0"].peer_in_flight == 0
@@ -111,10 +111,10 @@
 
     async def test_only_a_router_that_asks_is_told_the_window(self, running, beside):
         """Kilobytes to all peers, from all, would fill the links of small VMs."""
-        rules = AllowanceRules(window_s=30.0)
+        rules = QuotaRules(window_s=30.0)
         async with running(answers("ok"), allowances=rules) as fleet:
             elder = fleet.router._context
-            elder.allowances.learn({}, Knowledge.ALL, elder.clock())
+            elder.quotas.restore({}, HistoryCoverage.COMPLETE, elder.clock())
             sent = []
             transport = fleet.router._peering._transport
             send = transport.sendto
@@ -127,7 +127,7 @@
             async with beside({"name": "edge-2", "allowances": rules}) as (second,):
                 newcomer = second._context
                 await fleet.until(
-                    lambda: newcomer.allowances.knows_window(newcomer.clock())
+                    lambda: newcomer.quotas.has_full_window(newcomer.clock())
                 )
                 told = len(sent)
                 await fleet.until(lambda: len(sent) > told + 3)
@@ -139,7 +139,7 @@
         self, running, beside, monkeypatch
     ):
         """Loads and spending cross, though only relays speak across."""
-        monkeypatch.setattr("berylwalk.dispatch._peer_view.PEERS_OF_ONE_MESH", 0)
+        monkeypatch.setattr("berylwalk.dispatch._peer_table.MAX_FULL_MESH_PEERS", 0)
 
         def limited(fleet):
             fleet.tenants[0].update({"rate-per-s": 1000, "burst": 1000})
@@ -157,7 +157,9 @@
         ):
             for other in others:
                 context = other._context
-                await fleet.until(lambda of=context: of.peers.heard(of.clock()) == 3)
+                await fleet.until(
+                    lambda of=context: of.peers.alive_count(of.clock()) == 3
+                )
                 await fleet.until(lambda of=context: "i-0" in of.targets.by_id)
             _, writer = await fleet.connect()
             writer.write(fleet.encoded("/idempotent/", X_Api_Key=KEY))
@@ -166,7 +168,7 @@
                 target = context.targets.by_id["i-0"]
                 await fleet.until(lambda at=target: at.peer_in_flight == 1)
                 await fleet.until(
-                    lambda of=context: of.allowances.spent_in_window(of.clock())
+                    lambda of=context: of.quotas.spent_in_window(of.clock())
                 )
             writer.close()
             for other in others:
@@ -183,7 +185,7 @@
     @staticmethod
     async def until_told(fleet, router):
         """Wait until a router knows where the one prompt was read."""
-        history = router._context.dispatcher.prefix_reads._history
+        history = router._context.dispatcher.prefix_cache_index._history
         await fleet.until(lambda: len(history) == 1)
 
     async def read_by(self, fleet, others):
@@ -202,7 +204,7 @@
             beside({"name": "edge-2"}) as (second,),
         ):
             peers = second._context.peers
-            await fleet.until(lambda: peers.heard(second._context.clock()) == 2)
+            await fleet.until(lambda: peers.alive_count(second._context.clock()) == 2)
             await fleet.until(lambda: len(second._context.targets.by_id) == 3)
             number = await self.read_by(fleet, [second])
             fleet.settings = second._context.settings
@@ -216,7 +218,7 @@
         self, running, beside, monkeypatch
     ):
         """Also a router that is no relay is told there."""
-        monkeypatch.setattr("berylwalk.dispatch._peer_view.PEERS_OF_ONE_MESH", 0)
+        monkeypatch.setattr("berylwalk.dispatch._peer_table.MAX_FULL_MESH_PEERS", 0)
         async with (
             running(answers("ok"), answers("ok")) as fleet,
             beside(
@@ -226,20 +228,22 @@
         ):
             for other in others:
                 context = other._context
-                await fleet.until(lambda of=context: of.peers.heard(of.clock()) == 3)
+                await fleet.until(
+                    lambda of=context: of.peers.alive_count(of.clock()) == 3
+                )
             await self.read_by(fleet, others)
 
     async def test_router_that_is_no_relay_keeps_nothing_to_relay(
         self, running, beside, monkeypatch
     ):
         """What it is told would grow old until it is one."""
-        monkeypatch.setattr("berylwalk.dispatch._peer_view.PEERS_OF_ONE_MESH", 0)
+        monkeypatch.setattr("berylwalk.dispatch._peer_table.MAX_FULL_MESH_PEERS", 0)
         async with (
             running(answers("ok"), name="edge-0") as fleet,
             beside({"name": "edge-2"}) as (second,),
         ):
             context = second._context
-            await fleet.until(lambda: context.peers.heard(context.clock()) == 2)
+            await fleet.until(lambda: context.peers.alive_count(context.clock()) == 2)
             await self.read_by(fleet, [second])
             await fleet.until(lambda: not second._peering._reads_to_relay)
 
--- a/libs/direct/tests/test_direct_platform.py
+++ b/libs/direct/tests/test_direct_platform.py
@@ -6,7 +6,7 @@
 import pytest
 from anyio import sleep
 
-from berylwalk.dispatch import AllowanceRules, Knowledge
+from berylwalk.dispatch import HistoryCoverage, QuotaRules
 from berylwalk.forwarding import TargetPool
 from direct_fleet import answers, read_reply
 
@@ -151,7 +151,7 @@
 
         async with running(answers("a"), answers("b")) as fleet:
             by_id = fleet.router._context.targets.by_id
-            by_id["i-1"].note_full(fleet.router._context.clock(), 0.3)
+            by_id["i-1"].note_refused(fleet.router._context.clock(), 0.3)
             monkeypatch.setattr(TargetPool, "open", open_late)
             _, writer = await fleet.connect()
             writer.write(fleet.encoded("/idempotent/"))
@@ -211,9 +211,9 @@
             bins = dumps({"t": [5000.0]}).encode()
             fleet.platform.store.put(b"berylwalk/spending", bins)
 
-        rules = AllowanceRules(window_s=8.0)
+        rules = QuotaRules(window_s=8.0)
         async with running(answers("ok"), prepare=noted, allowances=rules) as fleet:
-            spent = fleet.router._context.allowances.spent_in_window
+            spent = fleet.router._context.quotas.spent_in_window
             clock = fleet.router._context.clock
             await fleet.until(lambda: spent(clock()).get("t", 0) >= 900)
             reply = await fleet.call("/idempotent/")
@@ -246,12 +246,12 @@
                 {"unit": "tokens", "rate-per-s": 100, "burst": 100, "plain-tokens": 1}
             )
 
-        rules = AllowanceRules(window_s=8.0)
+        rules = QuotaRules(window_s=8.0)
         async with running(answers("ok"), prepare=limited, allowances=rules) as fleet:
             store = fleet.platform.store
-            allowances = fleet.router._context.allowances
+            quotas = fleet.router._context.quotas
             # As if it had started long ago and knew the whole window.
-            allowances.learn({}, Knowledge.ALL, fleet.router._context.clock())
+            quotas.restore({}, HistoryCoverage.COMPLETE, fleet.router._context.clock())
             reply = await fleet.call("/idempotent/", Token_Count="700,0")
             key = b"berylwalk/spending"
             await fleet.until(lambda: store.get(key) is not None)
@@ -280,10 +280,10 @@
         def limited(fleet):
             fleet.tenants[0].update({"rate-per-s": 1000, "burst": 1000})
 
-        rules = AllowanceRules(window_s=30.0)
+        rules = QuotaRules(window_s=30.0)
         async with running(answers("ok"), prepare=limited, allowances=rules) as fleet:
             context = fleet.router._context
-            context.allowances.learn({}, Knowledge.ALL, context.clock())
+            context.quotas.restore({}, HistoryCoverage.COMPLETE, context.clock())
             told = []
             context.log.request = lambda event, request_id, **each: told.append(each)
             await fleet.call("/idempotent/")
@@ -298,10 +298,10 @@
         def limited(fleet):
             fleet.tenants[0].update({"rate-per-s": 1, "burst": 30})
 
-        rules = AllowanceRules(window_s=30.0)
+        rules = QuotaRules(window_s=30.0)
         async with running(answers("ok"), prepare=limited, allowances=rules) as fleet:
             context = fleet.router._context
-            context.allowances.learn({}, Knowledge.ALL, context.clock())
+            context.quotas.restore({}, HistoryCoverage.COMPLETE, context.clock())
             for _ in range(20):
                 assert (await fleet.call("/idempotent/")).status == 200
             fleet.tenants[0].update({"rate-per-s": 0.1, "burst": 5})
--- a/libs/direct/tests/test_direct_quarantine_fleet.py
+++ b/libs/direct/tests/test_direct_quarantine_fleet.py
@@ -97,11 +97,11 @@
 class OnlyTheNewest(Plants):
     """Only the request that was sent last is blamed."""
 
-    def note_ended(self, router, identity, engine, life_id):
+    def note_ended(self, router, identity, engine, incarnation_id):
         """Note it if it was sent last."""
-        newest = engine.newest_by_life.get(life_id, ())
+        newest = engine.newest_by_life.get(incarnation_id, ())
         if any(run.identity == identity for run in newest):
-            super().note_ended(router, identity, engine, life_id)
+            super().note_ended(router, identity, engine, incarnation_id)
 
 
 class NoSharing(Plants):
--- a/libs/direct/tests/test_direct_quarantine_records.py
+++ b/libs/direct/tests/test_direct_quarantine_records.py
@@ -71,8 +71,10 @@
         """Once for two ends and once for three."""
         async with running(answers("ok")) as fleet:
             store = fleet.platform.store
-            for number, life_id in enumerate(LIVES):
-                quarantine_of(fleet).note_ended(identity(), life_id, float(number))
+            for number, incarnation_id in enumerate(LIVES):
+                quarantine_of(fleet).note_ended(
+                    identity(), incarnation_id, float(number)
+                )
 
             def is_written():
                 item = store.get(key())
@@ -102,8 +104,8 @@
         prepare = noted(value=b'{"ended": 3}')
         async with running(answers("ok"), prepare=prepare) as fleet:
             store = fleet.platform.store
-            for life_id in LIVES:
-                quarantine_of(fleet).note_ended(identity(), life_id, 0.0)
+            for incarnation_id in LIVES:
+                quarantine_of(fleet).note_ended(identity(), incarnation_id, 0.0)
 
             def record():
                 item = store.get(key())
--- a/libs/direct/tests/test_direct_requests.py
+++ b/libs/direct/tests/test_direct_requests.py
@@ -157,7 +157,7 @@
         async with running(answers("ok")) as fleet:
             dispatcher = fleet.router._context.dispatcher
 
-            def fail(ticket, now):
+            def fail(pending, now):
                 raise ZeroDivisionError("no slots")
 
             monkeypatch.setattr(dispatcher, "submit", fail)
@@ -177,7 +177,7 @@
         """Make a target known to be slow, and busy."""
         target = fleet.router._context.targets.by_id[target_id]
         target.fixed_s = 1000.0
-        fleet.router._context.targets.hear_loads("edge-2", {target_id: (3, 0)})
+        fleet.router._context.targets.replace_peer_loads("edge-2", {target_id: (3, 0)})
 
     async def test_request_is_refused_soon_and_told_when_to_return(self, running):
         """The only target is busy and slow; it gets nothing that would be late."""
@@ -349,9 +349,9 @@
             _, writer = await fleet.connect()
             writer.write(fleet.encoded("/idempotent/"))
             dispatcher = fleet.router._context.dispatcher
-            await fleet.until(lambda: dispatcher.waiting("s") == 1)
+            await fleet.until(lambda: dispatcher.queue_length("s") == 1)
             writer.close()
-            await fleet.until(lambda: dispatcher.waiting("s") == 0)
+            await fleet.until(lambda: dispatcher.queue_length("s") == 0)
             target.in_flight -= 100
         assert total_received(fleet) == 0
 
--- a/libs/direct/tests/test_direct_shared_reading.py
+++ b/libs/direct/tests/test_direct_shared_reading.py
@@ -32,7 +32,7 @@
 @pytest.fixture(autouse=True)
 def by_failure_domain(monkeypatch):
     """Let four routers tell by failure domain, as a large fleet does."""
-    monkeypatch.setattr("berylwalk.dispatch._peer_view.PEERS_OF_ONE_MESH", 0)
+    monkeypatch.setattr("berylwalk.dispatch._peer_table.MAX_FULL_MESH_PEERS", 0)
 
 
 @dataclass(frozen=True)
--- a/libs/direct/tests/test_direct_soak.py
+++ b/libs/direct/tests/test_direct_soak.py
@@ -124,7 +124,7 @@
 
 
 @dataclass
-class StatedNeeds:
+class FlowControl:
     """What targets say that they take, and who passed on that one leaves.
 
     A call that begins after a router has passed such an answer on must not reach that
@@ -206,7 +206,7 @@
         self.calls_random = Random(random.random())
         self.guilty_random = Random("guilty")
         self.guilty = GuiltyRequest()
-        self.needs = StatedNeeds()
+        self.needs = FlowControl()
         self.needs_random = Random("needs")
         self.addresses = []
         self.settings = []
--- a/libs/direct/tests/test_direct_statements.py
+++ b/libs/direct/tests/test_direct_statements.py
@@ -4,7 +4,7 @@
 from anyio import sleep
 
 import statement_rules as rules
-from berylwalk.dispatch import PeerTable, StatedLimit
+from berylwalk.dispatch import AdvertisedRateLimit, PeerTable
 from virtual_statements import StatementPlay
 
 
@@ -136,12 +136,12 @@
 
     def test_each_router_at_the_whole_rate(self, monkeypatch):
         """The sum is six times the rate."""
-        monkeypatch.setattr(PeerTable, "part_of", lambda *_: 1.0)
+        monkeypatch.setattr(PeerTable, "rate_share", lambda *_: 1.0)
         assert not self.passes()
 
     def test_sends_that_are_not_counted(self, monkeypatch):
         """Nothing of the limit is ever used."""
-        monkeypatch.setattr(StatedLimit, "note_sent", lambda *_: None)
+        monkeypatch.setattr(AdvertisedRateLimit, "note_sent", lambda *_: None)
         assert not self.passes()
 
     def test_any_answer_ends_it(self, monkeypatch):
@@ -151,7 +151,7 @@
             limit._believe(None, now)
             return False
 
-        monkeypatch.setattr(StatedLimit, "note_answer", forget)
+        monkeypatch.setattr(AdvertisedRateLimit, "note_answer", forget)
         assert not self.passes()
 
 
--- a/libs/direct/tests/virtual_feeds.py
+++ b/libs/direct/tests/virtual_feeds.py
@@ -12,10 +12,10 @@
 from berylwalk.direct._store_reach import CALL_TIMEOUT_S, StoreReach
 from berylwalk.direct._target_feed import TargetFeed
 from berylwalk.dispatch import (
-    AllowanceRules,
-    Allowances,
     ConfigurationState,
     Dispatcher,
+    QuotaRules,
+    QuotaTracker,
     TargetTable,
 )
 from berylwalk.platform import KeyValueClient
@@ -50,7 +50,7 @@
             ),
             targets=self.targets,
             configuration=self.configuration,
-            allowances=Allowances(AllowanceRules(), started_at=self.clock()),
+            quotas=QuotaTracker(QuotaRules(), started_at=self.clock()),
             dispatcher=Dispatcher(self.targets, failure_domain="fd-a"),
             rollouts=Rollouts(ExposureRules()),
             pool=SimpleNamespace(keep_only=lambda life_ids: None),
@@ -65,7 +65,7 @@
     def takes_work(self, target_id):
         """Return whether a request would be sent to a target."""
         target = self.targets.by_id.get(target_id)
-        return target is not None and target.takes_work(self.clock())
+        return target is not None and target.is_available(self.clock())
 
     @property
     def version(self):
--- a/libs/direct/tests/virtual_fleet.py
+++ b/libs/direct/tests/virtual_fleet.py
@@ -127,7 +127,7 @@
 
         def deliver(router):
             peer = Peer(name, name, 1, life, DOMAINS_BY_NAME[name], sequence=sequence)
-            if router.peers.hear(peer, router.clock()):
+            if router.peers.record_message(peer, router.clock()):
                 router.reach.hear_elsewhere(well_s)
 
         return deliver
--- a/libs/direct/tests/virtual_quarantine.py
+++ b/libs/direct/tests/virtual_quarantine.py
@@ -19,11 +19,11 @@
 from berylwalk.direct._quarantine_note import QuarantineNote
 from berylwalk.direct._store_reach import StoreReach
 from berylwalk.dispatch import (
-    AllowanceRules,
-    Allowances,
     Dispatcher,
     Peer,
     PeerTable,
+    QuotaRules,
+    QuotaTracker,
     TargetTable,
 )
 from berylwalk.platform import Unavailable, UnavailableReason
@@ -69,7 +69,7 @@
         self.runs = {}
 
     @property
-    def life_id(self):
+    def incarnation_id(self):
         """Return the id of the present life."""
         return f"i-{self.number}-{self.lives}"
 
@@ -95,7 +95,7 @@
         if not self.is_up:
             return
         self.is_up = False
-        self.newest_by_life[self.life_id] = list(self.runs)[-1:]
+        self.newest_by_life[self.incarnation_id] = list(self.runs)[-1:]
         for run in list(self.runs):
             run.end("closed")
         get_running_loop().call_later(BACK_S, self._begin)
@@ -129,7 +129,7 @@
                 peer_port=1,
             ),
             targets=targets,
-            allowances=Allowances(AllowanceRules(), started_at=self.clock()),
+            quotas=QuotaTracker(QuotaRules(), started_at=self.clock()),
             dispatcher=Dispatcher(targets, failure_domain=domain),
             quarantine=self.quarantine,
             rollouts=Rollouts(ExposureRules()),
@@ -178,14 +178,14 @@
             engine = self.play.choose(identity if apart else b"")
             if engine is None:
                 return "no-place"
-            life_id, sent_at = engine.life_id, self.clock()
+            incarnation_id, sent_at = engine.incarnation_id, self.clock()
             self.play.note_sent(sent_as, self.name)
             outcome = await engine.run(sent_as, takes_s)
             if outcome == "answered":
-                self.quarantine.note_alive(life_id, sent_at, self.clock())
+                self.quarantine.note_alive(incarnation_id, sent_at, self.clock())
                 self.quarantine.note_answered(identity, self.clock())
                 return "answered"
-            self.play.plants.note_ended(self, identity, engine, life_id)
+            self.play.plants.note_ended(self, identity, engine, incarnation_id)
             standing = self.quarantine.standing(identity, self.clock())
             if standing.is_held_back:
                 break
@@ -219,9 +219,9 @@
         """Return what a request is taken for."""
         return identity
 
-    def note_ended(self, router, identity, engine, life_id):
+    def note_ended(self, router, identity, engine, incarnation_id):
         """Note that the connection of a request was closed."""
-        router.quarantine.note_ended(identity, life_id, router.clock())
+        router.quarantine.note_ended(identity, incarnation_id, router.clock())
 
 
 @dataclass
@@ -373,15 +373,16 @@
         await done.wait()
         return status
 
-    def choose(self, apart_as):
+    def choose(self, isolation_key):
         """Return the target that a router chooses, or None."""
         up = [engine for engine in self.engines if engine.is_up]
-        if not up or not apart_as:
+        if not up or not isolation_key:
             return self.random.choice(up) if up else None
         up.sort(key=lambda engine: len(engine.runs))
         emptiest = up[: max(2, len(up) // 3)]
         return max(
-            emptiest, key=lambda each: parts_hash([apart_as, each.life_id.encode()])
+            emptiest,
+            key=lambda each: parts_hash([isolation_key, each.incarnation_id.encode()]),
         )
 
     # What counts.
--- a/libs/direct/tests/virtual_rollout.py
+++ b/libs/direct/tests/virtual_rollout.py
@@ -22,12 +22,12 @@
 from berylwalk.direct._store_reach import StoreReach
 from berylwalk.direct._target_feed import TargetFeed
 from berylwalk.dispatch import (
-    AllowanceRules,
-    Allowances,
     ConfigurationState,
     Dispatcher,
     Peer,
     PeerTable,
+    QuotaRules,
+    QuotaTracker,
     TargetTable,
     Work,
 )
@@ -269,8 +269,8 @@
         self.targets = TargetTable()
         self.rollouts = play.plants.make_rollouts(f"{name}/{life}")
         peers = PeerTable(name, domain)
-        self.rollouts.routers_known = peers.known
-        self.rollouts.at_other_versions = self.targets.in_flight_elsewhere
+        self.rollouts.routers_known = peers.known_count
+        self.rollouts.at_other_versions = self.targets.in_flight_other_versions
         self.context = SimpleNamespace(
             settings=SimpleNamespace(
                 name=name,
@@ -283,7 +283,7 @@
             ),
             targets=self.targets,
             configuration=ConfigurationState(key_trust_s=4.5),
-            allowances=Allowances(AllowanceRules(), started_at=self.clock()),
+            quotas=QuotaTracker(QuotaRules(), started_at=self.clock()),
             dispatcher=Dispatcher(
                 self.targets, failure_domain=domain, rollouts=self.rollouts
             ),
@@ -354,13 +354,13 @@
             if rollouts.take_canary(SERVICE, route, now):
                 version = rollouts.progress(SERVICE).order.version
                 new = [each for each in targets if each.entry.version == version]
-                lives = [each.entry.life_id for each in new]
+                lives = [each.entry.incarnation_id for each in new]
                 others = len(targets) - len(new)
                 group = rollouts.group(SERVICE, lives, others, now)
                 among = [
                     each
                     for each in new
-                    if each.entry.life_id in group and each.takes_work(now)
+                    if each.entry.incarnation_id in group and each.is_available(now)
                 ]
                 if among:
                     return min(among, key=lambda each: each.total_in_flight)
@@ -369,7 +369,7 @@
         allowed = [
             each
             for each in targets
-            if each.takes_work(now)
+            if each.is_available(now)
             and rollouts.allows(SERVICE, each.entry.version, draw, now)
         ]
         if not allowed:
@@ -383,8 +383,8 @@
         if target is None:
             return None
         rollouts, work, sent_at = self.rollouts, Work(), self.clock()
-        version, life_id = target.entry.version, target.entry.life_id
-        row = rollouts.row_of(SERVICE, version, life_id, route, sent_at)
+        version, incarnation_id = target.entry.version, target.entry.incarnation_id
+        row = rollouts.row_of(SERVICE, version, incarnation_id, route, sent_at)
         target.note_sent(work, sent_at)
         engine = self.play.engines_by_id[target.entry.target_id]
         noted = []
@@ -399,10 +399,10 @@
                 route, takes_s, self.name, lambda: note(AnswerKind.SLOW)
             )
         finally:
-            target.note_left(work, had_first_event=True)
+            target.note_finished(work, had_first_event=True)
         if not engine.is_up:
             target.note_unreachable(self.clock())
-            rollouts.note_end_of_target(SERVICE, life_id, is_new=version == NEW)
+            rollouts.note_end_of_target(SERVICE, incarnation_id, is_new=version == NEW)
             return kind
         if version != NEW:
             rollouts.note_taken(SERVICE, self.clock() - sent_at)
--- a/libs/direct/tests/virtual_statements.py
+++ b/libs/direct/tests/virtual_statements.py
@@ -23,11 +23,11 @@
 from berylwalk.direct._store_reach import StoreReach
 from berylwalk.direct._suspension import SuspensionWatch
 from berylwalk.dispatch import (
-    Allowances,
     ConfigurationState,
     Dispatcher,
     Peer,
     PeerTable,
+    QuotaTracker,
     Route,
     RouteKind,
     RouterSettings,
@@ -107,7 +107,7 @@
                 draw=play.random.random,
                 rollouts=rollouts,
             ),
-            allowances=Allowances(
+            quotas=QuotaTracker(
                 RouterSettings.__dataclass_fields__["allowances"].default_factory(),
                 started_at=clock(),
             ),
@@ -135,8 +135,8 @@
         if hasattr(self.context, "on_statement_news"):
             self.context.on_statement_news = self.peering.tell_soon
 
-    def _note_bytes(self, life_id):
-        target = self.context.targets.by_life_id.get(life_id)
+    def _note_bytes(self, incarnation_id):
+        target = self.context.targets.by_incarnation_id.get(incarnation_id)
         if target is not None:
             target.note_heard(self.clock())
 
@@ -164,7 +164,7 @@
     async def _sweep(self):
         while True:
             await sleep(SWEEP_S)
-            self.context.dispatcher.pump_all(self.clock())
+            self.context.dispatcher.dispatch_all_queued(self.clock())
 
     async def serve(self, request_id, *, on_done):
         """Run a request to its end."""
--- a/libs/dispatch/src/berylwalk/dispatch/__init__.py
+++ b/libs/dispatch/src/berylwalk/dispatch/__init__.py
@@ -6,12 +6,12 @@
     DenialReason,
     Denied,
 )
-from berylwalk.dispatch._allowances import (
-    AllowanceRules,
-    Allowances,
-    AllowanceState,
-    Knowledge,
+from berylwalk.dispatch._advertised_rate_limit import (
+    UPDATE_TTL_S,
+    AdvertisedRateLimit,
+    max_senders,
 )
+from berylwalk.dispatch._concurrency_limits import concurrency_limit
 from berylwalk.dispatch._configuration import (
     Account,
     CallerLimits,
@@ -22,48 +22,54 @@
     ServiceShare,
 )
 from berylwalk.dispatch._dispatcher import Dispatcher
-from berylwalk.dispatch._outcomes import AttemptEnd, Attempts
-from berylwalk.dispatch._patience import (
-    Patience,
-    patience_after_failure,
-    patience_at_arrival,
+from berylwalk.dispatch._first_event_model import FirstEventModel
+from berylwalk.dispatch._flow_control import (
+    FlowControl,
+    FlowControlSignal,
+    FlowControlUpdate,
 )
-from berylwalk.dispatch._peer_view import PEERS_OF_ONE_MESH, Peer, PeerTable
-from berylwalk.dispatch._place_limits import place_limit
-from berylwalk.dispatch._placing import (
-    PlaceRequest,
+from berylwalk.dispatch._outcomes import AttemptEnd, Attempts
+from berylwalk.dispatch._peer_table import MAX_FULL_MESH_PEERS, Peer, PeerTable
+from berylwalk.dispatch._placement import (
+    PlacementRequest,
     choose_target,
-    expected_start,
+    estimate_first_event,
     mean_token_s,
 )
-from berylwalk.dispatch._prefix_reads import PrefixReads, Read
-from berylwalk.dispatch._retries import WindowedRetryBudget
-from berylwalk.dispatch._return_times import return_time_s
+from berylwalk.dispatch._prefix_cache_index import PrefixCacheIndex, PrefixPlacement
+from berylwalk.dispatch._quotas import (
+    HistoryCoverage,
+    QuotaRules,
+    QuotaState,
+    QuotaTracker,
+)
+from berylwalk.dispatch._request_deadlines import (
+    RequestDeadlines,
+    deadlines_after_failure,
+    deadlines_at_arrival,
+)
+from berylwalk.dispatch._request_queue import PendingRequest, RequestQueue
+from berylwalk.dispatch._requested_backoff import RequestedBackoff
+from berylwalk.dispatch._retry_after import retry_after_s
+from berylwalk.dispatch._retry_budget import WindowedRetryBudget
 from berylwalk.dispatch._router_settings import RouterSettings, SocketAddress
-from berylwalk.dispatch._start_model import StartModel
-from berylwalk.dispatch._stated_limit import NEWS_KEPT_S, StatedLimit, most_senders
-from berylwalk.dispatch._stated_needs import Need, NeedsNews, StatedNeeds
-from berylwalk.dispatch._stated_rest import StatedRest
-from berylwalk.dispatch._statements import NOTHING_STATED, TargetStatement
-from berylwalk.dispatch._target import ExpectedStart, Target, TargetSpeed
+from berylwalk.dispatch._target import FirstEventEstimate, Target, TargetSpeed
 from berylwalk.dispatch._target_entries import (
-    Obstacle,
+    IneligibilityReason,
     SharedPrefix,
     TargetEntry,
     TargetState,
     Work,
 )
+from berylwalk.dispatch._target_signals import NO_SIGNALS, TargetSignals
 from berylwalk.dispatch._target_table import TargetTable
-from berylwalk.dispatch._waiting_line import Ticket, WaitingLine
 
 __all__ = [
-    "NEWS_KEPT_S",
-    "NOTHING_STATED",
-    "PEERS_OF_ONE_MESH",
+    "MAX_FULL_MESH_PEERS",
+    "NO_SIGNALS",
+    "UPDATE_TTL_S",
     "Account",
-    "AllowanceRules",
-    "AllowanceState",
-    "Allowances",
+    "AdvertisedRateLimit",
     "Allowed",
     "AttemptEnd",
     "Attempts",
@@ -73,17 +79,25 @@
     "DenialReason",
     "Denied",
     "Dispatcher",
-    "ExpectedStart",
-    "Knowledge",
-    "Need",
-    "NeedsNews",
-    "Obstacle",
-    "Patience",
+    "FirstEventEstimate",
+    "FirstEventModel",
+    "FlowControl",
+    "FlowControlSignal",
+    "FlowControlUpdate",
+    "HistoryCoverage",
+    "IneligibilityReason",
     "Peer",
     "PeerTable",
-    "PlaceRequest",
-    "PrefixReads",
-    "Read",
+    "PendingRequest",
+    "PlacementRequest",
+    "PrefixCacheIndex",
+    "PrefixPlacement",
+    "QuotaRules",
+    "QuotaState",
+    "QuotaTracker",
+    "RequestDeadlines",
+    "RequestQueue",
+    "RequestedBackoff",
     "Route",
     "RouteKind",
     "RouterSettings",
@@ -91,26 +105,20 @@
     "ServiceShare",
     "SharedPrefix",
     "SocketAddress",
-    "StartModel",
-    "StatedLimit",
-    "StatedNeeds",
-    "StatedRest",
     "Target",
     "TargetEntry",
+    "TargetSignals",
     "TargetSpeed",
     "TargetState",
-    "TargetStatement",
     "TargetTable",
-    "Ticket",
-    "WaitingLine",
     "WindowedRetryBudget",
     "Work",
     "choose_target",
-    "expected_start",
+    "concurrency_limit",
+    "deadlines_after_failure",
+    "deadlines_at_arrival",
+    "estimate_first_event",
+    "max_senders",
     "mean_token_s",
-    "most_senders",
-    "patience_after_failure",
-    "patience_at_arrival",
-    "place_limit",
-    "return_time_s",
+    "retry_after_s",
 ]
--- a/libs/dispatch/src/berylwalk/dispatch/_stated_limit.py
+++ b/libs/dispatch/src/berylwalk/dispatch/_advertised_rate_limit.py
@@ -23,11 +23,11 @@
 HEARSAY_MARGIN_S = 0.5
 """How much later another router's observation has to be to count as the newer one: ages
 are told with the time that a message takes, through relays too."""
-NEWS_KEPT_S = 20.0
+UPDATE_TTL_S = 20.0
 """Time for which an own observation is told: some requests at the least rate."""
 
 
-def most_senders(per_s: float) -> int:
+def max_senders(per_s: float) -> int:
     """Return how many routers send to a target that names a limit.
 
     So few that one request of each besides the rate stays small against it.
@@ -35,7 +35,7 @@
     return FEWEST_SENDERS + int(per_s)
 
 
-class StatedLimit:
+class AdvertisedRateLimit:
     """What is believed of a target's limit, and how much of it is left here.
 
     Attributes
@@ -91,7 +91,7 @@
         self.observed = (self.per_s, self.said_at)
         return self.per_s != former
 
-    def hear(self, per_s: float | None, said_at: float, now: float) -> bool:
+    def apply_update(self, per_s: float | None, said_at: float, now: float) -> bool:
         """Take what another router observed; returns whether the belief has changed.
 
         What is about as old as the own belief may only lower it.
@@ -107,13 +107,13 @@
         self.said_at = max(self.said_at, said_at)
         return self.per_s != former
 
-    def news(self, now: float) -> tuple[float | None, float] | None:
+    def pending_update(self, now: float) -> tuple[float | None, float] | None:
         """Return what own answers said last and how long ago, while it is news."""
         if self.observed is None:
             return None
         per_s, said_at = self.observed
         age_s = max(0.0, now - said_at)
-        return (per_s, age_s) if age_s <= NEWS_KEPT_S else None
+        return (per_s, age_s) if age_s <= UPDATE_TTL_S else None
 
     def set_share(self, share: float, now: float) -> None:
         """Tell this router's part of the rate, from 0 to 1."""
@@ -128,7 +128,7 @@
         self._save(now)
         return self._saved >= 1.0
 
-    def opens_at(self, now: float) -> float:
+    def available_at(self, now: float) -> float:
         """Return when a request may be sent, in seconds; infinite if others send."""
         if self.may_send(now):
             return now
--- a/libs/dispatch/src/berylwalk/dispatch/_start_model.py
+++ b/libs/dispatch/src/berylwalk/dispatch/_first_event_model.py
@@ -38,7 +38,7 @@
 Row = list[float]
 
 
-class StartModel:
+class FirstEventModel:
     """Fixed time and reading time of a service's targets.
 
     Attributes
--- a/libs/dispatch/src/berylwalk/dispatch/_peer_view.py
+++ b/libs/dispatch/src/berylwalk/dispatch/_peer_table.py
@@ -7,21 +7,21 @@
 
 from berylwalk.affinity import parts_hash
 
-HEARD_WITHIN_S = 0.7
+PEER_TIMEOUT_S = 0.7
 """A peer without a message for this long, in seconds, is taken for silent."""
 
-FAR_HEARD_WITHIN_S = 1.3
+RELAYED_PEER_TIMEOUT_S = 1.3
 """The same for a peer whose news are passed on by others: their relay may have to be
 replaced first."""
 
-PEERS_OF_ONE_MESH = 5
+MAX_FULL_MESH_PEERS = 5
 """Peers up to which each router tells each other one itself. More are told by
 failure domain: the messages would grow with the square of their number."""
 
 REPLACED_AFTER_S = 0.3
 """A late message of a life that has ended must not bring it back, in seconds."""
 
-MOST_PARTS_KEPT = 10_000
+MAX_CACHED_SHARES = 10_000
 """Bound of the parts that are remembered; targets come and go."""
 
 
@@ -48,9 +48,9 @@
     name: str
     host: str
     port: int
-    life: str
+    incarnation: str
     failure_domain: str = ""
-    heard_at: float = float("-inf")
+    last_heard_at: float = float("-inf")
     sequence: int = 0
 
 
@@ -71,45 +71,45 @@
         self.by_name: dict[str, Peer] = {}
         self._names: list[str] = []
         self._names_at: float | None = None
-        self._parts: dict[tuple[str, int], float] = {}
+        self._shares: dict[tuple[str, int], float] = {}
 
-    def is_near(self, peer: Peer) -> bool:
+    def is_direct(self, peer: Peer) -> bool:
         """Return whether a peer is told directly and often."""
-        if len(self.by_name) <= PEERS_OF_ONE_MESH:
+        if len(self.by_name) <= MAX_FULL_MESH_PEERS:
             return True
         return peer.failure_domain == self._failure_domain
 
-    def near(self) -> list[Peer]:
+    def direct_peers(self) -> list[Peer]:
         """Return the peers that are told directly and often."""
-        return [peer for peer in self.by_name.values() if self.is_near(peer)]
+        return [peer for peer in self.by_name.values() if self.is_direct(peer)]
 
-    def far_domains(self) -> set[str]:
+    def relayed_domains(self) -> set[str]:
         """Return the failure domains whose routers are told through a relay."""
         return {
             peer.failure_domain
             for peer in self.by_name.values()
-            if not self.is_near(peer)
+            if not self.is_direct(peer)
         }
 
-    def is_heard(self, peer: Peer, now: float) -> bool:
+    def is_alive(self, peer: Peer, now: float) -> bool:
         """Return whether a peer has given a sign of life not long ago."""
-        within_s = HEARD_WITHIN_S if self.is_near(peer) else FAR_HEARD_WITHIN_S
-        return now - peer.heard_at <= within_s
+        within_s = PEER_TIMEOUT_S if self.is_direct(peer) else RELAYED_PEER_TIMEOUT_S
+        return now - peer.last_heard_at <= within_s
 
     def is_relay(self, now: float) -> bool:
         """Return whether it is for this router to speak for its failure domain."""
-        first = self.first_near(now)
+        first = self.first_direct_peer(now)
         return first is None or self._own_name <= first.name
 
-    def first_near(self, now: float) -> Peer | None:
+    def first_direct_peer(self, now: float) -> Peer | None:
         """Return the first of the near peers that are heard, or None."""
-        heard = [peer for peer in self.near() if self.is_heard(peer, now)]
-        return min(heard, key=lambda peer: peer.name, default=None)
+        alive = [peer for peer in self.direct_peers() if self.is_alive(peer, now)]
+        return min(alive, key=lambda peer: peer.name, default=None)
 
-    def is_first(self, now: float) -> bool:
+    def is_leader(self, now: float) -> bool:
         """Return whether it is for this router to do what one does for all."""
         names = [
-            peer.name for peer in self.by_name.values() if self.is_heard(peer, now)
+            peer.name for peer in self.by_name.values() if self.is_alive(peer, now)
         ]
         return self._own_name <= min(names, default=self._own_name)
 
@@ -129,9 +129,9 @@
             for peer in self.by_name.values()
             if peer.failure_domain == failure_domain
         ]
-        heard = [peer for peer in peers if self.is_heard(peer, now)]
-        if heard:
-            return min(heard, key=lambda peer: peer.name)
+        alive = [peer for peer in peers if self.is_alive(peer, now)]
+        if alive:
+            return min(alive, key=lambda peer: peer.name)
         return pick(peers) if peers else None
 
     def replace(self, listed: list[Peer], now: float) -> list[Peer]:
@@ -142,25 +142,27 @@
         ended = []
         for name, peer in list(self.by_name.items()):
             new = listed_by_name.get(name)
-            if new is None and self.is_heard(peer, now):
+            if new is None and self.is_alive(peer, now):
                 # It has begun to tell before its entry was listed.
                 continue
-            if new is None or (new.life != peer.life and not self.is_heard(peer, now)):
+            if new is None or (
+                new.incarnation != peer.incarnation and not self.is_alive(peer, now)
+            ):
                 ended.append(peer)
                 del self.by_name[name]
         for name, new in listed_by_name.items():
             self.by_name.setdefault(name, new)
         return ended
 
-    def hear(self, sender: Peer, now: float) -> bool:
+    def record_message(self, sender: Peer, now: float) -> bool:
         """Note a message; False if it is an old one.
 
         A router is known from its first message on, before it is listed. One
         that says nothing any more may have been replaced by a new life.
         """
         peer = self.by_name.get(sender.name)
-        if peer is not None and peer.life != sender.life:
-            if now - peer.heard_at < REPLACED_AFTER_S:
+        if peer is not None and peer.incarnation != sender.incarnation:
+            if now - peer.last_heard_at < REPLACED_AFTER_S:
                 return False
             peer = None
         if peer is None:
@@ -168,19 +170,21 @@
         elif sender.sequence <= peer.sequence:
             return False
         peer.sequence = sender.sequence
-        peer.heard_at = now
+        peer.last_heard_at = now
         return True
 
-    def hear_again(self, name: str, life: str, sequence: int, now: float) -> bool:
+    def record_heartbeat(
+        self, name: str, incarnation: str, sequence: int, now: float
+    ) -> bool:
         """Note a short message of a peer; False if it is old, or of no known life."""
         peer = self.by_name.get(name)
-        if peer is None or peer.life != life or sequence <= peer.sequence:
+        if peer is None or peer.incarnation != incarnation or sequence <= peer.sequence:
             return False
         peer.sequence = sequence
-        peer.heard_at = now
+        peer.last_heard_at = now
         return True
 
-    def part_of(self, life_id: str, senders: int, now: float) -> float:
+    def rate_share(self, incarnation_id: str, senders: int, now: float) -> float:
         """Return this router's part of what a target takes of all routers.
 
         Few of them send: those that come first by a hash of their names and the
@@ -189,26 +193,26 @@
 
         Parameters
         ----------
-        life_id : str
+        incarnation_id : str
             The life of the target.
         senders : int
             How many routers send to it.
         now : float
             Time in seconds.
         """
-        names = self._heard_names(now)
-        key = (life_id, senders)
-        if key not in self._parts:
+        names = self._alive_names(now)
+        key = (incarnation_id, senders)
+        if key not in self._shares:
             first = nsmallest(
                 senders,
                 names,
-                key=lambda name: parts_hash([life_id.encode(), name.encode()]),
+                key=lambda name: parts_hash([incarnation_id.encode(), name.encode()]),
             )
             has_part = self._own_name in first
-            self._parts[key] = 1 / len(first) if has_part else 0.0
-        return self._parts[key] * len(names) / self.known()
+            self._shares[key] = 1 / len(first) if has_part else 0.0
+        return self._shares[key] * len(names) / self.known_count()
 
-    def _heard_names(self, now: float) -> list[str]:
+    def _alive_names(self, now: float) -> list[str]:
         """Return the names of the routers that are heard, this one included.
 
         Many targets are asked about at one moment, and seldom are other ones heard.
@@ -216,17 +220,17 @@
         if now != self._names_at:
             names = [self._own_name]
             names += [
-                name for name, peer in self.by_name.items() if self.is_heard(peer, now)
+                name for name, peer in self.by_name.items() if self.is_alive(peer, now)
             ]
-            if names != self._names or len(self._parts) > MOST_PARTS_KEPT:
-                self._parts.clear()
+            if names != self._names or len(self._shares) > MAX_CACHED_SHARES:
+                self._shares.clear()
             self._names, self._names_at = names, now
         return self._names
 
-    def known(self) -> int:
+    def known_count(self) -> int:
         """Return the number of routers, this one included."""
         return len(self.by_name) + 1
 
-    def heard(self, now: float) -> int:
+    def alive_count(self, now: float) -> int:
         """Return the number of routers that are heard, this one included."""
-        return 1 + sum(self.is_heard(peer, now) for peer in self.by_name.values())
+        return 1 + sum(self.is_alive(peer, now) for peer in self.by_name.values())
--- a/libs/dispatch/src/berylwalk/dispatch/_placing.py
+++ b/libs/dispatch/src/berylwalk/dispatch/_placement.py
@@ -10,8 +10,8 @@
 from random import random
 
 from berylwalk.affinity import parts_hash
-from berylwalk.dispatch._place_limits import obstacle_for
-from berylwalk.dispatch._target import UNKNOWN_TOKEN_S, ExpectedStart, Target
+from berylwalk.dispatch._concurrency_limits import ineligibility_reason_for
+from berylwalk.dispatch._target import UNKNOWN_TOKEN_S, FirstEventEstimate, Target
 from berylwalk.dispatch._target_entries import Work
 
 REMOTE_FACTOR = 1.3
@@ -54,13 +54,13 @@
 """How much dearer a target counts that fails every answer."""
 
 
-def expected_start(
+def estimate_first_event(
     target: Target,
     work: Work,
     *,
-    held_tokens: int = 0,
+    cached_tokens: int = 0,
     typical_token_s: float = UNKNOWN_TOKEN_S,
-) -> ExpectedStart:
+) -> FirstEventEstimate:
     """Return when a request that is added should bring its first event.
 
     Parameters
@@ -75,20 +75,20 @@
         Time for an output token of a target of which nothing is known, in seconds.
     """
     token_s = target.output_token_s or typical_token_s
-    model = target.start_model
+    model = target.first_event_model
     fixed_s = model.fixed_s if target.fixed_s is None else target.fixed_s
     ahead_tokens = target.unread_tokens
-    own_tokens = work.prompt_tokens - held_tokens
+    own_tokens = work.prompt_tokens - cached_tokens
     reading_s = model.reading_s(token_s, ahead_tokens, own_tokens)
     over = target.total_in_flight + 1 - target.entry.slots
     slot_wait_s = 0.0
     if over > 0 and target.slot_s is not None:
         slot_wait_s = over * target.slot_s / max(1, target.entry.slots)
-    return ExpectedStart(fixed_s, reading_s, slot_wait_s, ahead_tokens, own_tokens)
+    return FirstEventEstimate(fixed_s, reading_s, slot_wait_s, ahead_tokens, own_tokens)
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class PlaceRequest:
+class PlacementRequest:
     """What a choice depends on besides the targets.
 
     Parameters
@@ -115,17 +115,17 @@
 
     work: Work
     excluded: Collection[str] = ()
-    held_tokens: Mapping[str, int] = field(default_factory=dict)
+    cached_tokens: Mapping[str, int] = field(default_factory=dict)
     is_most_urgent: bool = True
     left_s: float = float("inf")
     start_within_s: float = float("inf")
     longest_pause_s: float = 0.0
-    apart_as: bytes = b""
+    isolation_key: bytes = b""
 
 
 def choose_target(
     targets: Sequence[Target],
-    request: PlaceRequest,
+    request: PlacementRequest,
     *,
     failure_domain: str,
     now: float,
@@ -152,31 +152,31 @@
     free = [
         target
         for target in targets
-        if obstacle_for(
+        if ineligibility_reason_for(
             target, request.excluded, now, is_most_urgent=request.is_most_urgent
         )
         is None
     ]
     if not free:
         return None
-    if request.apart_as:
-        return _apart(free, request.apart_as)
+    if request.isolation_key:
+        return _apart(free, request.isolation_key)
     typical_token_s = mean_token_s(targets)
     within_s = _start_bound_s(targets, request, typical_token_s, now)
     best = None
     best_cost = float("inf")
     for target in free:
-        held_tokens = request.held_tokens.get(target.entry.life_id, 0)
-        start = expected_start(
+        cached_tokens = request.cached_tokens.get(target.entry.incarnation_id, 0)
+        start = estimate_first_event(
             target,
             request.work,
-            held_tokens=held_tokens,
+            cached_tokens=cached_tokens,
             typical_token_s=typical_token_s,
         )
         if _starts_too_late(target, start, within_s):
             continue
         cost = _cost_s(target, request, start, typical_token_s) * (1 + 0.02 * draw())
-        if held_tokens:
+        if cached_tokens:
             cost *= HELD_FACTOR
         elif target.entry.failure_domain != failure_domain:
             cost *= remote_factor
@@ -185,7 +185,7 @@
     return best
 
 
-def _apart(free: Sequence[Target], apart_as: bytes) -> Target:
+def _apart(free: Sequence[Target], isolation_key: bytes) -> Target:
     """Return the target for a request that may end it.
 
     One of those with the fewest requests, since it takes them along; which one is the
@@ -195,12 +195,14 @@
     emptiest = by_load[: max(LEAST_APART, len(by_load) // APART_PART)]
     return max(
         emptiest,
-        key=lambda target: parts_hash([apart_as, target.entry.life_id.encode()]),
+        key=lambda target: parts_hash(
+            [isolation_key, target.entry.incarnation_id.encode()]
+        ),
     )
 
 
 def targets_too_late(
-    targets: Sequence[Target], request: PlaceRequest, now: float
+    targets: Sequence[Target], request: PlacementRequest, now: float
 ) -> set[str]:
     """Return the ids of targets that are passed over since they would begin late."""
     typical_token_s = mean_token_s(targets)
@@ -210,10 +212,10 @@
         for target in targets
         if _starts_too_late(
             target,
-            expected_start(
+            estimate_first_event(
                 target,
                 request.work,
-                held_tokens=request.held_tokens.get(target.entry.life_id, 0),
+                cached_tokens=request.cached_tokens.get(target.entry.incarnation_id, 0),
                 typical_token_s=typical_token_s,
             ),
             within_s,
@@ -222,12 +224,15 @@
 
 
 def _cost_s(
-    target: Target, request: PlaceRequest, start: ExpectedStart, typical_token_s: float
+    target: Target,
+    request: PlacementRequest,
+    start: FirstEventEstimate,
+    typical_token_s: float,
 ) -> float:
     token_s = target.output_token_s or typical_token_s
     output_s = token_s * request.work.output_tokens
     cost = start.total_s + SLOT_TIME_WEIGHT * (start.reading_s + output_s)
-    cost *= 1 + ERROR_FACTOR * target.errors
+    cost *= 1 + ERROR_FACTOR * target.error_rate
     cost *= 1 + LOAD_WEIGHT * target.total_in_flight / max(1, target.entry.slots)
     if output_s > request.left_s * OUTPUT_MARGIN:
         cost *= TOO_SLOW_FACTOR
@@ -236,7 +241,9 @@
     return cost
 
 
-def _pause_risk(target: Target, request: PlaceRequest, start: ExpectedStart) -> float:
+def _pause_risk(
+    target: Target, request: PlacementRequest, start: FirstEventEstimate
+) -> float:
     """Return the risk of a long pause there, from 0 to 1."""
     bound_s = PAUSE_SHARE * request.longest_pause_s
     expected_s = (target.event_s or 0.0) + start.reading_s
@@ -246,18 +253,21 @@
 
 
 def _start_bound_s(
-    targets: Sequence[Target], request: PlaceRequest, typical_token_s: float, now: float
+    targets: Sequence[Target],
+    request: PlacementRequest,
+    typical_token_s: float,
+    now: float,
 ) -> float:
     """Return within what time a start at a busy target is expected to be useful."""
     if request.start_within_s == float("inf"):
         return request.start_within_s
     idle_s = [
-        target.start_model.fixed_s
-        + target.start_model.reading_s(
+        target.first_event_model.fixed_s
+        + target.first_event_model.reading_s(
             target.output_token_s or typical_token_s, 0, request.work.prompt_tokens
         )
         for target in targets
-        if target.takes_work(now)
+        if target.is_available(now)
     ]
     least_s = min(idle_s, default=0.0)
     if least_s <= request.start_within_s:
@@ -265,7 +275,9 @@
     return INHERENT_FACTOR * least_s
 
 
-def _starts_too_late(target: Target, start: ExpectedStart, within_s: float) -> bool:
+def _starts_too_late(
+    target: Target, start: FirstEventEstimate, within_s: float
+) -> bool:
     is_busy = target.total_in_flight >= BUSY_SHARE * target.entry.slots
     return is_busy and start.total_s > within_s
 
--- a/libs/dispatch/src/berylwalk/dispatch/_prefix_reads.py
+++ b/libs/dispatch/src/berylwalk/dispatch/_prefix_cache_index.py
@@ -21,36 +21,36 @@
 MOST_NEWS = 256
 """Bound of what is told at once; more is forgotten, the oldest first."""
 
-Read = tuple[int, str]
+PrefixPlacement = tuple[int, str]
 """Hash of a prefix, and the life of the target that it was sent to."""
 
 
-class PrefixReads:
+class PrefixCacheIndex:
     """What was sent where, by this router and as others tell."""
 
     def __init__(self) -> None:
         self._history = PlacementHistory(REMEMBERED)
-        self._news: deque[Read] = deque(maxlen=MOST_NEWS)
+        self._news: deque[PrefixPlacement] = deque(maxlen=MOST_NEWS)
 
-    def note_sent(self, work: Work, life_id: str) -> None:
+    def note_sent(self, work: Work, incarnation_id: str) -> None:
         """Note that a target reads the prompt of a request."""
         prefix = work.shared_prefix
         if prefix is not None and prefix.tokens >= LEAST_SHARED_TOKENS:
-            self._history.record((prefix.key,), life_id)
-            self._news.append((prefix.key, life_id))
+            self._history.record((prefix.key,), incarnation_id)
+            self._news.append((prefix.key, incarnation_id))
 
-    def hear(self, reads: Iterable[Read]) -> None:
+    def merge(self, reads: Iterable[PrefixPlacement]) -> None:
         """Take what other routers sent."""
-        for key, life_id in reads:
-            self._history.record((key,), life_id)
+        for key, incarnation_id in reads:
+            self._history.record((key,), incarnation_id)
 
-    def take_news(self) -> list[Read]:
+    def take_updates(self) -> list[PrefixPlacement]:
         """Return what was sent since the last call, for peers."""
         news = list(self._news)
         self._news.clear()
         return news
 
-    def held_tokens(self, work: Work) -> dict[str, int]:
+    def cached_tokens(self, work: Work) -> dict[str, int]:
         """Return the tokens of a prompt that targets have read, by their lives."""
         prefix = work.shared_prefix
         if prefix is None or prefix.tokens < LEAST_SHARED_TOKENS:
--- a/libs/dispatch/src/berylwalk/dispatch/_allowances.py
+++ b/libs/dispatch/src/berylwalk/dispatch/_quotas.py
@@ -37,7 +37,7 @@
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class AllowanceRules:
+class QuotaRules:
     """How an account's spending is judged.
 
     Parameters
@@ -66,14 +66,14 @@
         return allowance * self.excess + self.slack
 
 
-class Knowledge(IntEnum):
+class HistoryCoverage(IntEnum):
     """What a router knows of the window before its start."""
 
-    NOTHING = 0
-    NOTE = 1
+    NONE = 0
+    PARTIAL = 1
     """What was noted of accounts that spent much; others spent less."""
 
-    ALL = 2
+    COMPLETE = 2
 
 
 @dataclass(frozen=True, slots=True)
@@ -124,7 +124,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class AllowanceState:
+class QuotaState:
     """What decides about the requests of an account, in units of the window.
 
     Parameters
@@ -145,7 +145,7 @@
     share: float
 
 
-class Allowances:
+class QuotaTracker:
     """The spending of each account by all routers, in a sliding window.
 
     Routers tell each other what they have spent. A peer that is silent may be
@@ -161,12 +161,12 @@
         Time of the start.
     """
 
-    def __init__(self, rules: AllowanceRules, *, started_at: float) -> None:
+    def __init__(self, rules: QuotaRules, *, started_at: float) -> None:
         self._rules = rules
         self._started_at = started_at
         self._spending_by_account: dict[str, _Spending] = {}
         self._lives: set[str] = set()
-        self._knowledge = Knowledge.NOTHING
+        self._knowledge = HistoryCoverage.NONE
         self._accounts_by_name: dict[str, Account] = {}
         self._share = 1.0
         self.urgent_demand = UrgentDemand()
@@ -214,9 +214,9 @@
         known = (state.limit - state.unknown) * state.share
         left = known - state.counted
         reserve = RESERVE_SHARE * min(rank, LOWEST_RANK) * known
-        self.urgent_demand.ask(account.name, rank, cost, now)
+        self.urgent_demand.record(account.name, rank, cost, now)
         spending = self._spending(account.name)
-        urgent = self.urgent_demand.above(account.name, rank, now)
+        urgent = self.urgent_demand.demand_above(account.name, rank, now)
         if urgent is not None:
             most_per_s = MOST_URGENT_SHARE * state.limit / self._rules.window_s
             reserve += _reserve_for(
@@ -231,7 +231,7 @@
         spending.spent += cost
         return 0.0
 
-    def state(self, account: Account, now: float) -> AllowanceState:
+    def state(self, account: Account, now: float) -> QuotaState:
         """Return what decides about the requests of an account.
 
         Of the limits that were in force within the window, the one that leaves least:
@@ -247,7 +247,7 @@
             zip(reversed(highest), counted, strict=True),
             key=lambda pair: pair[0] - pair[1],
         )
-        return AllowanceState(
+        return QuotaState(
             limit=limit,
             unknown=self._unknown(account, limit, now),
             counted=spent,
@@ -268,7 +268,7 @@
         spent = [*sorted(spending.before), *spending.steps]
         return [(max(0.0, time + window_s - now), units) for time, units in spent]
 
-    def give_back(self, account: Account, cost: float, now: float) -> None:
+    def refund(self, account: Account, cost: float, now: float) -> None:
         """Return the cost of a request that has surely not run."""
         spending = self._spending_by_account.get(account.name)
         if spending is not None and account.rate_per_s > 0:
@@ -290,7 +290,7 @@
             for name, spending in self._spending_by_account.items()
         }
 
-    def hear(
+    def record_peer_totals(
         self, life: str, spent_by_account: dict[str, float], *, is_new: bool, now: float
     ) -> None:
         """Count what a peer has spent since it was last heard.
@@ -316,10 +316,10 @@
                 spending.add(total - before, now)
             spending.spent_by_peer[life] = total
 
-    def forget(self, life: str) -> None:
+    def forget_peer(self, life: str) -> None:
         """Forget the totals of a peer's life that has ended."""
         self._lives.discard(life)
-        self.urgent_demand.forget(life)
+        self.urgent_demand.forget_peer(life)
         for spending in self._spending_by_account.values():
             spending.spent_by_peer.pop(life, None)
 
@@ -337,7 +337,7 @@
             if self._counted(spending, now) > 0
         }
 
-    def spent_much(self, now: float) -> dict[str, list[float]]:
+    def heavy_spending_by_bin(self, now: float) -> dict[str, list[float]]:
         """Return the same of accounts that have spent much of their allowance."""
         binned = self.spent_by_bin(now)
         return {
@@ -347,8 +347,8 @@
             and sum(binned[name]) > NOTED_SHARE * self._rules.limit(account)
         }
 
-    def learn(
-        self, bins: dict[str, list[float]], knowledge: Knowledge, now: float
+    def restore(
+        self, bins: dict[str, list[float]], knowledge: HistoryCoverage, now: float
     ) -> None:
         """Take what was spent in the window before the start.
 
@@ -370,7 +370,7 @@
         for name, units_by_bin in bins.items():
             self._spending(name).noted = sum(units_by_bin)
             times = [now - BIN_S * number for number in range(len(units_by_bin))]
-            if knowledge is Knowledge.NOTE:
+            if knowledge is HistoryCoverage.PARTIAL:
                 # The oldest part may have left the window after the note was
                 # written, and been spent again.
                 oldest = now - self._rules.window_s + NOTE_AGE_S
@@ -381,9 +381,11 @@
                 if units > 0
             ]
 
-    def knows_window(self, now: float) -> bool:
+    def has_full_window(self, now: float) -> bool:
         """Return whether all that was spent in the window is known."""
-        return self._knowledge is Knowledge.ALL or not self._started_within(now)
+        return self._knowledge is HistoryCoverage.COMPLETE or not self._started_within(
+            now
+        )
 
     def _started_within(self, now: float) -> bool:
         return now - self._started_at < self._rules.window_s
@@ -406,10 +408,10 @@
     def _unknown(self, account: Account, limit: float, now: float) -> float:
         """Return what may have been spent before the start without being known."""
         unknown_s = max(0.0, self._rules.window_s - (now - self._started_at))
-        if self._knowledge is Knowledge.ALL or not unknown_s:
+        if self._knowledge is HistoryCoverage.COMPLETE or not unknown_s:
             return 0.0
         units = limit - self._rules.start_units(account)
-        if self._knowledge is Knowledge.NOTE:
+        if self._knowledge is HistoryCoverage.PARTIAL:
             noted = self._spending(account.name).noted
             if noted:
                 # All the rest may have been spent after the note was written.
--- a/libs/dispatch/src/berylwalk/dispatch/_patience.py
+++ b/libs/dispatch/src/berylwalk/dispatch/_request_deadlines.py
@@ -16,7 +16,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Patience:
+class RequestDeadlines:
     """Until when a request waits, and by when it should begin.
 
     Parameters
@@ -31,9 +31,9 @@
     start_by: float
 
 
-def patience_at_arrival(
-    arrived_at: float, objective_s: float, ends_at: float
-) -> Patience:
+def deadlines_at_arrival(
+    arrived_at: float, objective_s: float, deadline: float
+) -> RequestDeadlines:
     """Return the patience of a request that no target has seen.
 
     Parameters
@@ -44,15 +44,15 @@
         Its latency objective, in seconds.
     """
     wait_s = max(LEAST_WAIT_S, WAIT_SHARE * objective_s)
-    return Patience(
-        wait_until=min(arrived_at + wait_s, ends_at),
+    return RequestDeadlines(
+        wait_until=min(arrived_at + wait_s, deadline),
         start_by=arrived_at + START_SHARE * objective_s,
     )
 
 
-def patience_after_failure(now: float, ends_at: float) -> Patience:
+def deadlines_after_failure(now: float, deadline: float) -> RequestDeadlines:
     """Return the patience of a request that a target has held up.
 
     Late is better than not at all.
     """
-    return Patience(min(now + REPEAT_WAIT_S, ends_at), float("inf"))
+    return RequestDeadlines(min(now + REPEAT_WAIT_S, deadline), float("inf"))
--- a/libs/dispatch/src/berylwalk/dispatch/_waiting_line.py
+++ b/libs/dispatch/src/berylwalk/dispatch/_request_queue.py
@@ -19,7 +19,7 @@
 
 
 @dataclass(slots=True, kw_only=True, eq=False)
-class Ticket:
+class PendingRequest:
     """One request that wants a place.
 
     Parameters
@@ -53,20 +53,20 @@
     service: str
     rank: tuple[int, int]
     work: Work
-    on_place: Callable[[Target], None]
-    ends_at: float = float("inf")
+    on_placed: Callable[[Target], None]
+    deadline: float = float("inf")
     start_by: float = float("inf")
     longest_pause_s: float = 0.0
     excluded: set[str] = field(default_factory=set)
-    apart_as: bytes = b""
+    isolation_key: bytes = b""
     arrived_at: float = 0.0
     version_draw: float = 0.0
     number: int = 0
 
 
-def _order(ticket: Ticket) -> tuple[tuple[int, int], float, int]:
-    behind_s = SIZE_WEIGHT * min(_slot_s(ticket.work), LONGEST_SLOT_S)
-    return ticket.rank, ticket.arrived_at + behind_s, ticket.number
+def _order(pending: PendingRequest) -> tuple[tuple[int, int], float, int]:
+    behind_s = SIZE_WEIGHT * min(_slot_s(pending.work), LONGEST_SLOT_S)
+    return pending.rank, pending.arrived_at + behind_s, pending.number
 
 
 def _slot_s(work: Work) -> float:
@@ -75,7 +75,7 @@
     return prompt_s + work.output_tokens * TYPICAL_OUTPUT_TOKEN_S
 
 
-class WaitingLine:
+class RequestQueue:
     """Waiting requests of one service, by rank, arrival and size."""
 
     def __init__(self) -> None:
@@ -88,15 +88,15 @@
     def __iter__(self):
         return iter(list(self._tickets))
 
-    def add(self, ticket: Ticket) -> None:
+    def add(self, pending: PendingRequest) -> None:
         """Add a ticket behind those of its rank."""
-        ticket.number = next(self._numbers)
-        self._tickets.add(ticket)
+        pending.number = next(self._numbers)
+        self._tickets.add(pending)
 
-    def remove(self, ticket: Ticket) -> bool:
+    def remove(self, pending: PendingRequest) -> bool:
         """Remove a ticket; False if it does not wait."""
         try:
-            self._tickets.remove(ticket)
+            self._tickets.remove(pending)
         except ValueError:
             return False
         return True
--- a/libs/dispatch/src/berylwalk/dispatch/_stated_rest.py
+++ b/libs/dispatch/src/berylwalk/dispatch/_requested_backoff.py
@@ -13,7 +13,7 @@
 """Difference up to which two ends of a rest are taken for one, where it is told."""
 
 
-class StatedRest:
+class RequestedBackoff:
     """For how long a target wants nothing of this router.
 
     Attributes
@@ -29,16 +29,16 @@
         self.sends_left: int | None = None
         self._sent_at = float("-inf")
 
-    def note_asked(self, rest_s: float, now: float) -> bool:
+    def note_requested(self, duration_s: float, now: float) -> bool:
         """Take a rest that is asked for; returns whether that is news.
 
         A shorter one that is asked for later takes nothing back. Several requests that
         are refused at once tell the same.
         """
-        until = now + rest_s
+        until = now + duration_s
         is_news = until > self.until + SAME_REST_S
         self.until = max(self.until, until)
-        if rest_s > 0:
+        if duration_s > 0:
             self.sends_left = 1
             self._sent_at = float("-inf")
         return is_news
@@ -54,7 +54,7 @@
         if self.sends_left is not None:
             self.sends_left += 1
 
-    def note_taken(self, slots: int, *, sent_at: float) -> None:
+    def note_accepted(self, slots: int, *, sent_at: float) -> None:
         """Note that the target took a request.
 
         Parameters
--- a/libs/dispatch/src/berylwalk/dispatch/_return_times.py
+++ b/libs/dispatch/src/berylwalk/dispatch/_retry_after.py
@@ -18,10 +18,10 @@
 """Part of their time left up to which callers wait as told."""
 
 
-def return_time_s(
+def retry_after_s(
     left_s: float,
     *,
-    opens_in_s: float = 0.0,
+    available_in_s: float = 0.0,
     draw: Callable[[float, float], float] = uniform,
 ) -> float:
     """Return the seconds after which a caller should come back.
@@ -41,4 +41,4 @@
     latest_s = min(LATEST_S, left_s * SHARE_OF_TIME_LEFT)
     after_s = draw(min(SOONEST_S, latest_s), latest_s)
     # Another router may have a place sooner than this one, but none at once.
-    return after_s if isinf(opens_in_s) else max(opens_in_s, 0.0) + after_s
+    return after_s if isinf(available_in_s) else max(available_in_s, 0.0) + after_s
--- a/libs/dispatch/src/berylwalk/dispatch/_router_settings.py
+++ b/libs/dispatch/src/berylwalk/dispatch/_router_settings.py
@@ -2,7 +2,7 @@
 
 from dataclasses import dataclass, field
 
-from berylwalk.dispatch._allowances import AllowanceRules
+from berylwalk.dispatch._quotas import QuotaRules
 from berylwalk.rollout import ExposureRules
 
 
@@ -68,7 +68,7 @@
     drain_s: float = 2.0
     configuration_s: float = 2.0
     heartbeat_s: float = 1.2
-    allowances: AllowanceRules = field(default_factory=AllowanceRules)
+    allowances: QuotaRules = field(default_factory=QuotaRules)
     retry_ratio: float = 0.2
     retry_slack: float = 50.0
     retry_window_s: float = 10.0
--- a/libs/dispatch/src/berylwalk/dispatch/_target.py
+++ b/libs/dispatch/src/berylwalk/dispatch/_target.py
@@ -3,15 +3,15 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field
 
-from berylwalk.dispatch._start_model import StartModel
-from berylwalk.dispatch._stated_needs import StatedNeeds
-from berylwalk.dispatch._statements import NOTHING_STATED, TargetStatement
+from berylwalk.dispatch._first_event_model import FirstEventModel
+from berylwalk.dispatch._flow_control import FlowControl
 from berylwalk.dispatch._target_entries import (
-    Obstacle,
+    IneligibilityReason,
     TargetEntry,
     TargetState,
     Work,
 )
+from berylwalk.dispatch._target_signals import NO_SIGNALS, TargetSignals
 
 FIRST_ASIDE_S = 0.4
 """First time that a failing target is set aside, in seconds; doubled each time."""
@@ -53,7 +53,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class ExpectedStart:
+class FirstEventEstimate:
     """When a request should bring its first event at a target, in parts.
 
     Parameters
@@ -154,7 +154,7 @@
     """
 
     entry: TargetEntry
-    start_model: StartModel = field(default_factory=StartModel)
+    first_event_model: FirstEventModel = field(default_factory=FirstEventModel)
     in_flight: int = 0
     waiting_tokens: int = 0
     peer_in_flight: int = 0
@@ -164,21 +164,21 @@
     output_token_s: float | None = None
     event_s: float | None = None
     paused_share: float = 0.0
-    errors: float = 0.0
-    failures: int = 0
-    aside_until: float = float("-inf")
-    tried_at: float = float("-inf")
-    heard_at: float = float("-inf")
-    owes_since: float | None = None
-    missing_since: float | None = None
+    error_rate: float = 0.0
+    consecutive_failures: int = 0
+    backoff_until: float = float("-inf")
+    last_sent_at: float = float("-inf")
+    last_heard_at: float = float("-inf")
+    awaiting_since: float | None = None
+    unlisted_since: float | None = None
     is_replaced: bool = False
-    stated: TargetStatement = NOTHING_STATED
-    needs: StatedNeeds = field(default_factory=StatedNeeds)
-    on_life_ended: set[Callable[[], None]] = field(default_factory=set)
+    last_signals: TargetSignals = NO_SIGNALS
+    flow_control: FlowControl = field(default_factory=FlowControl)
+    on_incarnation_ended: set[Callable[[], None]] = field(default_factory=set)
 
-    def end_life(self) -> None:
+    def notify_incarnation_ended(self) -> None:
         """Tell all that wait for it that this life of the target has ended."""
-        for tell in list(self.on_life_ended):
+        for tell in list(self.on_incarnation_ended):
             tell()
 
     @property
@@ -193,49 +193,52 @@
 
     def is_silent(self, now: float) -> bool:
         """Return whether the target owes an event for too long."""
-        if self.owes_since is None:
+        if self.awaiting_since is None:
             return False
-        return now - max(self.owes_since, self.heard_at) > self.longest_silence_s()
+        return (
+            now - max(self.awaiting_since, self.last_heard_at)
+            > self.silence_timeout_s()
+        )
 
-    def longest_silence_s(self) -> float:
+    def silence_timeout_s(self) -> float:
         """Return for how long a sound target may send nothing, in seconds.
 
         One that reads long prompts and has no other request sends nothing.
         """
         token_s = self.output_token_s or UNKNOWN_FACTOR * UNKNOWN_TOKEN_S
-        reading_s = self.start_model.reading_s(token_s, 0, self.unread_tokens)
+        reading_s = self.first_event_model.reading_s(token_s, 0, self.unread_tokens)
         return SILENT_AFTER_S + SILENCE_FACTOR * reading_s
 
-    def takes_work(self, now: float) -> bool:
+    def is_available(self, now: float) -> bool:
         """Return whether a request may be sent, its number in flight aside."""
-        return self.obstacle(now) is None
+        return self.ineligibility_reason(now) is None
 
-    def obstacle(self, now: float) -> Obstacle | None:
+    def ineligibility_reason(self, now: float) -> IneligibilityReason | None:
         """Return why no request may be sent, its number in flight aside."""
         if self.entry.state is not TargetState.READY:
-            return Obstacle.DRAINING
+            return IneligibilityReason.DRAINING
         if self.is_replaced:
-            return Obstacle.REPLACED
-        if now < self.aside_until:
-            return Obstacle.ASIDE
+            return IneligibilityReason.REPLACED
+        if now < self.backoff_until:
+            return IneligibilityReason.BACKOFF
         if self.is_silent(now):
-            return Obstacle.SILENT
-        is_erroneous = self.errors > ERRONEOUS_SHARE
-        if is_erroneous and now - self.tried_at < TRIAL_GAP_S:
-            return Obstacle.ERRORS
-        return self.needs.obstacle(now)
+            return IneligibilityReason.SILENT
+        is_erroneous = self.error_rate > ERRONEOUS_SHARE
+        if is_erroneous and now - self.last_sent_at < TRIAL_GAP_S:
+            return IneligibilityReason.ERRORS
+        return self.flow_control.ineligibility_reason(now)
 
     def note_sent(self, work: Work, now: float) -> None:
         """Count a request that is sent."""
         self.in_flight += 1
         self.waiting_tokens += work.prompt_tokens
-        self.tried_at = now
-        self.needs.note_sent(now)
-        if self.owes_since is None:
-            self.owes_since = now
+        self.last_sent_at = now
+        self.flow_control.note_sent(now)
+        if self.awaiting_since is None:
+            self.awaiting_since = now
 
     def note_first_event(
-        self, work: Work, start: ExpectedStart, taken_s: float
+        self, work: Work, start: FirstEventEstimate, taken_s: float
     ) -> None:
         """Learn from the time to a first event.
 
@@ -253,7 +256,7 @@
         sample = max(rest_s, taken_s * LEAST_OWN_SHARE)
         had_free_slot = start.slot_wait_s == 0
         if had_free_slot and self.output_token_s is not None:
-            self.start_model.note(
+            self.first_event_model.note(
                 self.output_token_s, start.ahead_tokens, start.own_tokens, taken_s
             )
         weight = SPEED_WEIGHT if had_free_slot else WAITED_WEIGHT
@@ -311,38 +314,40 @@
 
     def note_heard(self, now: float) -> None:
         """Note that bytes came."""
-        self.heard_at = now
-        if self.owes_since is not None:
-            self.owes_since = now
+        self.last_heard_at = now
+        if self.awaiting_since is not None:
+            self.awaiting_since = now
 
     def note_suspended(self, suspended_s: float) -> None:
         """Take the time of a suspension of this router for no silence."""
-        self.heard_at += suspended_s
-        if self.owes_since is not None:
-            self.owes_since += suspended_s
+        self.last_heard_at += suspended_s
+        if self.awaiting_since is not None:
+            self.awaiting_since += suspended_s
 
-    def note_left(self, work: Work, *, had_first_event: bool) -> None:
+    def note_finished(self, work: Work, *, had_first_event: bool) -> None:
         """Count a request out that was sent, however it ended."""
         self.in_flight -= 1
         if not had_first_event:
             self.waiting_tokens -= work.prompt_tokens
         if self.in_flight == 0:
-            self.owes_since = None
+            self.awaiting_since = None
 
     def note_success(self) -> None:
         """Note a proper answer."""
-        self.failures = 0
-        self.errors -= ERROR_WEIGHT * self.errors
+        self.consecutive_failures = 0
+        self.error_rate -= ERROR_WEIGHT * self.error_rate
 
     def note_error(self) -> None:
         """Note an answer that failed though the target is there."""
-        self.errors += ERROR_WEIGHT * (1 - self.errors)
+        self.error_rate += ERROR_WEIGHT * (1 - self.error_rate)
 
     def note_unreachable(self, now: float) -> None:
         """Set the target aside after its connection failed."""
-        self.failures += 1
-        pause_s = FIRST_ASIDE_S * 2 ** min(self.failures - 1, 4)
-        self.aside_until = max(self.aside_until, now + min(pause_s, LONGEST_ASIDE_S))
+        self.consecutive_failures += 1
+        pause_s = FIRST_ASIDE_S * 2 ** min(self.consecutive_failures - 1, 4)
+        self.backoff_until = max(
+            self.backoff_until, now + min(pause_s, LONGEST_ASIDE_S)
+        )
 
     def note_replaced(self) -> None:
         """Send nothing more: what answers at its address is another life.
@@ -352,13 +357,13 @@
         """
         self.is_replaced = True
 
-    def opens_at(self, now: float) -> float:
+    def available_at(self, now: float) -> float:
         """Return when it takes requests again, in seconds, as far as it has said."""
-        return self.needs.opens_at(now)
+        return self.flow_control.available_at(now)
 
-    def note_full(self, now: float, pause_s: float) -> None:
+    def note_refused(self, now: float, pause_s: float) -> None:
         """Leave the target alone for a moment after it refused work."""
-        self.aside_until = max(self.aside_until, now + pause_s)
+        self.backoff_until = max(self.backoff_until, now + pause_s)
 
 
 def _moved(mean: float | None, sample: float, weight: float) -> float:
--- a/libs/dispatch/src/berylwalk/dispatch/_target_entries.py
+++ b/libs/dispatch/src/berylwalk/dispatch/_target_entries.py
@@ -14,26 +14,26 @@
     DRAINING = "draining"
 
 
-class Obstacle(StrEnum):
+class IneligibilityReason(StrEnum):
     """Why a target gets no request."""
 
     DRAINING = "draining"
-    ASIDE = "aside"
+    BACKOFF = "aside"
     """Its connection failed, or it refused work, a short time ago."""
 
     REPLACED = "replaced"
     """Another life answers at its address: it has ended, whatever its entry says."""
 
-    RESTING = "resting"
+    RETRY_AFTER = "resting"
     """It has asked this router for rest."""
 
-    RETURNING = "returning"
+    SLOW_START = "returning"
     """It has rested, and takes a few requests at first."""
 
     LEAVING = "leaving"
     """It says in its answers that it leaves."""
 
-    LIMITED = "limited"
+    RATE_LIMITED = "limited"
     """It names a limit, and this router's part of it is used."""
 
     SILENT = "silent"
@@ -84,7 +84,7 @@
     version: str = ""
 
     @property
-    def life_id(self) -> str:
+    def incarnation_id(self) -> str:
         """Identifies one life of the target, also towards other routers.
 
         Only the end of the start's time is told, since ids are in each message:
--- a/libs/dispatch/src/berylwalk/dispatch/_statements.py
+++ b/libs/dispatch/src/berylwalk/dispatch/_target_signals.py
@@ -4,7 +4,7 @@
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class TargetStatement:
+class TargetSignals:
     """What the head of one answer states of the target that gave it.
 
     Parameters
@@ -23,15 +23,15 @@
 
     limit_per_s: float | None = None
     is_leaving: bool = False
-    rest_s: float | None = None
+    retry_after_s: float | None = None
     problem: str = ""
     limit_is_readable: bool = True
 
     @property
-    def is_plain(self) -> bool:
+    def is_empty(self) -> bool:
         """Whether it states nothing."""
-        return self == NOTHING_STATED
+        return self == NO_SIGNALS
 
 
-NOTHING_STATED = TargetStatement()
+NO_SIGNALS = TargetSignals()
 """Most answers."""
--- a/libs/dispatch/src/berylwalk/dispatch/_target_table.py
+++ b/libs/dispatch/src/berylwalk/dispatch/_target_table.py
@@ -2,8 +2,8 @@
 
 from collections.abc import Iterable
 
-from berylwalk.dispatch._start_model import StartModel
-from berylwalk.dispatch._stated_needs import StatedNeeds
+from berylwalk.dispatch._first_event_model import FirstEventModel
+from berylwalk.dispatch._flow_control import FlowControl
 from berylwalk.dispatch._target import Target, TargetSpeed
 from berylwalk.dispatch._target_entries import TargetEntry
 
@@ -39,17 +39,17 @@
 
     def __init__(self, *, absence_grace_s: float = ABSENT_TARGETS_KEPT_S) -> None:
         self.by_id: dict[str, Target] = {}
-        self.by_life_id: dict[str, Target] = {}
+        self.by_incarnation_id: dict[str, Target] = {}
         self.absence_grace_s = absence_grace_s
         self.confirmed_at = float("-inf")
         self._lapsed_until = float("-inf")
         self._by_service: dict[str, list[Target]] = {}
-        self._start_models_by_service: dict[str, StartModel] = {}
+        self._start_models_by_service: dict[str, FirstEventModel] = {}
         self._adopted_speeds_by_id: dict[str, TargetSpeed] = {}
         self._peer_loads_by_name: dict[str, dict[str, tuple[int, int]]] = {}
         self._ended_lives: list[Target] = []
         self._ended_starts_by_id: dict[str, tuple[int, float]] = {}
-        self._needs_of_gone: dict[str, tuple[StatedNeeds, float]] = {}
+        self._needs_of_gone: dict[str, tuple[FlowControl, float]] = {}
         self._lives_in_need: set[str] = set()
 
     def of_service(self, service: str) -> list[Target]:
@@ -79,10 +79,10 @@
         gone = []
         for target_id, target in list(self.by_id.items()):
             if target_id in entries_by_id:
-                target.missing_since = None
+                target.unlisted_since = None
                 continue
-            if target.missing_since is None:
-                target.missing_since = now
+            if target.unlisted_since is None:
+                target.unlisted_since = now
             if now >= self._lapsed_until:
                 gone.append(target_id)
                 self._forget(target, now)
@@ -96,7 +96,7 @@
         self._put(entry, now)
         target = self.by_id.get(entry.target_id)
         if target is not None:
-            target.missing_since = None
+            target.unlisted_since = None
         self._index()
 
     def note_suspended(self, suspended_s: float) -> None:
@@ -104,7 +104,7 @@
         for target in self.by_id.values():
             target.note_suspended(suspended_s)
 
-    def pop_ended_lives(self) -> list[Target]:
+    def pop_ended_incarnations(self) -> list[Target]:
         """Return the lives that ended since the last look: targets started again."""
         ended, self._ended_lives = self._ended_lives, []
         return ended
@@ -114,7 +114,7 @@
         target = self.by_id.get(target_id)
         if target is None:
             return False
-        target.missing_since = now
+        target.unlisted_since = now
         if now < self._lapsed_until:
             return False
         self._forget(target, now)
@@ -130,7 +130,9 @@
         self._index()
         return True
 
-    def hear_loads(self, peer: str, loads_by_id: dict[str, tuple[int, int]]) -> None:
+    def replace_peer_loads(
+        self, peer: str, loads_by_id: dict[str, tuple[int, int]]
+    ) -> None:
         """Take the requests in flight and waiting tokens of a peer, whole.
 
         They go by the ids of lives, and replace what was heard before under the same
@@ -146,21 +148,24 @@
         else:
             self._peer_loads_by_name.pop(peer, None)
 
-    def hear_some_loads(
+    def update_peer_loads(
         self, peer: str, loads_by_id: dict[str, tuple[int, int]]
     ) -> None:
         """Take what a peer has at some targets; of the others nothing is new."""
         known = self._peer_loads_by_name.setdefault(peer, {})
-        for life_id, (count, tokens) in loads_by_id.items():
-            former_count, former_tokens = known.get(life_id, (0, 0))
-            self._shift(life_id, count - former_count, tokens - former_tokens)
-            known[life_id] = (count, tokens)
+        for incarnation_id, (count, tokens) in loads_by_id.items():
+            former_count, former_tokens = known.get(incarnation_id, (0, 0))
+            self._shift(incarnation_id, count - former_count, tokens - former_tokens)
+            known[incarnation_id] = (count, tokens)
 
     def speeds_by_id(self) -> dict[str, TargetSpeed]:
         """Return what was learned of the speeds of all targets, by life."""
-        return {life_id: target.speed() for life_id, target in self.by_life_id.items()}
+        return {
+            incarnation_id: target.speed()
+            for incarnation_id, target in self.by_incarnation_id.items()
+        }
 
-    def start_models_by_service(self) -> dict[str, Coefficients]:
+    def first_event_models_by_service(self) -> dict[str, Coefficients]:
         """Return what was learned of starts."""
         return {
             service: model.coefficients
@@ -170,29 +175,29 @@
     def adopt(
         self,
         speeds_by_id: dict[str, TargetSpeed],
-        start_models_by_service: dict[str, Coefficients],
+        first_event_models_by_service: dict[str, Coefficients],
     ) -> None:
         """Take what an earlier life learned, also of targets that are listed later."""
         self._adopted_speeds_by_id = speeds_by_id
-        for service, coefficients in start_models_by_service.items():
+        for service, coefficients in first_event_models_by_service.items():
             self._start_model(service).adopt(coefficients)
-        for life_id, target in self.by_life_id.items():
-            if life_id in speeds_by_id:
-                target.adopt_speed(speeds_by_id[life_id])
+        for incarnation_id, target in self.by_incarnation_id.items():
+            if incarnation_id in speeds_by_id:
+                target.adopt_speed(speeds_by_id[incarnation_id])
 
-    def sources_of_loads(self) -> list[str]:
+    def peers_with_loads(self) -> list[str]:
         """Return the names under which loads of others are counted."""
         return list(self._peer_loads_by_name)
 
     def own_loads(self) -> dict[str, tuple[int, int]]:
         """Return the own requests in flight and waiting tokens by life."""
         return {
-            life_id: (target.in_flight, target.waiting_tokens)
-            for life_id, target in self.by_life_id.items()
+            incarnation_id: (target.in_flight, target.waiting_tokens)
+            for incarnation_id, target in self.by_incarnation_id.items()
             if target.in_flight
         }
 
-    def loads_with(self, peers: Iterable[str]) -> dict[str, tuple[int, int]]:
+    def total_loads(self, peers: Iterable[str]) -> dict[str, tuple[int, int]]:
         """Return the sum of the own loads and those heard of some peers."""
         loads = self.own_loads()
         for peer in peers:
@@ -201,16 +206,19 @@
                 loads[target_id] = (count + load[0], tokens + load[1])
         return loads
 
-    def note_in_need(self, target: Target) -> None:
+    def note_flow_controlled(self, target: Target) -> None:
         """Note that a target has said what it takes, or was said to."""
-        self._lives_in_need.add(target.entry.life_id)
+        self._lives_in_need.add(target.entry.incarnation_id)
 
-    def in_need(self) -> list[Target]:
+    def flow_controlled(self) -> list[Target]:
         """Return the targets that have said so; few of many do."""
-        self._lives_in_need &= self.by_life_id.keys()
-        return [self.by_life_id[life_id] for life_id in sorted(self._lives_in_need)]
+        self._lives_in_need &= self.by_incarnation_id.keys()
+        return [
+            self.by_incarnation_id[incarnation_id]
+            for incarnation_id in sorted(self._lives_in_need)
+        ]
 
-    def in_flight_elsewhere(self, service: str, version: str) -> int:
+    def in_flight_other_versions(self, service: str, version: str) -> int:
         """Return the own requests at a service's targets of all versions but one."""
         return sum(
             target.in_flight
@@ -218,8 +226,8 @@
             if target.entry.version != version
         )
 
-    def _shift(self, life_id: str, count: int, tokens: int) -> None:
-        target = self.by_life_id.get(life_id)
+    def _shift(self, incarnation_id: str, count: int, tokens: int) -> None:
+        target = self.by_incarnation_id.get(incarnation_id)
         if target is not None:
             target.peer_in_flight += count
             target.peer_tokens += tokens
@@ -229,7 +237,7 @@
             return
         target = self.by_id.get(entry.target_id)
         if target is not None and _is_same_life(target.entry, entry):
-            has_new_name = target.entry.life_id != entry.life_id
+            has_new_name = target.entry.incarnation_id != entry.incarnation_id
             target.entry = entry
             if has_new_name:
                 self._count_peers(target)
@@ -237,16 +245,16 @@
         if target is not None:
             self._ended_lives.append(target)
         new = Target(entry, self._start_model(entry.service))
-        if entry.life_id in self._adopted_speeds_by_id:
-            new.adopt_speed(self._adopted_speeds_by_id[entry.life_id])
-        if entry.life_id in self._needs_of_gone:
+        if entry.incarnation_id in self._adopted_speeds_by_id:
+            new.adopt_speed(self._adopted_speeds_by_id[entry.incarnation_id])
+        if entry.incarnation_id in self._needs_of_gone:
             # Its entry was gone for a time; the life that said it was not.
-            new.needs, _ = self._needs_of_gone.pop(entry.life_id)
-            self.note_in_need(new)
+            new.flow_control, _ = self._needs_of_gone.pop(entry.incarnation_id)
+            self.note_flow_controlled(new)
         self._count_peers(new)
         self.by_id[entry.target_id] = new
         if target is not None:
-            target.end_life()
+            target.notify_incarnation_ended()
 
     def _is_of_earlier_life(self, entry: TargetEntry, now: float) -> bool:
         """Return whether an entry came late: a later life is or was known."""
@@ -275,28 +283,28 @@
                 del self._ended_starts_by_id[target_id]
 
     def _keep_needs(self, target: Target, now: float) -> None:
-        self._needs_of_gone[target.entry.life_id] = (target.needs, now)
-        for life_id, (_, gone_at) in list(self._needs_of_gone.items()):
+        self._needs_of_gone[target.entry.incarnation_id] = (target.flow_control, now)
+        for incarnation_id, (_, gone_at) in list(self._needs_of_gone.items()):
             if now - gone_at > ENDED_STARTS_KEPT_S:
-                del self._needs_of_gone[life_id]
+                del self._needs_of_gone[incarnation_id]
 
     def _count_peers(self, target: Target) -> None:
         """Count what all peers said of this life of a target."""
         loads = [
-            loads_by_id.get(target.entry.life_id, (0, 0))
+            loads_by_id.get(target.entry.incarnation_id, (0, 0))
             for loads_by_id in self._peer_loads_by_name.values()
         ]
         target.peer_in_flight = sum(count for count, _ in loads)
         target.peer_tokens = sum(tokens for _, tokens in loads)
 
-    def _start_model(self, service: str) -> StartModel:
-        return self._start_models_by_service.setdefault(service, StartModel())
+    def _start_model(self, service: str) -> FirstEventModel:
+        return self._start_models_by_service.setdefault(service, FirstEventModel())
 
     def _index(self) -> None:
         self._by_service = {}
-        self.by_life_id = {}
+        self.by_incarnation_id = {}
         for target in self.by_id.values():
-            self.by_life_id[target.entry.life_id] = target
+            self.by_incarnation_id[target.entry.incarnation_id] = target
             of_service = self._by_service.setdefault(target.entry.service, [])
             of_service.append(target)
 
--- a/libs/dispatch/src/berylwalk/dispatch/_urgent_demand.py
+++ b/libs/dispatch/src/berylwalk/dispatch/_urgent_demand.py
@@ -77,7 +77,7 @@
     def __init__(self) -> None:
         self._asked_by_account: dict[str, _Asked] = {}
 
-    def ask(self, account: str, rank: int, units: float, now: float) -> None:
+    def record(self, account: str, rank: int, units: float, now: float) -> None:
         """Note what a request asks, whether it is taken or not.
 
         The most urgent rank seen of an account is the one that counts.
@@ -90,7 +90,7 @@
             asked.total += units
             asked.typical_units += COST_WEIGHT * (units - asked.typical_units)
 
-    def above(self, account: str, rank: int, now: float) -> Demand | None:
+    def demand_above(self, account: str, rank: int, now: float) -> Demand | None:
         """Return the demand of the most urgent rank, for a request of another one.
 
         None if nothing more urgent is asked.
@@ -112,7 +112,9 @@
             if asked.total
         }
 
-    def hear(self, life: str, totals: dict[str, tuple[int, float]], now: float) -> None:
+    def record_peer_totals(
+        self, life: str, totals: dict[str, tuple[int, float]], now: float
+    ) -> None:
         """Count what a peer was asked since it was last heard."""
         for name, (rank, total) in totals.items():
             asked = self._asked_by_account.get(name)
@@ -125,7 +127,7 @@
                 asked.add(total - before, now)
             asked.totals_by_life[life] = total
 
-    def forget(self, life: str) -> None:
+    def forget_peer(self, life: str) -> None:
         """Forget the totals of a peer's life that has ended."""
         for asked in self._asked_by_account.values():
             asked.totals_by_life.pop(life, None)
--- a/libs/dispatch/tests/test_dispatch_allowances.py
+++ b/libs/dispatch/tests/test_dispatch_allowances.py
@@ -2,9 +2,9 @@
 
 import pytest
 
-from berylwalk.dispatch import Account, AllowanceRules, Allowances, Knowledge
+from berylwalk.dispatch import Account, HistoryCoverage, QuotaRules, QuotaTracker
 
-RULES = AllowanceRules(window_s=8.0, excess=0.1, slack=1000.0)
+RULES = QuotaRules(window_s=8.0, excess=0.1, slack=1000.0)
 ACCOUNT = Account(name="a", keys=frozenset(), rate_per_s=1000.0, burst=1000.0)
 ALLOWANCE = 1000.0 * 8 + 1000.0
 BOUND = ALLOWANCE * 1.1 + 1000.0
@@ -13,7 +13,7 @@
 
 def allowances(*, started_at=-100.0):
     """Return the allowances of one router."""
-    return Allowances(RULES, started_at=started_at)
+    return QuotaTracker(RULES, started_at=started_at)
 
 
 def spend_all(router, now, *, cost=100.0):
@@ -69,7 +69,7 @@
         """What has surely not run is not counted."""
         router = allowances()
         spent = spend_all(router, 0.0)
-        router.give_back(ACCOUNT, spent, 0.0)
+        router.refund(ACCOUNT, spent, 0.0)
         assert spend_all(router, 0.0) == spent
 
     def test_start_takes_the_window_for_spent(self):
@@ -90,16 +90,18 @@
     def test_newcomer_is_told_what_was_spent(self):
         """With an older peer's word it serves as if it had not restarted."""
         router = allowances(started_at=0.0)
-        router.learn({}, Knowledge.ALL, 0.05)
+        router.restore({}, HistoryCoverage.COMPLETE, 0.05)
         assert spend_all(router, 0.05) >= 0.95 * ALLOWANCE
 
-    @pytest.mark.parametrize("knowledge", [Knowledge.ALL, Knowledge.NOTE])
+    @pytest.mark.parametrize(
+        "knowledge", [HistoryCoverage.COMPLETE, HistoryCoverage.PARTIAL]
+    )
     def test_newcomer_keeps_the_window_of_a_sudden_spending(self, knowledge):
         """What was spent just before the start counts for the whole window."""
         older = allowances()
         spent = spend_all(older, 0.0)
         router = allowances(started_at=0.2)
-        router.learn(older.spent_much(0.3), knowledge, 0.3)
+        router.restore(older.heavy_spending_by_bin(0.3), knowledge, 0.3)
         for now in (1.0, 3.0, 5.0, 7.5):
             spent += spend_all(router, now)
         assert spent <= BOUND
@@ -112,10 +114,10 @@
         while spent < 0.7 * ALLOWANCE:
             older.take(ACCOUNT, 100.0, 0, 0.0)
             spent += 100.0
-        note = older.spent_much(0.1)
+        note = older.heavy_spending_by_bin(0.1)
         spent += spend_all(older, 0.4)
         router = allowances(started_at=1.0)
-        router.learn(note, Knowledge.NOTE, 1.1)
+        router.restore(note, HistoryCoverage.PARTIAL, 1.1)
         for now in (1.2, 3.0, 5.0, 7.9):
             spent += spend_all(router, now)
         assert spent <= BOUND
@@ -124,10 +126,10 @@
         """After the note the oldest part may have left the window and been spent."""
         older = allowances()
         spend_all(older, 0.0)
-        note = older.spent_much(7.5)
+        note = older.heavy_spending_by_bin(7.5)
         spent = spend_all(older, 8.2)
         router = allowances(started_at=8.7)
-        router.learn(note, Knowledge.NOTE, 8.8)
+        router.restore(note, HistoryCoverage.PARTIAL, 8.8)
         for now in (8.9, 10.0, 12.0, 14.0, 16.1):
             spent += spend_all(router, now)
         assert spent <= BOUND
@@ -135,16 +137,18 @@
     def test_accounts_that_are_not_noted_go_on_after_a_start(self):
         """They spent less than what is noted, so a part is surely left."""
         router = allowances(started_at=0.0)
-        router.learn({}, Knowledge.NOTE, 0.05)
+        router.restore({}, HistoryCoverage.PARTIAL, 0.05)
         assert spend_all(router, 0.05) >= 0.35 * ALLOWANCE
 
     def test_only_much_is_noted(self):
         """Usual spending causes no note."""
         router = allowances()
         router.take(ACCOUNT, 0.5 * ALLOWANCE, 0, 0.0)
-        assert router.spent_much(0.1) == {}
+        assert router.heavy_spending_by_bin(0.1) == {}
         router.take(ACCOUNT, 0.2 * ALLOWANCE, 0, 0.0)
-        assert sum(router.spent_much(0.1)["a"]) == pytest.approx(0.7 * ALLOWANCE)
+        assert sum(router.heavy_spending_by_bin(0.1)["a"]) == pytest.approx(
+            0.7 * ALLOWANCE
+        )
 
 
 class TestLoweredLimit:
@@ -207,7 +211,7 @@
     def test_first_configuration_lowers_nothing(self):
         """A router that has just started has spent nothing under another limit."""
         router = allowances(started_at=0.0)
-        router.learn({}, Knowledge.ALL, 0.0)
+        router.restore({}, HistoryCoverage.COMPLETE, 0.0)
         router.set_accounts([self.LOWER], 0.1)
         spent = 0.0
         while router.take(self.LOWER, 50.0, 0, 0.2) == 0:
@@ -234,23 +238,25 @@
         first, second = allowances(), allowances()
         spent = spend_all(first, 0.0)
         for _ in range(3):
-            second.hear("p/1", first.spent_by_account(), is_new=True, now=0.0)
+            second.record_peer_totals(
+                "p/1", first.spent_by_account(), is_new=True, now=0.0
+            )
         assert second.spent_in_window(0.0) == {"a": spent}
         assert second.take(ACCOUNT, 100.0, 0, 0.0) > 0
 
     def test_older_life_counts_from_when_it_is_heard(self):
         """What it spent long ago is no spending of this window."""
         router = allowances()
-        router.hear("p/1", {"a": 1e9}, is_new=False, now=0.0)
+        router.record_peer_totals("p/1", {"a": 1e9}, is_new=False, now=0.0)
         assert router.take(ACCOUNT, 100.0, 0, 0.0) == 0
-        router.hear("p/1", {"a": 1e9 + ALLOWANCE}, is_new=False, now=0.1)
+        router.record_peer_totals("p/1", {"a": 1e9 + ALLOWANCE}, is_new=False, now=0.1)
         assert router.take(ACCOUNT, 2000.0, 0, 0.1) > 0
 
     def test_first_spending_after_the_first_message_counts(self):
         """An account that an older life had not named has spent all of it since."""
         router = allowances()
-        router.hear("p/1", {}, is_new=False, now=0.0)
-        router.hear("p/1", {"a": ALLOWANCE}, is_new=False, now=0.1)
+        router.record_peer_totals("p/1", {}, is_new=False, now=0.0)
+        router.record_peer_totals("p/1", {"a": ALLOWANCE}, is_new=False, now=0.1)
         assert router.spent_in_window(0.1) == {"a": ALLOWANCE}
 
     @pytest.mark.parametrize("routers", [2, 4, 31])
--- a/libs/dispatch/tests/test_dispatch_lives.py
+++ b/libs/dispatch/tests/test_dispatch_lives.py
@@ -43,41 +43,41 @@
         former.note_sent(Work(500, 10), NOW)
         former.note_error()
         former.adopt_speed(FAST)
-        targets.hear_loads("peer", {former.entry.life_id: (2, 800)})
+        targets.replace_peer_loads("peer", {former.entry.incarnation_id: (2, 800)})
         targets.update(entry(2000), NOW)
         new = targets.by_id["a"]
-        assert (new.total_in_flight, new.unread_tokens, new.errors) == (0, 0, 0.0)
-        assert (new.output_token_s, new.owes_since) == (None, None)
-        assert targets.pop_ended_lives() == [former]
-        assert targets.pop_ended_lives() == []
+        assert (new.total_in_flight, new.unread_tokens, new.error_rate) == (0, 0, 0.0)
+        assert (new.output_token_s, new.awaiting_since) == (None, None)
+        assert targets.pop_ended_incarnations() == [former]
+        assert targets.pop_ended_incarnations() == []
 
     def test_those_that_wait_for_the_former_life_are_told(self):
         """Each once, and nobody of the new one."""
         targets = table(entry(1000))
         told = []
-        targets.by_id["a"].on_life_ended.add(lambda: told.append("former"))
+        targets.by_id["a"].on_incarnation_ended.add(lambda: told.append("former"))
         targets.update(entry(2000), NOW)
-        targets.by_id["a"].on_life_ended.add(lambda: told.append("new"))
+        targets.by_id["a"].on_incarnation_ended.add(lambda: told.append("new"))
         targets.update(entry(2000, state=TargetState.DRAINING), NOW)
         assert told == ["former"]
 
     def test_loads_of_peers_count_for_the_life_that_they_name(self):
         """A peer may know the new life earlier or later than this router."""
         targets = table(entry(1000))
-        later = entry(2000).life_id
-        targets.hear_loads("ahead", {later: (3, 30)})
-        targets.hear_loads("behind", {entry(1000).life_id: (1, 10)})
+        later = entry(2000).incarnation_id
+        targets.replace_peer_loads("ahead", {later: (3, 30)})
+        targets.replace_peer_loads("behind", {entry(1000).incarnation_id: (1, 10)})
         assert targets.by_id["a"].total_in_flight == 1
         targets.update(entry(2000), NOW)
         assert targets.by_id["a"].total_in_flight == 3
-        targets.hear_loads("behind", {})
-        targets.hear_loads("ahead", {later: (2, 20)})
+        targets.replace_peer_loads("behind", {})
+        targets.replace_peer_loads("ahead", {later: (2, 20)})
         assert targets.by_id["a"].total_in_flight == 2
 
     def test_speed_that_was_noted_is_of_one_life(self):
         """A new life may run on another machine, or have another load."""
         targets = table(entry(1000))
-        targets.adopt({entry(1000).life_id: FAST}, {})
+        targets.adopt({entry(1000).incarnation_id: FAST}, {})
         assert targets.by_id["a"].output_token_s == FAST.output_token_s
         targets.update(entry(2000), NOW)
         assert targets.by_id["a"].output_token_s is None
@@ -103,18 +103,18 @@
         """Its requests go on, and peers that know less are not counted twice."""
         targets = table(entry(None))
         known = targets.by_id["a"]
-        targets.hear_loads("peer", {"a": (2, 20)})
+        targets.replace_peer_loads("peer", {"a": (2, 20)})
         targets.update(entry(1000), NOW)
         assert targets.by_id["a"] is known
         assert known.total_in_flight == 0
-        targets.hear_loads("peer", {known.entry.life_id: (2, 20)})
+        targets.replace_peer_loads("peer", {known.entry.incarnation_id: (2, 20)})
         assert known.total_in_flight == 2
 
     def test_without_starts_an_id_is_a_life(self):
         """As the platform's earlier versions have it."""
         targets = table(entry(None), entry(None, port=2))
-        assert targets.pop_ended_lives() == []
-        assert targets.by_id["a"].entry.life_id == "a"
+        assert targets.pop_ended_incarnations() == []
+        assert targets.by_id["a"].entry.incarnation_id == "a"
 
 
 STARTS = st.sampled_from([1000, 2000, 3000])
@@ -149,14 +149,14 @@
             elif kind == "removed":
                 targets.remove("a", now)
             elif kind == "peer":
-                peer = {entry(value).life_id: (1, 10)}
-                targets.hear_loads("peer", peer)
+                peer = {entry(value).incarnation_id: (1, 10)}
+                targets.replace_peer_loads("peer", peer)
             elif "a" in targets.by_id:
                 target = targets.by_id["a"]
                 target.note_sent(Work(), now)
                 life = target.entry.started_ms
                 sent_by_life[life] = sent_by_life.get(life, 0) + 1
-                target.on_life_ended.add(lambda life=life: told.append(life))
+                target.on_incarnation_ended.add(lambda life=life: told.append(life))
             target = targets.by_id.get("a")
             if target is None:
                 sent_by_life = {}
@@ -167,7 +167,7 @@
             if seen[-1:] != [life]:
                 seen.append(life)
             assert target.in_flight == sent_by_life.get(life, 0)
-            expected = peer.get(target.entry.life_id, (0, 0))[0]
+            expected = peer.get(target.entry.incarnation_id, (0, 0))[0]
             assert target.peer_in_flight == expected
             assert all(each < life for each in told)
         assert seen == sorted(set(seen))
--- a/libs/dispatch/tests/test_dispatch_outcomes.py
+++ b/libs/dispatch/tests/test_dispatch_outcomes.py
@@ -12,7 +12,7 @@
     Route,
     RouteKind,
     ServiceShare,
-    return_time_s,
+    retry_after_s,
 )
 
 
@@ -91,8 +91,8 @@
     @pytest.mark.parametrize("left_s", [0.3, 3.0, 15.0])
     def test_within_what_callers_wait(self, left_s):
         """At most a third of the time left, and spread."""
-        earliest = return_time_s(left_s, draw=lambda low, high: low)
-        latest = return_time_s(left_s, draw=lambda low, high: high)
+        earliest = retry_after_s(left_s, draw=lambda low, high: low)
+        latest = retry_after_s(left_s, draw=lambda low, high: high)
         assert 0 < earliest <= latest <= left_s / 3
 
     def test_soon_enough_to_be_in_time(self):
@@ -101,7 +101,7 @@
         All were told 2 to 4 s: late for sure, and still there when the burst was over.
         """
         draw = Random(1).uniform
-        told = [return_time_s(12.0, draw=draw) for _ in range(200)]
+        told = [retry_after_s(12.0, draw=draw) for _ in range(200)]
         in_time = sum(after_s < 0.42 - 0.08 - 0.04 for after_s in told)
         assert in_time >= 20
         assert max(told) < 2.0
@@ -117,29 +117,29 @@
     def test_heard_before_listed(self):
         """A router counts from its first message on."""
         peers = PeerTable("me")
-        assert peers.hear(self.peer("l1"), 0.0)
+        assert peers.record_message(self.peer("l1"), 0.0)
         peers.replace([], 0.1)
-        assert peers.known() == 2
+        assert peers.known_count() == 2
         assert len(peers.replace([], 10.0)) == 1
 
     def test_old_messages_are_dropped(self):
         """Datagrams may be late or doubled."""
         peers = PeerTable("me")
-        assert peers.hear(self.peer("l1", 5), 0.0)
-        assert not peers.hear(self.peer("l1", 5), 0.0)
-        assert not peers.hear(self.peer("l1", 4), 0.0)
+        assert peers.record_message(self.peer("l1", 5), 0.0)
+        assert not peers.record_message(self.peer("l1", 5), 0.0)
+        assert not peers.record_message(self.peer("l1", 4), 0.0)
 
     def test_new_life_replaces_a_silent_one(self):
         """A late message of the former life does not bring it back."""
         peers = PeerTable("me")
-        peers.hear(self.peer("l1", 9), 0.0)
-        assert not peers.hear(self.peer("l2"), 0.1)
-        assert peers.hear(self.peer("l2"), 0.5)
-        assert not peers.hear(self.peer("l1", 10), 0.6)
+        peers.record_message(self.peer("l1", 9), 0.0)
+        assert not peers.record_message(self.peer("l2"), 0.1)
+        assert peers.record_message(self.peer("l2"), 0.5)
+        assert not peers.record_message(self.peer("l1", 10), 0.6)
 
     def test_silence_shows(self):
         """A peer that says nothing is known and not heard."""
         peers = PeerTable("me")
-        peers.hear(self.peer("l1"), 0.0)
-        assert (peers.heard(0.1), peers.known()) == (2, 2)
-        assert (peers.heard(5.0), peers.known()) == (1, 2)
+        peers.record_message(self.peer("l1"), 0.0)
+        assert (peers.alive_count(0.1), peers.known_count()) == (2, 2)
+        assert (peers.alive_count(5.0), peers.known_count()) == (1, 2)
--- a/libs/dispatch/tests/test_dispatch_peers.py
+++ b/libs/dispatch/tests/test_dispatch_peers.py
@@ -6,10 +6,10 @@
     Dispatcher,
     Peer,
     PeerTable,
+    PendingRequest,
     TargetEntry,
     TargetState,
     TargetTable,
-    Ticket,
     Work,
 )
 
@@ -25,7 +25,7 @@
             name = f"{domain[-1]}-{number}"
             if name != "a-1":
                 peer = Peer(name, "127.0.0.1", 1, "life", domain, sequence=1)
-                peers.hear(peer, 0.0)
+                peers.record_message(peer, 0.0)
     return peers
 
 
@@ -35,19 +35,21 @@
     def test_all_of_a_small_fleet(self):
         """A few messages more cost less than what a relay adds in delay."""
         peers = PeerTable("a-1", "fd-a")
-        peers.hear(Peer("b-1", "127.0.0.1", 1, "life", "fd-b", sequence=1), 0.0)
-        assert [peer.name for peer in peers.near()] == ["b-1"]
-        assert peers.far_domains() == set()
+        peers.record_message(
+            Peer("b-1", "127.0.0.1", 1, "life", "fd-b", sequence=1), 0.0
+        )
+        assert [peer.name for peer in peers.direct_peers()] == ["b-1"]
+        assert peers.relayed_domains() == set()
 
     def test_own_failure_domain_of_a_large_one(self, large):
         """The others are told through relays."""
-        assert {peer.name for peer in large.near()} == {"a-0", "a-2"}
-        assert large.far_domains() == {"fd-b", "fd-c"}
+        assert {peer.name for peer in large.direct_peers()} == {"a-0", "a-2"}
+        assert large.relayed_domains() == {"fd-b", "fd-c"}
 
     def test_far_peers_may_be_silent_for_longer(self, large):
         """Their relay may have to be replaced meanwhile."""
-        assert large.heard(1.0) == 1 + 6
-        assert large.heard(2.0) == 1
+        assert large.alive_count(1.0) == 1 + 6
+        assert large.alive_count(2.0) == 1
 
 
 class TestRelay:
@@ -61,7 +63,9 @@
 
     def test_silent_receiver_is_passed_over(self, large):
         """The next one of its failure domain is told."""
-        large.hear(Peer("b-1", "127.0.0.1", 1, "life", "fd-b", sequence=2), 1.5)
+        large.record_message(
+            Peer("b-1", "127.0.0.1", 1, "life", "fd-b", sequence=2), 1.5
+        )
         assert large.relay_of("fd-b", 2.0).name == "b-1"
 
     def test_any_while_none_is_heard(self, large):
@@ -88,9 +92,9 @@
         )
         targets.replace([entry], 0.0)
         targets.by_id["t"].note_sent(Work(10, 1), 0.0)
-        targets.hear_loads("a-0", {"t": (2, 20), "unlisted": (1, 5)})
-        targets.hear_loads("failure-domain fd-b", {"t": (4, 40)})
-        assert targets.loads_with(["a-0", "a-2"]) == {"t": (3, 30), "unlisted": (1, 5)}
+        targets.replace_peer_loads("a-0", {"t": (2, 20), "unlisted": (1, 5)})
+        targets.replace_peer_loads("failure-domain fd-b", {"t": (4, 40)})
+        assert targets.total_loads(["a-0", "a-2"]) == {"t": (3, 30), "unlisted": (1, 5)}
         assert targets.by_id["t"].total_in_flight == 7
 
     @pytest.mark.parametrize(
@@ -119,7 +123,7 @@
             targets.by_id[name].fixed_s = fixed_s
         dispatcher = Dispatcher(targets, failure_domain="fd-a", draw=lambda: 0.0)
         dispatcher.set_relayed(is_relayed)
-        ticket = Ticket(
-            service="s", rank=(0, 0), work=Work(10, 1), on_place=lambda target: None
+        pending = PendingRequest(
+            service="s", rank=(0, 0), work=Work(10, 1), on_placed=lambda target: None
         )
-        assert dispatcher.submit(ticket, 0.0).entry.target_id == expected
+        assert dispatcher.submit(pending, 0.0).entry.target_id == expected
--- a/libs/dispatch/tests/test_dispatch_quota.py
+++ b/libs/dispatch/tests/test_dispatch_quota.py
@@ -11,13 +11,13 @@
 
 import pytest
 
-from berylwalk.dispatch import Account, AllowanceRules, Allowances, Knowledge
-from berylwalk.dispatch import _allowances as allowances_module
+from berylwalk.dispatch import Account, HistoryCoverage, QuotaRules, QuotaTracker
+from berylwalk.dispatch import _quotas as allowances_module
 
-RULES = AllowanceRules(window_s=8.0, excess=0.1, slack=140_000.0)
+RULES = QuotaRules(window_s=8.0, excess=0.1, slack=140_000.0)
 STEP_S = 0.05
 PLAY_S = 40.0
-HEARD_WITHIN_S = 0.7
+PEER_TIMEOUT_S = 0.7
 NOTE_GAP_S = 0.5
 LONGEST_OUTAGE_S = 1.5
 """A process that was killed is back within this time."""
@@ -53,9 +53,9 @@
         self.number = number
         self.life = life
         self.started_at = now
-        self.heard_at = {}
+        self.last_heard_at = {}
         self.life_by_number = {}
-        self.allowances = Allowances(RULES, started_at=now)
+        self.allowances = QuotaTracker(RULES, started_at=now)
         self.set_rate(rate_per_s, now)
 
     def set_rate(self, rate_per_s, now):
@@ -68,13 +68,15 @@
         number = int(message.life.split("/")[0])
         before = self.life_by_number.get(number)
         if before is not None and before != message.life:
-            self.allowances.forget(before)
+            self.allowances.forget_peer(before)
         self.life_by_number[number] = message.life
-        self.heard_at[number] = now
+        self.last_heard_at[number] = now
         is_new = message.age_s < now - self.started_at
-        self.allowances.hear(message.life, message.spent, is_new=is_new, now=now)
+        self.allowances.record_peer_totals(
+            message.life, message.spent, is_new=is_new, now=now
+        )
         if message.recent is not None:
-            self.allowances.learn(message.recent, Knowledge.ALL, now)
+            self.allowances.restore(message.recent, HistoryCoverage.COMPLETE, now)
 
 
 class Play:
@@ -145,7 +147,7 @@
             if now >= at:
                 del self.back_at[number]
                 router = Router(number, f"{number}/{now}", now, self.rate_per_s)
-                router.allowances.learn(self.note or {}, Knowledge.NOTE, now)
+                router.allowances.restore(self.note or {}, HistoryCoverage.PARTIAL, now)
                 self.routers[number] = router
 
     def _is_cut(self, number, now):
@@ -155,12 +157,12 @@
         for router in self.routers.values():
             heard = [
                 other
-                for other, at in router.heard_at.items()
-                if now - at <= HEARD_WITHIN_S and other in range(self.count)
+                for other, at in router.last_heard_at.items()
+                if now - at <= PEER_TIMEOUT_S and other in range(self.count)
             ]
             router.allowances.set_share(1 + len(heard), self.count)
             recent = None
-            if router.allowances.knows_window(now):
+            if router.allowances.has_full_window(now):
                 recent = router.allowances.spent_by_bin(now)
             for receiver in range(self.count):
                 if receiver == router.number or self.draws.random() < self.loss:
@@ -190,7 +192,7 @@
     def _write_note(self, now):
         if self.routers:
             writer = self.routers[min(self.routers)]
-            self.note = writer.allowances.spent_much(now) or self.note
+            self.note = writer.allowances.heavy_spending_by_bin(now) or self.note
 
     def _ask(self, now):
         is_burst = self.burst_at <= now < self.burst_at + 12.0
@@ -243,13 +245,13 @@
     def test_plays_show_a_lowered_limit_that_does_not_count(self, monkeypatch):
         """One that is never applied to what is spent from then on."""
         monkeypatch.setattr(
-            Allowances, "set_accounts", lambda self, accounts, now: None
+            QuotaTracker, "set_accounts", lambda self, accounts, now: None
         )
-        take = Allowances.take
+        take = QuotaTracker.take
         highest = account(110_000)
 
         def at_the_highest(self, asked, cost, rank, now):
             return take(self, highest, cost, rank, now)
 
-        monkeypatch.setattr(Allowances, "take", at_the_highest)
+        monkeypatch.setattr(QuotaTracker, "take", at_the_highest)
         assert any(Play(seed).run() for seed in range(30))
--- a/libs/dispatch/tests/test_dispatch_speeds.py
+++ b/libs/dispatch/tests/test_dispatch_speeds.py
@@ -8,8 +8,8 @@
     Target,
     TargetTable,
     Work,
-    expected_start,
-    place_limit,
+    concurrency_limit,
+    estimate_first_event,
 )
 
 
@@ -20,10 +20,10 @@
     slow = targets.by_id["slow"]
     slow.note_output(1_000, 100, 9.0)
     for _ in range(30):
-        start = expected_start(slow, Work(4_000, 1))
+        start = estimate_first_event(slow, Work(4_000, 1))
         slow.note_sent(Work(4_000, 1), 0.0)
         slow.note_first_event(Work(4_000, 1), start, 0.5)
-    return targets.speeds_by_id(), targets.start_models_by_service()
+    return targets.speeds_by_id(), targets.first_event_models_by_service()
 
 
 class TestAdopting:
@@ -40,8 +40,10 @@
         for targets in (before, after):
             target = targets.by_id["slow"]
             assert target.output_token_s == speeds_by_id["slow"].output_token_s
-            start = expected_start(target, Work(4_000, 1))
-            unknown = expected_start(Target(entry("slow", slots=8)), Work(4_000, 1))
+            start = estimate_first_event(target, Work(4_000, 1))
+            unknown = estimate_first_event(
+                Target(entry("slow", slots=8)), Work(4_000, 1)
+            )
             assert abs(start.total_s - 0.5) < abs(unknown.total_s - 0.5)
 
     def test_times_of_nothing_are_sound(self):
@@ -53,8 +55,8 @@
         speed = replace(quick.speed(), slot_s=0.0, output_token_s=0.0)
         noted.adopt_speed(speed)
         for target in (quick, noted):
-            assert place_limit(target) >= target.entry.slots
-            assert expected_start(target, Work(100, 10)).total_s > 0
+            assert concurrency_limit(target) >= target.entry.slots
+            assert estimate_first_event(target, Work(100, 10)).total_s > 0
 
     def test_own_observations_go_before(self):
         """A note is older than what was seen since the start."""
--- a/libs/dispatch/tests/test_dispatch_start_model.py
+++ b/libs/dispatch/tests/test_dispatch_start_model.py
@@ -5,12 +5,12 @@
 import pytest
 
 from berylwalk.dispatch import (
-    StartModel,
+    FirstEventModel,
     Target,
     TargetEntry,
     TargetState,
     Work,
-    expected_start,
+    estimate_first_event,
 )
 
 ENTRY = TargetEntry(
@@ -43,7 +43,7 @@
     @pytest.mark.parametrize("engine", ENGINES)
     def test_long_and_short_prompts_are_told_apart_after_a_few_answers(self, engine):
         """Without constants of one engine, at any speed of a target."""
-        model, random = StartModel(), Random(1)
+        model, random = FirstEventModel(), Random(1)
         for _ in range(64):
             token_s = random.choice([0.0016, 0.003, 0.0085])
             tokens = min(50_000, int(random.lognormvariate(7.0, 1.3)))
@@ -57,7 +57,7 @@
 
     def test_prompts_ahead_are_read_first(self):
         """They delay the first event like the own tokens, but for attention."""
-        model = StartModel()
+        model = FirstEventModel()
         assert model.reading_s(0.003, 5_000, 100) > model.reading_s(0.003, 0, 100)
         assert model.reading_s(0.003, 5_000, 100) < model.reading_s(0.003, 0, 5_100)
 
@@ -71,24 +71,24 @@
         target.note_output(1_000, 100, 3.0)
         target.note_slot_time(0.5)
         for _ in range(20):
-            start = expected_start(target, Work(500, 100))
+            start = estimate_first_event(target, Work(500, 100))
             target.note_sent(Work(500, 100), 0.0)
             target.note_first_event(Work(500, 100), start, 0.06)
-            target.note_left(Work(500, 100), had_first_event=True)
-        idle_s = expected_start(target, Work(500, 100)).total_s
+            target.note_finished(Work(500, 100), had_first_event=True)
+        idle_s = estimate_first_event(target, Work(500, 100)).total_s
         for _ in range(14):
             target.note_sent(Work(500, 100), 0.0)
         longest_s = 0.0
         for _ in range(50):
-            start = expected_start(target, Work(500, 100))
+            start = estimate_first_event(target, Work(500, 100))
             assert start.slot_wait_s > 0
             target.waiting_tokens += 500
             taken_s = 0.055 + start.reading_s + start.slot_wait_s
             longest_s = max(longest_s, taken_s)
             target.note_first_event(Work(500, 100), start, taken_s)
         for _ in range(14):
-            target.note_left(Work(500, 100), had_first_event=False)
-        after_s = expected_start(target, Work(500, 100)).total_s
+            target.note_finished(Work(500, 100), had_first_event=False)
+        after_s = estimate_first_event(target, Work(500, 100)).total_s
         assert longest_s > 8 * idle_s
         assert after_s < 2 * idle_s
 
@@ -101,6 +101,10 @@
 
     def test_speed_of_an_unknown_target_is_that_of_the_others(self):
         """Nothing is known of it yet."""
-        typical = expected_start(Target(ENTRY), Work(5_000, 1), typical_token_s=0.01)
-        fast = expected_start(Target(ENTRY), Work(5_000, 1), typical_token_s=0.001)
+        typical = estimate_first_event(
+            Target(ENTRY), Work(5_000, 1), typical_token_s=0.01
+        )
+        fast = estimate_first_event(
+            Target(ENTRY), Work(5_000, 1), typical_token_s=0.001
+        )
         assert typical.reading_s == pytest.approx(10 * fast.reading_s)
