--- a/libs/dispatch/tests/test_dispatch_stated_limit.py
+++ b/libs/dispatch/tests/test_dispatch_stated_limit.py
@@ -2,12 +2,12 @@
 
 import pytest
 
-from berylwalk.dispatch import Peer, PeerTable, StatedLimit, most_senders
+from berylwalk.dispatch import AdvertisedRateLimit, Peer, PeerTable, max_senders
 
 
 def limited(per_s, *, share=1.0, now=10.0):
     """Return a limit that was just named."""
-    limit = StatedLimit()
+    limit = AdvertisedRateLimit()
     limit.note_answer(per_s, sent_at=now - 0.1, now=now)
     limit.set_share(share, now)
     return limit
@@ -53,11 +53,11 @@
     def test_opening(self):
         """It tells when the next request may be sent."""
         limit = limited(2.0)
-        assert limit.opens_at(10.0) == pytest.approx(10.5)
-        assert limit.opens_at(10.6) == 10.6
+        assert limit.available_at(10.0) == pytest.approx(10.5)
+        assert limit.available_at(10.6) == 10.6
         limit.set_share(0.0, 10.6)
         limit.note_sent(10.6)
-        assert limit.opens_at(10.6) == float("inf")
+        assert limit.available_at(10.6) == float("inf")
 
     def test_rate_that_falls(self):
         """What was saved at a high rate is not spent at a low one."""
@@ -102,9 +102,9 @@
 
     def test_answers_that_never_named_one_say_nothing(self):
         """There is nothing to tell the other routers."""
-        limit = StatedLimit()
+        limit = AdvertisedRateLimit()
         assert not limit.note_answer(None, sent_at=1.0, now=2.0)
-        assert limit.news(2.0) is None
+        assert limit.pending_update(2.0) is None
 
 
 class TestHearsay:
@@ -112,38 +112,38 @@
 
     def test_newer_observation_counts(self):
         """It begins, changes and ends a limit."""
-        limit = StatedLimit()
-        assert limit.hear(2.0, 10.0, 10.1)
-        assert limit.hear(4.0, 11.0, 11.1)
-        assert limit.hear(None, 12.0, 12.1)
+        limit = AdvertisedRateLimit()
+        assert limit.apply_update(2.0, 10.0, 10.1)
+        assert limit.apply_update(4.0, 11.0, 11.1)
+        assert limit.apply_update(None, 12.0, 12.1)
         assert limit.per_s is None
 
     def test_older_observation_does_not_bring_it_back(self):
         """It is told for some time after it was made."""
         limit = limited(1.0, now=10.0)
         limit.note_answer(None, sent_at=12.0, now=12.2)
-        assert not limit.hear(1.0, 10.0, 15.0)
+        assert not limit.apply_update(1.0, 10.0, 15.0)
         assert limit.per_s is None
 
     def test_of_two_about_as_old_the_lower_counts(self):
         """Ages are told with the time that a message takes."""
         limit = limited(2.0, now=10.0)
-        assert not limit.hear(5.0, 10.3, 10.4)
-        assert not limit.hear(None, 10.3, 10.4)
-        assert limit.hear(1.0, 9.8, 10.5)
+        assert not limit.apply_update(5.0, 10.3, 10.4)
+        assert not limit.apply_update(None, 10.3, 10.4)
+        assert limit.apply_update(1.0, 9.8, 10.5)
         assert limit.per_s == 1.0
 
     def test_what_was_heard_is_not_told_on(self):
         """An observation that goes round would never grow old."""
-        limit = StatedLimit()
-        limit.hear(2.0, 10.0, 10.1)
-        assert limit.news(10.2) is None
+        limit = AdvertisedRateLimit()
+        limit.apply_update(2.0, 10.0, 10.1)
+        assert limit.pending_update(10.2) is None
 
     def test_own_observation_is_told_for_a_time(self):
         """With its age."""
         limit = limited(2.0, now=10.0)
-        assert limit.news(13.0) == (2.0, 3.0)
-        assert limit.news(40.0) is None
+        assert limit.pending_update(13.0) == (2.0, 3.0)
+        assert limit.pending_update(40.0) is None
 
 
 def fleet(names, heard, now=100.0):
@@ -154,7 +154,7 @@
         table.replace([Peer(each, each, 1, "1", "fd") for each in names], now)
         for peer in table.by_name.values():
             if peer.name in heard[name]:
-                peer.heard_at = now
+                peer.last_heard_at = now
         tables[name] = table
     return tables
 
@@ -167,15 +167,15 @@
     def parts(self, heard, senders, now=100.0):
         """Return the parts of one target's limit by router."""
         tables = fleet(self.NAMES, heard, now)
-        return [table.part_of("life", senders, now) for table in tables.values()]
+        return [table.rate_share("life", senders, now) for table in tables.values()]
 
     @pytest.mark.parametrize("per_s", [0.2, 1.3, 8.0, 500.0])
     def test_sum_is_one_where_all_hear_all(self, per_s):
         """Few routers have a part of a small rate, all of a large one."""
         heard = {name: set(self.NAMES) for name in self.NAMES}
-        parts = self.parts(heard, most_senders(per_s))
+        parts = self.parts(heard, max_senders(per_s))
         assert sum(parts) == pytest.approx(1.0)
-        assert sum(part > 0 for part in parts) == min(31, most_senders(per_s))
+        assert sum(part > 0 for part in parts) == min(31, max_senders(per_s))
 
     @pytest.mark.parametrize("cut_off", [1, 10, 15])
     def test_sum_is_one_at_most_where_some_are_cut_off(self, cut_off):
@@ -192,6 +192,6 @@
             name
             for name, table in tables.items()
             for life in range(40)
-            if table.part_of(f"life-{life}", 2, 100.0) > 0
+            if table.rate_share(f"life-{life}", 2, 100.0) > 0
         }
         assert len(senders) > 20
--- a/libs/dispatch/tests/test_dispatch_targets.py
+++ b/libs/dispatch/tests/test_dispatch_targets.py
@@ -5,14 +5,14 @@
 
 from berylwalk.dispatch import (
     Dispatcher,
-    Obstacle,
-    PlaceRequest,
+    IneligibilityReason,
+    PendingRequest,
+    PlacementRequest,
     TargetState,
     TargetTable,
-    Ticket,
     Work,
     choose_target,
-    place_limit,
+    concurrency_limit,
 )
 
 NOW = 100.0
@@ -29,7 +29,7 @@
     """Return the id of the chosen target."""
     chosen = choose_target(
         targets.of_service("s"),
-        PlaceRequest(work=work or Work(), excluded=excluded),
+        PlacementRequest(work=work or Work(), excluded=excluded),
         failure_domain="fd-a",
         now=now,
         draw=lambda: 0.0,
@@ -78,7 +78,7 @@
         pauses = []
         for _ in range(6):
             target.note_unreachable(NOW)
-            pauses.append(target.aside_until - NOW)
+            pauses.append(target.backoff_until - NOW)
         assert pauses == sorted(pauses)
         assert pauses[0] < 0.5
         assert pauses[-1] <= 3.0
@@ -89,7 +89,7 @@
         target = targets.by_id["a"]
         for _ in range(10):
             target.note_error()
-        target.tried_at = NOW
+        target.last_sent_at = NOW
         assert choose(targets, now=NOW + 0.1) is None
         assert choose(targets, now=NOW + 0.6) == "a"
 
@@ -101,7 +101,7 @@
             target.note_error()
         for _ in range(20):
             target.note_success()
-        target.tried_at = NOW
+        target.last_sent_at = NOW
         assert choose(targets, now=NOW + 0.1) == "a"
 
     def test_silence_is_told_from_reading_a_long_prompt(self):
@@ -118,7 +118,7 @@
         targets = table(entry("a"))
         target = targets.by_id["a"]
         target.note_sent(Work(), NOW)
-        target.note_left(Work(), had_first_event=False)
+        target.note_finished(Work(), had_first_event=False)
         assert not target.is_silent(NOW + 1000.0)
         assert target.waiting_tokens == 0
 
@@ -139,24 +139,24 @@
     def test_load_of_peers_counts(self):
         """What other routers have there is part of the load."""
         targets = table(entry("a"), entry("b"))
-        targets.hear_loads("peer", {"a": (3, 30_000)})
+        targets.replace_peer_loads("peer", {"a": (3, 30_000)})
         assert choose(targets) == "b"
-        targets.hear_loads("peer", {"b": (3, 30_000)})
+        targets.replace_peer_loads("peer", {"b": (3, 30_000)})
         assert choose(targets) == "a"
 
     def test_loads_of_a_peer_hold_for_a_target_listed_later(self):
         """The message may come before the entry."""
         targets = table(entry("b"))
-        targets.hear_loads("peer", {"a": (3, 30_000)})
+        targets.replace_peer_loads("peer", {"a": (3, 30_000)})
         targets.update(entry("a"), NOW)
         assert targets.by_id["a"].peer_in_flight == 3
-        targets.hear_loads("peer", {})
+        targets.replace_peer_loads("peer", {})
         assert targets.by_id["a"].peer_in_flight == 0
 
     def test_full_and_excluded_targets_are_passed_over(self):
         """None is chosen rather than a target that has no place."""
         targets = table(entry("a"), entry("b"))
-        for _ in range(place_limit(targets.by_id["a"])):
+        for _ in range(concurrency_limit(targets.by_id["a"])):
             targets.by_id["a"].note_sent(Work(), NOW)
         assert choose(targets) == "b"
         assert choose(targets, excluded={"b"}) is None
@@ -166,7 +166,7 @@
         """What waits inside a slow target waits long."""
         target = table(entry("a")).by_id["a"]
         target.note_slot_time(slot_s)
-        assert place_limit(target) == 4 + more
+        assert concurrency_limit(target) == 4 + more
 
 
 class TestReservedPlaces:
@@ -174,15 +174,15 @@
 
     def filled(self, target):
         """Fill a target as far as less urgent requests may."""
-        while target.total_in_flight < place_limit(target, is_most_urgent=False):
+        while target.total_in_flight < concurrency_limit(target, is_most_urgent=False):
             target.note_sent(Work(), NOW)
 
     def submit(self, dispatcher, rank, now=NOW):
         """Return the target that a request gets at once, if any."""
-        ticket = Ticket(
-            service="s", rank=rank, work=Work(), on_place=lambda target: None
+        pending = PendingRequest(
+            service="s", rank=rank, work=Work(), on_placed=lambda target: None
         )
-        return dispatcher.submit(ticket, now)
+        return dispatcher.submit(pending, now)
 
     def test_less_urgent_ones_leave_them(self):
         """The line of this router tells nothing of those that wait elsewhere."""
@@ -224,7 +224,7 @@
             target.note_sent(Work(), NOW)
         chosen = choose_target(
             targets.of_service("s"),
-            PlaceRequest(work=work, longest_pause_s=0.3),
+            PlacementRequest(work=work, longest_pause_s=0.3),
             failure_domain="fd-a",
             now=NOW,
             remote_factor=4.0,
@@ -244,7 +244,7 @@
             targets.by_id["a"].note_paused(True)
         chosen = choose_target(
             targets.of_service("s"),
-            PlaceRequest(work=Work(10, 10), longest_pause_s=0.3),
+            PlacementRequest(work=Work(10, 10), longest_pause_s=0.3),
             failure_domain="fd-a",
             now=NOW,
             draw=lambda: 0.0,
@@ -259,14 +259,14 @@
         """Return a dispatcher."""
         return Dispatcher(targets, failure_domain="fd-a", draw=lambda: 0.0)
 
-    def ticket(self, rank, granted, name):
+    def pending(self, rank, granted, name):
         """Return a ticket that notes its name when it gets a place."""
 
-        def on_place(target):
+        def on_placed(target):
             target.note_sent(Work(), NOW)
             granted.append(name)
 
-        return Ticket(service="s", rank=rank, work=Work(), on_place=on_place)
+        return PendingRequest(service="s", rank=rank, work=Work(), on_placed=on_placed)
 
     def test_places_go_by_rank_then_arrival(self):
         """The most urgent goes first, among equals the oldest."""
@@ -277,10 +277,10 @@
         dispatcher = self.dispatcher(targets)
         granted = []
         for rank, name in [((1, 2), "late"), ((1, 0), "first"), ((1, 0), "second")]:
-            assert dispatcher.submit(self.ticket(rank, granted, name), NOW) is None
+            assert dispatcher.submit(self.pending(rank, granted, name), NOW) is None
         for _ in range(3):
-            target.note_left(Work(), had_first_event=False)
-            dispatcher.pump("s", NOW)
+            target.note_finished(Work(), had_first_event=False)
+            dispatcher.dispatch_queued("s", NOW)
         assert granted == ["first", "second", "late"]
 
     def test_newcomer_does_not_overtake_its_equals(self):
@@ -291,10 +291,10 @@
         target.note_sent(Work(), NOW)
         dispatcher = self.dispatcher(targets)
         granted = []
-        dispatcher.submit(self.ticket((1, 0), granted, "waits"), NOW)
-        target.note_left(Work(), had_first_event=False)
-        assert dispatcher.submit(self.ticket((1, 0), granted, "new"), NOW) is None
-        dispatcher.pump("s", NOW)
+        dispatcher.submit(self.pending((1, 0), granted, "waits"), NOW)
+        target.note_finished(Work(), had_first_event=False)
+        assert dispatcher.submit(self.pending((1, 0), granted, "new"), NOW) is None
+        dispatcher.dispatch_queued("s", NOW)
         assert granted == ["waits"]
 
     def test_withdrawn_ticket_gets_nothing(self):
@@ -302,24 +302,24 @@
         targets = table(entry("a", state=TargetState.DRAINING))
         dispatcher = self.dispatcher(targets)
         granted = []
-        ticket = self.ticket((0, 0), granted, "left")
-        dispatcher.submit(ticket, NOW)
-        assert dispatcher.withdraw(ticket)
+        pending = self.pending((0, 0), granted, "left")
+        dispatcher.submit(pending, NOW)
+        assert dispatcher.cancel(pending)
         targets.update(entry("a"), NOW)
-        dispatcher.pump("s", NOW)
+        dispatcher.dispatch_queued("s", NOW)
         assert granted == []
-        assert not dispatcher.withdraw(ticket)
+        assert not dispatcher.cancel(pending)
 
     def test_ticket_with_exclusions_holds_nobody_up(self):
         """One that can't use the free target lets the next one through."""
         targets = table(entry("a"))
         dispatcher = self.dispatcher(targets)
         granted = []
-        picky = self.ticket((0, 0), granted, "picky")
+        picky = self.pending((0, 0), granted, "picky")
         picky.excluded.add("a")
         dispatcher.submit(picky, NOW)
-        dispatcher.submit(self.ticket((1, 0), granted, "other"), NOW)
-        dispatcher.pump("s", NOW)
+        dispatcher.submit(self.pending((1, 0), granted, "other"), NOW)
+        dispatcher.dispatch_queued("s", NOW)
         assert granted == ["other"]
 
     def test_ticket_that_is_too_late_holds_nobody_up(self):
@@ -331,14 +331,16 @@
             target.note_sent(Work(), NOW)
         dispatcher = self.dispatcher(targets)
         granted = []
-        hurried = self.ticket((0, 0), granted, "hurried")
+        hurried = self.pending((0, 0), granted, "hurried")
         hurried.start_by = NOW + 0.05
-        patient = self.ticket((1, 0), granted, "patient")
+        patient = self.pending((1, 0), granted, "patient")
         patient.start_by = NOW + 5.0
         assert dispatcher.submit(hurried, NOW) is None
-        assert dispatcher.obstacles(hurried, NOW) == {"a": Obstacle.TOO_LATE}
+        assert dispatcher.ineligibility_reasons(hurried, NOW) == {
+            "a": IneligibilityReason.TOO_LATE
+        }
         dispatcher.submit(patient, NOW)
-        dispatcher.pump("s", NOW)
+        dispatcher.dispatch_queued("s", NOW)
         assert granted == ["patient"]
 
 
@@ -360,7 +362,7 @@
             target.note_sent(Work(), NOW)
         chosen = choose_target(
             targets.of_service("s"),
-            PlaceRequest(work=Work(), start_within_s=within_s),
+            PlacementRequest(work=Work(), start_within_s=within_s),
             failure_domain="fd-a",
             now=NOW,
         )
@@ -371,11 +373,11 @@
     """Requests under which targets ended."""
 
     @staticmethod
-    def chosen(targets, apart_as):
+    def chosen(targets, isolation_key):
         """Return the id of the target for such a request."""
         chosen = choose_target(
             targets.of_service("s"),
-            PlaceRequest(work=Work(), apart_as=apart_as),
+            PlacementRequest(work=Work(), isolation_key=isolation_key),
             failure_domain="fd-a",
             now=NOW,
         )
--- a/libs/forwarding/src/berylwalk/forwarding/_target_pool.py
+++ b/libs/forwarding/src/berylwalk/forwarding/_target_pool.py
@@ -22,7 +22,7 @@
 class Address(Protocol):
     """Where one life of a target listens."""
 
-    life_id: str
+    incarnation_id: str
     host: str
     port: int
 
@@ -60,9 +60,9 @@
         self._on_opened = on_opened
         self._idle_by_id: dict[str, list[TargetConnection]] = {}
 
-    def take_idle(self, life_id: str) -> TargetConnection | None:
+    def take_idle(self, incarnation_id: str) -> TargetConnection | None:
         """Return an idle connection that may be used again, the latest first."""
-        idle = self._idle_by_id.get(life_id)
+        idle = self._idle_by_id.get(incarnation_id)
         now = self._clock()
         while idle:
             connection = idle.pop()
@@ -77,7 +77,7 @@
         def build() -> TargetConnection:
             return TargetConnection(
                 id_header=self._id_header,
-                on_bytes=lambda: self._on_bytes(address.life_id),
+                on_bytes=lambda: self._on_bytes(address.incarnation_id),
                 clock=self._clock,
             )
 
@@ -95,38 +95,38 @@
             return connection
         return None
 
-    def give_back(self, life_id: str, connection: TargetConnection) -> None:
+    def give_back(self, incarnation_id: str, connection: TargetConnection) -> None:
         """Keep a connection whose answer is complete, if it may be used again."""
         if connection.reusable and connection.is_open:
-            self._idle_by_id.setdefault(life_id, []).append(connection)
+            self._idle_by_id.setdefault(incarnation_id, []).append(connection)
         else:
             connection.close()
 
-    def drop(self, life_id: str) -> None:
+    def drop(self, incarnation_id: str) -> None:
         """Close the idle connections to a target."""
-        for connection in self._idle_by_id.pop(life_id, []):
+        for connection in self._idle_by_id.pop(incarnation_id, []):
             connection.close()
 
     def keep_only(self, life_ids: Container[str]) -> None:
         """Close the idle connections to all other lives."""
-        for life_id in list(self._idle_by_id):
-            if life_id not in life_ids:
-                self.drop(life_id)
+        for incarnation_id in list(self._idle_by_id):
+            if incarnation_id not in life_ids:
+                self.drop(incarnation_id)
 
     def sweep(self) -> None:
         """Close idle connections that are too old to be used again."""
         now = self._clock()
-        for life_id, idle in list(self._idle_by_id.items()):
+        for incarnation_id, idle in list(self._idle_by_id.items()):
             fresh = [connection for connection in idle if connection.is_fresh(now)]
             for connection in idle:
                 if connection not in fresh:
                     connection.close()
             if fresh:
-                self._idle_by_id[life_id] = fresh
+                self._idle_by_id[incarnation_id] = fresh
             else:
-                del self._idle_by_id[life_id]
+                del self._idle_by_id[incarnation_id]
 
     def close(self) -> None:
         """Close all idle connections."""
-        for life_id in list(self._idle_by_id):
-            self.drop(life_id)
+        for incarnation_id in list(self._idle_by_id):
+            self.drop(incarnation_id)
--- a/libs/quarantine/src/berylwalk/quarantine/_evidence.py
+++ b/libs/quarantine/src/berylwalk/quarantine/_evidence.py
@@ -40,11 +40,11 @@
 
     def forget_before(self, time: float) -> bool:
         """Drop what is older; returns whether that was an end."""
-        old = [life_id for life_id, at in self.ended.items() if at < time]
-        for life_id in old:
-            del self.ended[life_id]
-        for life_id in [each for each, at in self.cleared.items() if at < time]:
-            del self.cleared[life_id]
+        old = [incarnation_id for incarnation_id, at in self.ended.items() if at < time]
+        for incarnation_id in old:
+            del self.ended[incarnation_id]
+        for incarnation_id in [each for each, at in self.cleared.items() if at < time]:
+            del self.cleared[incarnation_id]
         return bool(old)
 
 
@@ -64,62 +64,66 @@
     def __len__(self) -> int:
         return len(self._suspects)
 
-    def add(self, identity: Identity, life_id: str, ended_at: float) -> bool:
+    def add(self, identity: Identity, incarnation_id: str, ended_at: float) -> bool:
         """Take an end under a request; returns whether it is new."""
-        if ended_at < self._alive_at_by_life.get(life_id, float("-inf")):
+        if ended_at < self._alive_at_by_life.get(incarnation_id, float("-inf")):
             return False
         suspect = self._suspect(identity)
-        if life_id in suspect.cleared:
+        if incarnation_id in suspect.cleared:
             return False
-        if life_id in suspect.ended:
-            suspect.ended[life_id] = max(ended_at, suspect.ended[life_id])
+        if incarnation_id in suspect.ended:
+            suspect.ended[incarnation_id] = max(ended_at, suspect.ended[incarnation_id])
             return False
-        suspect.ended[life_id] = ended_at
+        suspect.ended[incarnation_id] = ended_at
         if len(suspect.ended) > MOST_LIVES:
             # Others may explain all the old ones: it must not be safe behind them.
             del suspect.ended[min(suspect.ended, key=suspect.ended.__getitem__)]
-        newest_at = self._ended_at_by_life.get(life_id, ended_at)
-        self._ended_at_by_life[life_id] = max(newest_at, ended_at)
+        newest_at = self._ended_at_by_life.get(incarnation_id, ended_at)
+        self._ended_at_by_life[incarnation_id] = max(newest_at, ended_at)
         return True
 
     def clear(self, identity: Identity, life_ids: Iterable[str], now: float) -> bool:
         """Take that a request did not cause some ends; returns whether that is new."""
         suspect = self._suspect(identity)
-        new = [life_id for life_id in life_ids if life_id not in suspect.cleared]
-        for life_id in new:
-            suspect.ended.pop(life_id, None)
-            suspect.cleared[life_id] = now
-        for life_id in list(suspect.cleared)[:-MOST_CLEARED]:
-            del suspect.cleared[life_id]
+        new = [
+            incarnation_id
+            for incarnation_id in life_ids
+            if incarnation_id not in suspect.cleared
+        ]
+        for incarnation_id in new:
+            suspect.ended.pop(incarnation_id, None)
+            suspect.cleared[incarnation_id] = now
+        for incarnation_id in list(suspect.cleared)[:-MOST_CLEARED]:
+            del suspect.cleared[incarnation_id]
         return bool(new)
 
-    def ended_at(self, life_id: str) -> float | None:
+    def ended_at(self, incarnation_id: str) -> float | None:
         """Return when a life was last seen to end; None if it was not."""
-        return self._ended_at_by_life.get(life_id)
+        return self._ended_at_by_life.get(incarnation_id)
 
-    def note_alive(self, life_id: str, alive_at: float) -> bool:
+    def note_alive(self, incarnation_id: str, alive_at: float) -> bool:
         """Take that a life had not ended by some time; returns whether ends are gone.
 
         It may have ended after it.
         """
-        if alive_at <= self._alive_at_by_life.get(life_id, float("-inf")):
+        if alive_at <= self._alive_at_by_life.get(incarnation_id, float("-inf")):
             return False
-        self._alive_at_by_life[life_id] = alive_at
-        self._alive_at_by_life.move_to_end(life_id)
+        self._alive_at_by_life[incarnation_id] = alive_at
+        self._alive_at_by_life.move_to_end(incarnation_id)
         while len(self._alive_at_by_life) > MOST_ALIVE:
             self._alive_at_by_life.popitem(last=False)
-        if self._ended_at_by_life.get(life_id, float("inf")) < alive_at:
-            del self._ended_at_by_life[life_id]
+        if self._ended_at_by_life.get(incarnation_id, float("inf")) < alive_at:
+            del self._ended_at_by_life[incarnation_id]
         dropped = False
         for suspect in self._suspects.values():
-            if suspect.ended.get(life_id, float("inf")) < alive_at:
-                del suspect.ended[life_id]
+            if suspect.ended.get(incarnation_id, float("inf")) < alive_at:
+                del suspect.ended[incarnation_id]
                 dropped = True
         return dropped
 
-    def alive_at(self, life_id: str) -> float:
+    def alive_at(self, incarnation_id: str) -> float:
         """Return until when a life has surely gone on."""
-        return self._alive_at_by_life.get(life_id, float("-inf"))
+        return self._alive_at_by_life.get(incarnation_id, float("-inf"))
 
     def forget_old(self, now: float) -> bool:
         """Drop what is too old to count; returns whether an end was."""
@@ -131,9 +135,9 @@
         counted = {
             life for suspect in self._suspects.values() for life in suspect.ended
         }
-        for life_id in list(self._ended_at_by_life):
-            if life_id not in counted:
-                del self._ended_at_by_life[life_id]
+        for incarnation_id in list(self._ended_at_by_life):
+            if incarnation_id not in counted:
+                del self._ended_at_by_life[incarnation_id]
         return dropped
 
     def ended(self, identity: Identity) -> dict[str, float]:
--- a/libs/quarantine/src/berylwalk/quarantine/_outbox.py
+++ b/libs/quarantine/src/berylwalk/quarantine/_outbox.py
@@ -27,9 +27,9 @@
         """Have a request told of once at least."""
         self._times_by_identity.setdefault(identity, 1)
 
-    def add_alive(self, life_id: str) -> None:
+    def add_alive(self, incarnation_id: str) -> None:
         """Have it told that a life goes on."""
-        self._times_by_life[life_id] = TIMES_TOLD
+        self._times_by_life[incarnation_id] = TIMES_TOLD
 
     def take(self, most: int) -> list[Identity]:
         """Return requests to tell of now."""
--- a/libs/quarantine/src/berylwalk/quarantine/_quarantine.py
+++ b/libs/quarantine/src/berylwalk/quarantine/_quarantine.py
@@ -163,9 +163,9 @@
 
     # What is observed here.
 
-    def note_ended(self, identity: Identity, life_id: str, now: float) -> bool:
+    def note_ended(self, identity: Identity, incarnation_id: str, now: float) -> bool:
         """Take that a target ended while it ran a request; True if it is news."""
-        is_new = self._evidence.add(identity, life_id, now)
+        is_new = self._evidence.add(identity, incarnation_id, now)
         if is_new:
             self._tell(identity)
             self._judge(now)
@@ -180,12 +180,12 @@
         self._judge(now)
         return True
 
-    def note_alive(self, life_id: str, sent_at: float, now: float) -> bool:
+    def note_alive(self, incarnation_id: str, sent_at: float, now: float) -> bool:
         """Take that a target answered a request; True if it was taken for ended.
 
         Parameters
         ----------
-        life_id : str
+        incarnation_id : str
             The life of the target.
         sent_at : float
             When that request was sent, in seconds: only an answer to what was sent
@@ -193,12 +193,12 @@
         now : float
             Time in seconds.
         """
-        ended_at = self._evidence.ended_at(life_id)
+        ended_at = self._evidence.ended_at(incarnation_id)
         if ended_at is None or sent_at <= ended_at:
             return False
-        self._evidence.note_alive(life_id, sent_at)
-        self.near.add_alive(life_id)
-        self.far.add_alive(life_id)
+        self._evidence.note_alive(incarnation_id, sent_at)
+        self.near.add_alive(incarnation_id)
+        self.far.add_alive(incarnation_id)
         self._judge(now)
         self.on_news()
         return True
@@ -229,14 +229,14 @@
             Whether other failure domains have to be told of it from here.
         """
         alive = [
-            life_id
-            for life_id, age_s in news.alive_ages_s.items()
-            if self._evidence.note_alive(life_id, now - age_s)
+            incarnation_id
+            for incarnation_id, age_s in news.alive_ages_s.items()
+            if self._evidence.note_alive(incarnation_id, now - age_s)
         ]
         suspects = [each for each in news.suspects if self._hear_suspect(each, now)]
         if is_near:
-            for life_id in alive:
-                self.far.add_alive(life_id)
+            for incarnation_id in alive:
+                self.far.add_alive(incarnation_id)
             for suspect in suspects:
                 self.far.add(suspect.identity)
         is_new = bool(alive or suspects)
@@ -248,8 +248,8 @@
         self, identity: Identity, ended: Iterable[str], trials: int, now: float
     ) -> None:
         """Take what the store keeps of a request."""
-        for life_id in ended:
-            self._evidence.add(identity, life_id, now)
+        for incarnation_id in ended:
+            self._evidence.add(identity, incarnation_id, now)
         self._judge(now)
         blame = self.blames.get(identity)
         if blame is not None and trials > blame.trials:
@@ -279,8 +279,8 @@
         return QuarantineNews(
             [self._news_of(each, now) for each in outbox.take(MOST_TOLD)],
             {
-                life_id: _age_s(self._evidence.alive_at(life_id), now)
-                for life_id in outbox.take_alive(MOST_TOLD)
+                incarnation_id: _age_s(self._evidence.alive_at(incarnation_id), now)
+                for incarnation_id in outbox.take_alive(MOST_TOLD)
             },
         )
 
@@ -293,7 +293,7 @@
         ended = list(self._evidence.ended(identity).items())[-MOST_LIVES_TOLD:]
         return SuspectNews(
             identity,
-            {life_id: _age_s(at, now) for life_id, at in ended},
+            {incarnation_id: _age_s(at, now) for incarnation_id, at in ended},
             self._evidence.cleared(identity)[-MOST_LIVES_TOLD:],
             self.noted.get(identity, 0),
         )
@@ -302,8 +302,8 @@
         is_new = False
         if suspect.cleared:
             is_new = self._evidence.clear(suspect.identity, suspect.cleared, now)
-        for life_id, age_s in suspect.ages_s.items():
-            is_new |= self._evidence.add(suspect.identity, life_id, now - age_s)
+        for incarnation_id, age_s in suspect.ages_s.items():
+            is_new |= self._evidence.add(suspect.identity, incarnation_id, now - age_s)
         if suspect.noted > self.noted.get(suspect.identity, 0):
             self.noted[suspect.identity] = suspect.noted
             is_new = True
--- a/libs/quarantine/tests/test_quarantine_state.py
+++ b/libs/quarantine/tests/test_quarantine_state.py
@@ -22,8 +22,8 @@
     quarantine = Quarantine()
     quarantine.changes = []
     quarantine.on_change = quarantine.changes.append
-    for life_id in "abc":
-        quarantine.note_ended(REQUEST, life_id, 0.0)
+    for incarnation_id in "abc":
+        quarantine.note_ended(REQUEST, incarnation_id, 0.0)
     return quarantine
 
 
@@ -40,8 +40,8 @@
         """Each end counts once."""
         quarantine = Quarantine()
         seen = []
-        for life_id in "aabbcc":
-            quarantine.note_ended(REQUEST, life_id, 0.0)
+        for incarnation_id in "aabbcc":
+            quarantine.note_ended(REQUEST, incarnation_id, 0.0)
             seen.append(quarantine.standing(REQUEST, 0.0))
         assert seen == ["free", "free", "suspected", "suspected", "blamed", "blamed"]
 
@@ -72,9 +72,9 @@
     def test_two_requests_alike_get_a_trial_soon(self):
         """One alone waits a minute."""
         quarantine = Quarantine()
-        for life_id in "abc":
-            quarantine.note_ended(REQUEST, life_id, 0.0)
-            quarantine.note_ended(OTHER, life_id, 0.0)
+        for incarnation_id in "abc":
+            quarantine.note_ended(REQUEST, incarnation_id, 0.0)
+            quarantine.note_ended(OTHER, incarnation_id, 0.0)
         assert quarantine.standing(OTHER, 1.0) is Standing.TRIAL
 
 
--- a/libs/replay/src/berylwalk/replay/_mechanisms.py
+++ b/libs/replay/src/berylwalk/replay/_mechanisms.py
@@ -5,15 +5,15 @@
 from importlib import import_module
 
 MECHANISMS: dict[str, dict[str, float]] = {
-    "reserved-places": {"_place_limits.RESERVED_PLACES": 0},
-    "pauses": {"_placing.PAUSE_FACTOR": 0.0},
-    "slot-time": {"_placing.SLOT_TIME_WEIGHT": 0.0},
-    "load-among-equals": {"_placing.LOAD_WEIGHT": 0.0},
-    "start-in-time": {"_patience.START_SHARE": 1e6},
-    "places-beyond-slots": {"_place_limits.MORE_PLACES": 0},
-    "waiting": {"_patience.WAIT_SHARE": 0.0},
-    "size-order": {"_waiting_line.SIZE_WEIGHT": 0.0},
-    "long-answers-to-fast-targets": {"_placing.TOO_SLOW_FACTOR": 1.0},
+    "reserved-places": {"_concurrency_limits.RESERVED_REQUESTS": 0},
+    "pauses": {"_placement.PAUSE_FACTOR": 0.0},
+    "slot-time": {"_placement.SLOT_TIME_WEIGHT": 0.0},
+    "load-among-equals": {"_placement.LOAD_WEIGHT": 0.0},
+    "start-in-time": {"_request_deadlines.START_SHARE": 1e6},
+    "places-beyond-slots": {"_concurrency_limits.MAX_QUEUED_AT_TARGET": 0},
+    "waiting": {"_request_deadlines.WAIT_SHARE": 0.0},
+    "size-order": {"_request_queue.SIZE_WEIGHT": 0.0},
+    "long-answers-to-fast-targets": {"_placement.TOO_SLOW_FACTOR": 1.0},
     "learned-starts": {"_start_model.SOLVED_EACH": 1e9},
 }
 """By name: settings, as module and name within `berylwalk.dispatch`, that switch a
@@ -27,7 +27,7 @@
     Parameters
     ----------
     changes : dict
-        New values by module and name, such as ``_place_limits.RESERVED_PLACES``.
+        New values by module and name, as in ``_concurrency_limits.RESERVED_REQUESTS``.
 
     Raises
     ------
--- a/libs/replay/src/berylwalk/replay/_virtual_router.py
+++ b/libs/replay/src/berylwalk/replay/_virtual_router.py
@@ -13,16 +13,16 @@
 
 from berylwalk.dispatch import (
     Dispatcher,
-    Patience,
+    PendingRequest,
+    RequestDeadlines,
     Target,
     TargetEntry,
     TargetState,
     TargetTable,
-    Ticket,
-    expected_start,
-    patience_after_failure,
-    patience_at_arrival,
-    return_time_s,
+    deadlines_after_failure,
+    deadlines_at_arrival,
+    estimate_first_event,
+    retry_after_s,
 )
 from berylwalk.replay._engine import Engine, Sequence
 from berylwalk.replay._outcome import Outcome
@@ -86,17 +86,17 @@
         """Take a request; a refusal brings the seconds to come back after."""
         now = self._time.now
         ends_at = outcome.sent_at + outcome.kind.limit_s
-        patience = patience_at_arrival(now, outcome.kind.objective_s, ends_at)
-        _Service(self, outcome, ends_at, on_refused).place(patience)
+        deadlines = deadlines_at_arrival(now, outcome.kind.objective_s, ends_at)
+        _Service(self, outcome, ends_at, on_refused).place(deadlines)
 
     def hear(self, peer: str, loads: dict[str, tuple[int, int]]) -> None:
         """Take the loads of a peer."""
-        self.targets.hear_loads(peer, loads)
+        self.targets.replace_peer_loads(peer, loads)
         self.pump()
 
     def pump(self) -> None:
         """Give free places to those that wait."""
-        self._dispatcher.pump_all(self._time.now)
+        self._dispatcher.dispatch_all_queued(self._time.now)
 
 
 @dataclass(slots=True, eq=False)
@@ -113,49 +113,49 @@
     def now(self) -> float:
         return self.router._time.now
 
-    def place(self, patience: Patience) -> None:
+    def place(self, deadlines: RequestDeadlines) -> None:
         """Find a place, now or until the patience ends."""
         asked_at = self.now
         placed = []
 
-        def on_place(target: Target) -> None:
+        def on_placed(target: Target) -> None:
             placed.append(target)
             self.outcome.waited_s += self.now - asked_at
             self.send(target)
 
-        ticket = Ticket(
+        pending = PendingRequest(
             service=SERVICE,
             rank=(0, self.outcome.kind.rank),
             work=self.outcome.work,
-            on_place=on_place,
-            ends_at=self.ends_at,
-            start_by=patience.start_by,
+            on_placed=on_placed,
+            deadline=self.ends_at,
+            start_by=deadlines.start_by,
             longest_pause_s=self.outcome.kind.longest_pause_s,
             excluded=self.excluded,
             arrived_at=asked_at,
         )
-        target = self.router._dispatcher.submit(ticket, asked_at)
+        target = self.router._dispatcher.submit(pending, asked_at)
         if target is not None:
-            on_place(target)
+            on_placed(target)
             return
 
         def give_up() -> None:
             if not placed:
-                self.router._dispatcher.withdraw(ticket)
+                self.router._dispatcher.cancel(pending)
                 self.outcome.waited_s += self.now - asked_at
                 self.refuse()
 
-        self.router._time.call_at(patience.wait_until, give_up)
+        self.router._time.call_at(deadlines.wait_until, give_up)
 
     def refuse(self) -> None:
         self.outcome.refusals += 1
         left_s = self.ends_at - self.now
-        self.on_refused(return_time_s(left_s, draw=self.router._random.uniform))
+        self.on_refused(retry_after_s(left_s, draw=self.router._random.uniform))
 
     def send(self, target: Target) -> None:
         """Send it to an engine and learn from what comes back."""
         work, sent_at = self.outcome.work, self.now
-        start = expected_start(target, work)
+        start = estimate_first_event(target, work)
         target.note_sent(work, sent_at)
         number = int(target.entry.target_id)
         delay_s = self.router._scenario.delay_s
@@ -237,8 +237,8 @@
         """Try another engine: this one is down or full."""
         self.leave_target()
         self.target.note_unreachable(self.now)
-        self.service.excluded.add(self.target.entry.life_id)
-        self.service.place(patience_after_failure(self.now, self.service.ends_at))
+        self.service.excluded.add(self.target.entry.incarnation_id)
+        self.service.place(deadlines_after_failure(self.now, self.service.ends_at))
 
     def take_end(self, whole: bool, *, by_caller: bool = False) -> None:
         if self.has_ended:
@@ -259,5 +259,5 @@
     def leave_target(self) -> None:
         self.has_ended = True
         had_first = self.first_at is not None
-        self.target.note_left(self.service.outcome.work, had_first_event=had_first)
+        self.target.note_finished(self.service.outcome.work, had_first_event=had_first)
         self.service.router.pump()
--- a/libs/replay/tests/test_replay_model.py
+++ b/libs/replay/tests/test_replay_model.py
@@ -101,13 +101,13 @@
 
 class TestSettings:
     def test_changes_end_with_the_context(self):
-        from berylwalk.dispatch import _place_limits
+        from berylwalk.dispatch import _concurrency_limits
 
-        former = _place_limits.RESERVED_PLACES
-        with settings_changed({"_place_limits.RESERVED_PLACES": former + 1}):
-            assert former + 1 == _place_limits.RESERVED_PLACES
-        assert former == _place_limits.RESERVED_PLACES
+        former = _concurrency_limits.RESERVED_REQUESTS
+        with settings_changed({"_concurrency_limits.RESERVED_REQUESTS": former + 1}):
+            assert former + 1 == _concurrency_limits.RESERVED_REQUESTS
+        assert former == _concurrency_limits.RESERVED_REQUESTS
 
     def test_unknown_setting_is_an_error(self):
-        with pytest.raises(AttributeError), settings_changed({"_placing.NONE": 1}):
+        with pytest.raises(AttributeError), settings_changed({"_placement.NONE": 1}):
             pass
--- a/libs/rollout/src/berylwalk/rollout/_evidence.py
+++ b/libs/rollout/src/berylwalk/rollout/_evidence.py
@@ -173,10 +173,10 @@
             sums.old[row] = sums.old.get(row, Tally()).at_least(tally)
         return sum(tally.bad for tally in sums.new.values()) > bad_before
 
-    def note_ended(self, router: str, life_id: str, *, is_new: bool) -> None:
+    def note_ended(self, router: str, incarnation_id: str, *, is_new: bool) -> None:
         """Count that a target ended while it ran a request."""
         sums = self._of(router)
-        (sums.ended_new if is_new else sums.ended_old).add(life_id)
+        (sums.ended_new if is_new else sums.ended_old).add(incarnation_id)
 
     def hear_ends(self, router: str, new: Iterable[str], old: int) -> bool:
         """Take which ends of targets a router saw; returns whether any is news."""
--- a/libs/rollout/src/berylwalk/rollout/_rollouts.py
+++ b/libs/rollout/src/berylwalk/rollout/_rollouts.py
@@ -284,7 +284,7 @@
     # What is seen.
 
     def row_of(
-        self, service: str, version: str, life_id: str, route: str, now: float
+        self, service: str, version: str, incarnation_id: str, route: str, now: float
     ) -> Row | OldRow | None:
         """Return what an answer is told apart by; asked when its request is sent.
 
@@ -292,7 +292,7 @@
 
         Parameters
         ----------
-        service, version, life_id : str
+        service, version, incarnation_id : str
             Of the target.
         route : str
             Name of the route.
@@ -304,7 +304,7 @@
             return None
         epoch = progress.epoch(now)
         if version == progress.order.version:
-            return Row(epoch, life_id, route)
+            return Row(epoch, incarnation_id, route)
         return OldRow(epoch, route)
 
     def note_answer(
@@ -337,11 +337,13 @@
             self.on_news()
             self._judge(progress)
 
-    def note_end_of_target(self, service: str, life_id: str, *, is_new: bool) -> None:
+    def note_end_of_target(
+        self, service: str, incarnation_id: str, *, is_new: bool
+    ) -> None:
         """Take that a target ended while it ran a request."""
         progress = self._progress_by_service.get(service)
         if progress is not None and progress.is_open:
-            progress.evidence.note_ended(self._router, life_id, is_new=is_new)
+            progress.evidence.note_ended(self._router, incarnation_id, is_new=is_new)
             self._judge(progress)
 
     def note_taken(self, service: str, taken_s: float) -> None:
--- a/tests/platform/test_platform_formats.py
+++ b/tests/platform/test_platform_formats.py
@@ -209,7 +209,7 @@
     def test_life(self):
         """A later start under the same id is another life."""
         lives = [decode_target(item(born=born)) for born in (None, 1796254082258, 7)]
-        assert len({entry.life_id for entry in lives}) == 3
+        assert len({entry.incarnation_id for entry in lives}) == 3
         assert {entry.target_id for entry in lives} == {"i-1"}
 
     @pytest.mark.parametrize(
--- a/tests/platform/test_platform_target_statements.py
+++ b/tests/platform/test_platform_target_statements.py
@@ -20,7 +20,7 @@
     def test_most_answers_state_nothing(self):
         """Also no problem."""
         statement = read(("Content-Type", "text/plain"))
-        assert statement.is_plain
+        assert statement.is_empty
         assert statement.limit_is_readable
 
     @pytest.mark.parametrize(
@@ -66,27 +66,27 @@
     @pytest.mark.parametrize("status", [429, 503])
     def test_seconds(self, status):
         """With fractions."""
-        assert read(("Retry-After", "2.5"), status=status).rest_s == 2.5
+        assert read(("Retry-After", "2.5"), status=status).retry_after_s == 2.5
 
     def test_date(self):
         """Against the date of the answer, or else the time of day here."""
         later = "Thu, 03 Dec 2026 08:00:07 GMT"
-        assert read(("Retry-After", later), status=503).rest_s == 7.0
+        assert read(("Retry-After", later), status=503).retry_after_s == 7.0
         skewed = [("Date", "Thu, 03 Dec 2026 08:00:04 GMT"), ("Retry-After", later)]
-        assert read(*skewed, status=503).rest_s == 3.0
+        assert read(*skewed, status=503).retry_after_s == 3.0
 
     def test_other_statuses(self):
         """A success or a redirection asks for no rest."""
-        assert read(("Retry-After", "3"), status=200).rest_s is None
-        assert read(("Retry-After", "3"), status=302).rest_s is None
+        assert read(("Retry-After", "3"), status=200).retry_after_s is None
+        assert read(("Retry-After", "3"), status=302).retry_after_s is None
 
     def test_two_rests(self):
         """The longer one."""
         rests = [("Retry-After", "1"), ("Retry-After", "3")]
-        assert read(*rests, status=503).rest_s == 3.0
+        assert read(*rests, status=503).retry_after_s == 3.0
 
     def test_no_time(self):
         """It is a finding."""
         statement = read(("Retry-After", "soon"), status=503)
-        assert statement.rest_s is None
+        assert statement.retry_after_s is None
         assert "retry-after" in statement.problem
