--- a/libs/direct/src/berylwalk/direct/_attempt.py
+++ b/libs/direct/src/berylwalk/direct/_attempt.py
@@ -5,7 +5,7 @@
 from anyio import Event as Signal
 
 from berylwalk.direct._response_writer import ResponseWriter
-from berylwalk.dispatch import NOTHING_STATED, AttemptEnd, TargetStatement
+from berylwalk.dispatch import NO_SIGNALS, AttemptEnd, TargetSignals
 from berylwalk.forwarding import EventSplitter, Headers, ResponseEnd, header_value
 from berylwalk.platform import REQUEST_ID_HEADER, is_not_executed, parse_target_headers
 
@@ -60,7 +60,7 @@
         clock: Callable[[], float],
         on_first_event: Callable[[], None],
         on_output: Callable[[int, float], None],
-        on_statement: Callable[[TargetStatement, int], None],
+        on_statement: Callable[[TargetSignals, int], None],
     ) -> None:
         self._response_writer = relay
         self._request_id = request_id
@@ -76,7 +76,7 @@
         self._body_bytes = 0
         self.status = 0
         self.headers: Headers = []
-        self.statement = NOTHING_STATED
+        self.statement = NO_SIGNALS
         self.done = Signal()
         self.end: AttemptEnd | None = None
         self.detail = ""
