--- a/libs/direct/src/berylwalk/direct/_attempt_feedback.py
+++ b/libs/direct/src/berylwalk/direct/_attempt_feedback.py
@@ -40,8 +40,10 @@
     def record_alive(self, target: Target) -> None:
         """Record that the target was alive when the attempt started."""
         context = self._context
-        life_id = target.entry.life_id
-        context.quarantine.record_alive(life_id, self._started_at, context.clock())
+        incarnation_id = target.entry.incarnation_id
+        context.quarantine.record_alive(
+            incarnation_id, self._started_at, context.clock()
+        )
 
     def elapsed_s(self, since: float) -> float:
         """Return the seconds since a time, excluding suspensions of the VM."""
@@ -78,14 +80,14 @@
             case AttemptEnd.REFUSED if attempt.status == STATUS_MISDIRECTED_REQUEST:
                 target.note_replaced()
             case AttemptEnd.REFUSED:
-                target.note_full(now, FULL_BACKOFF_S)
+                target.note_refused(now, FULL_BACKOFF_S)
 
     def _record_in_quarantine(self, target: Target, attempt: Attempt) -> None:
         """Record whether the target terminated while running the request."""
         quarantine, now = self._context.quarantine, self._context.clock()
         identity = self._admitted.identity
         if attempt.target_ended and self._was_active(target):
-            if quarantine.record_crash(identity, target.entry.life_id, now):
+            if quarantine.record_crash(identity, target.entry.incarnation_id, now):
                 self._log.log_target_ended(self._admitted, target)
         elif attempt.end in (AttemptEnd.ANSWERED, AttemptEnd.FAILED):
             self.record_alive(target)
--- a/libs/direct/src/berylwalk/direct/_context.py
+++ b/libs/direct/src/berylwalk/direct/_context.py
@@ -7,10 +7,10 @@
 from berylwalk.direct._metrics import RouterMetrics
 from berylwalk.direct._suspension_detector import SuspensionDetector
 from berylwalk.dispatch import (
-    Allowances,
     ConfigurationState,
     Dispatcher,
     PeerTable,
+    QuotaTracker,
     RouterSettings,
     Target,
     TargetTable,
@@ -35,7 +35,7 @@
         State of the targets.
     dispatcher : Dispatcher
         Places requests on targets and queues them.
-    allowances : Allowances
+    quotas : QuotaTracker
         Quotas of client accounts.
     retries : WindowedRetryBudget
         Budget for retries.
@@ -65,7 +65,7 @@
     configuration: ConfigurationState
     targets: TargetTable
     dispatcher: Dispatcher
-    allowances: Allowances
+    quotas: QuotaTracker
     retries: WindowedRetryBudget
     quarantine: Quarantine
     rollouts: Rollouts
--- a/libs/direct/src/berylwalk/direct/_flow_control.py
+++ b/libs/direct/src/berylwalk/direct/_flow_control.py
@@ -11,11 +11,11 @@
 
 from berylwalk.direct._context import RouterContext
 from berylwalk.dispatch import (
-    Need,
-    NeedsNews,
+    FlowControlSignal,
+    FlowControlUpdate,
     Target,
-    TargetStatement,
-    most_senders,
+    TargetSignals,
+    max_senders,
 )
 
 MAX_SIGNALS_PER_MESSAGE = 64
@@ -43,7 +43,7 @@
         Whether the target is leaving.
     """
 
-    life_id: Annotated[str, Meta(max_length=200)]
+    incarnation_id: Annotated[str, Meta(max_length=200)]
     limit_age_s: Annotated[float, Meta(ge=0)] | None = None
     limit_per_s: Annotated[float, Meta(ge=0)] | None = None
     is_leaving: bool = False
@@ -51,35 +51,35 @@
     @property
     def content(self) -> tuple[str, float | None, bool]:
         """The signals without their age, for comparison."""
-        return self.life_id, self.limit_per_s, self.is_leaving
+        return self.incarnation_id, self.limit_per_s, self.is_leaving
 
 
 def apply_signals(
-    context: RouterContext, target: Target, statement: TargetStatement, sent_at: float
+    context: RouterContext, target: Target, statement: TargetSignals, sent_at: float
 ) -> None:
     """Apply the signals of a response; other routers are notified of changes."""
     now = context.clock()
-    changed = target.needs.note_answer(statement, sent_at=sent_at, now=now)
+    changed = target.flow_control.note_answer(statement, sent_at=sent_at, now=now)
     _on_needs_changed(context, target, changed, source="target")
-    if Need.LIMIT in changed or Need.LEAVING in changed:
+    if FlowControlSignal.LIMIT in changed or FlowControlSignal.LEAVING in changed:
         context.on_signals_changed()
 
 
 def merge_signals(
-    context: RouterContext, news: Iterable[SignalsUpdate], source: str
+    context: RouterContext, updates: Iterable[SignalsUpdate], source: str
 ) -> None:
     """Apply the signals that another router received."""
     now = context.clock()
-    for each in news:
-        target = context.targets.by_life_id.get(each.life_id)
+    for each in updates:
+        target = context.targets.by_incarnation_id.get(each.incarnation_id)
         if target is None:
             continue
-        heard = NeedsNews(
+        heard = FlowControlUpdate(
             limit_per_s=each.limit_per_s,
             limit_age_s=each.limit_age_s,
             is_leaving=each.is_leaving,
         )
-        changed = target.needs.hear(heard, now)
+        changed = target.flow_control.apply_update(heard, now)
         _on_needs_changed(context, target, changed, source=source)
 
 
@@ -87,59 +87,65 @@
     """Return the recent signals of own responses, to be sent to other routers."""
     now = context.clock()
     told = []
-    for target in context.targets.in_need():
-        news = target.needs.news(now)
-        if news is not None:
+    for target in context.targets.flow_controlled():
+        update = target.flow_control.pending_update(now)
+        if update is not None:
             told.append(
                 SignalsUpdate(
-                    target.entry.life_id,
-                    news.limit_age_s,
-                    news.limit_per_s,
-                    news.is_leaving,
+                    target.entry.incarnation_id,
+                    update.limit_age_s,
+                    update.limit_per_s,
+                    update.is_leaving,
                 )
             )
     return rotate(told, MAX_SIGNALS_PER_MESSAGE, now)
 
 
-def rotate(news: list[SignalsUpdate], most: int, now: float) -> list[SignalsUpdate]:
+def rotate(updates: list[SignalsUpdate], most: int, now: float) -> list[SignalsUpdate]:
     """Return the part of the updates that goes into the next message."""
-    if len(news) <= most:
-        return news
-    begin = int(now / ROTATION_INTERVAL_S) * most % len(news)
-    return (news[begin:] + news[:begin])[:most]
+    if len(updates) <= most:
+        return updates
+    begin = int(now / ROTATION_INTERVAL_S) * most % len(updates)
+    return (updates[begin:] + updates[:begin])[:most]
 
 
 def update_limit_shares(context: RouterContext) -> None:
     """Update this router's share of each advertised rate limit."""
     now = context.clock()
-    for target in context.targets.in_need():
+    for target in context.targets.flow_controlled():
         _update_limit_share(context, target, now)
 
 
 def _update_limit_share(context: RouterContext, target: Target, now: float) -> None:
-    limit = target.needs.limit
+    limit = target.flow_control.limit
     if limit.per_s is not None:
-        senders = most_senders(limit.per_s)
-        share = context.peers.part_of(target.entry.life_id, senders, now)
+        senders = max_senders(limit.per_s)
+        share = context.peers.rate_share(target.entry.incarnation_id, senders, now)
         limit.set_share(share, now)
 
 
 def _on_needs_changed(
-    context: RouterContext, target: Target, changed: list[Need], *, source: str
+    context: RouterContext,
+    target: Target,
+    changed: list[FlowControlSignal],
+    *,
+    source: str,
 ) -> None:
     if not changed:
         return
-    context.targets.note_in_need(target)
-    needs, now = target.needs, context.clock()
+    context.targets.note_flow_controlled(target)
+    flow_control, now = target.flow_control, context.clock()
     _update_limit_share(context, target, now)
-    rest_s = needs.rest.until - now if needs.rest.is_on(now) else 0.0
+    rest_s = (
+        flow_control.backoff.until - now if flow_control.backoff.is_on(now) else 0.0
+    )
     context.log.process(
         "target-needs",
         target=target.entry.target_id,
         changed=changed,
         told_by=source,
-        limit_per_s=needs.limit.per_s,
-        limit_share=round(needs.limit.share, 3),
+        limit_per_s=flow_control.limit.per_s,
+        limit_share=round(flow_control.limit.share, 3),
         rest_ms=max(0, round(rest_s * 1000)),
-        is_leaving=needs.is_leaving,
+        is_leaving=flow_control.is_leaving,
     )
--- a/libs/direct/src/berylwalk/direct/_membership.py
+++ b/libs/direct/src/berylwalk/direct/_membership.py
@@ -131,7 +131,7 @@
             # A stale list may be older than the previous one.
             if self._state.apply_listing(listing):
                 self._apply(self._state.items)
-            is_alone = self._context.peers.known() == 1
+            is_alone = self._context.peers.known_count() == 1
             interval_s = (
                 FIRST_LIST_INTERVAL_S if is_first and is_alone else LIST_INTERVAL_S
             )
@@ -158,4 +158,4 @@
         after = set(self._context.peers.by_name)
         if before != after:
             self._context.log.process("members", routers=sorted(after))
-        self._context.retries.set_routers(self._context.peers.known())
+        self._context.retries.set_routers(self._context.peers.known_count())
--- a/libs/direct/src/berylwalk/direct/_peering.py
+++ b/libs/direct/src/berylwalk/direct/_peering.py
@@ -33,7 +33,13 @@
 from berylwalk.direct._shared_reads import SharedReads
 from berylwalk.direct._signals_aggregate import SignalsAggregate
 from berylwalk.direct._store_health import StoreHealth
-from berylwalk.dispatch import PEERS_OF_ONE_MESH, Knowledge, Peer, Read, Target
+from berylwalk.dispatch import (
+    MAX_FULL_MESH_PEERS,
+    HistoryCoverage,
+    Peer,
+    PrefixPlacement,
+    Target,
+)
 from berylwalk.platform import KeyValueClient
 from berylwalk.quarantine import QuarantineUpdate
 from berylwalk.reading import StoreSyncReply, StoreSyncRequest
@@ -93,7 +99,9 @@
         self._last_sent: tuple[object, ...] | None = None
         self._last_sent_at = float("-inf")
         self._updates_by_name: dict[str, RouterUpdate] = {}
-        self._prefixes_to_relay: deque[Read] = deque(maxlen=MAX_RELAYED_PREFIXES)
+        self._prefixes_to_relay: deque[PrefixPlacement] = deque(
+            maxlen=MAX_RELAYED_PREFIXES
+        )
         self._signals_aggregate = SignalsAggregate()
         self._pending_placements: Loads = {}
         self._send_requested = Event()
@@ -148,12 +156,12 @@
         With many routers and few free slots, each router would otherwise claim a freed
         slot before it learns of the placements of the others.
         """
-        if not 0 < len(self._context.peers.near()) <= MAX_IMMEDIATE_PEERS:
+        if not 0 < len(self._context.peers.direct_peers()) <= MAX_IMMEDIATE_PEERS:
             return
         if not self._pending_placements:
             get_running_loop().call_later(PLACEMENT_BATCH_S, self._send_placements)
         load = (target.in_flight, target.waiting_tokens)
-        self._pending_placements[target.entry.life_id] = load
+        self._pending_placements[target.entry.incarnation_id] = load
 
     def _send_placements(self) -> None:
         if self._transport is None or self._transport.is_closing():
@@ -164,11 +172,13 @@
             name, self._life, self._sequence, self._pending_placements
         )
         self._pending_placements = {}
-        self._send(msgpack.encode(message), self._context.peers.near())
+        self._send(msgpack.encode(message), self._context.peers.direct_peers())
 
     async def _send_loop(self) -> None:
         while True:
-            with move_on_after(send_interval_s(len(self._context.peers.near()))):
+            with move_on_after(
+                send_interval_s(len(self._context.peers.direct_peers()))
+            ):
                 await self._send_requested.wait()
             self._send_requested = Event()
             self._apply_peer_liveness()
@@ -176,18 +186,18 @@
 
     async def _relay_loop(self) -> None:
         while True:
-            await sleep(relay_interval_s(len(self._context.peers.near())))
+            await sleep(relay_interval_s(len(self._context.peers.direct_peers())))
             peers, now = self._context.peers, self._context.clock()
-            far_domains = peers.far_domains()
-            if far_domains and peers.is_relay(now):
-                self._send_to_domains(far_domains, now)
+            relayed_domains = peers.relayed_domains()
+            if relayed_domains and peers.is_relay(now):
+                self._send_to_domains(relayed_domains, now)
             else:
                 self._prefixes_to_relay.clear()
                 self._context.quarantine.relay_outbox.clear()
 
-    def _send_to_domains(self, far_domains: set[str], now: float) -> None:
+    def _send_to_domains(self, relayed_domains: set[str], now: float) -> None:
         data = msgpack.encode(self._domain_message(now))
-        for failure_domain in sorted(far_domains):
+        for failure_domain in sorted(relayed_domains):
             receiver = self._context.peers.relay_of(failure_domain, now)
             if receiver is not None:
                 self._send(data, [receiver])
@@ -196,34 +206,36 @@
         """Redistribute the quota of silent peers and drop their loads."""
         context = self._context
         peers, now = context.peers, context.clock()
-        context.allowances.set_share(peers.heard(now), peers.known())
-        context.dispatcher.set_relayed(bool(peers.far_domains()))
+        context.quotas.set_share(peers.alive_count(now), peers.known_count())
+        context.dispatcher.set_relayed(bool(peers.relayed_domains()))
         update_limit_shares(context)
         counted = self._counted_sources(now)
-        for source in context.targets.sources_of_loads():
+        for source in context.targets.peers_with_loads():
             if source not in counted:
                 # Their requests in flight have finished by now or are unknown.
-                context.targets.hear_loads(source, {})
+                context.targets.replace_peer_loads(source, {})
 
     def _counted_sources(self, now: float) -> set[str]:
         """Return the sources whose loads count: direct peers and remote domains."""
         peers = self._context.peers
-        heard = [peer for peer in peers.by_name.values() if peers.is_heard(peer, now)]
-        near = {peer.name for peer in heard if peers.is_near(peer)}
+        alive_peers = [
+            peer for peer in peers.by_name.values() if peers.is_alive(peer, now)
+        ]
+        direct_peers = {peer.name for peer in alive_peers if peers.is_direct(peer)}
         far = {
             DOMAIN_SOURCE + peer.failure_domain
-            for peer in heard
-            if not peers.is_near(peer)
+            for peer in alive_peers
+            if not peers.is_direct(peer)
         }
-        return near | far
+        return direct_peers | far
 
     def _send_if_due(self) -> None:
         context = self._context
         loads = context.targets.own_loads()
-        spent = context.allowances.spent_by_account()
+        spent = context.quotas.spent_by_account()
         now = context.clock()
         history_from = self._history_source(now)
-        reads = context.dispatcher.prefix_reads.take_news()
+        reads = context.dispatcher.prefix_cache_index.take_updates()
         self._prefixes_to_relay.extend(reads)
         quarantine = context.quarantine.next_update(
             context.quarantine.direct_outbox, context.clock()
@@ -249,14 +261,14 @@
             quarantine=quarantine,
             signals=signals,
         )
-        self._send(msgpack.encode(message), context.peers.near())
+        self._send(msgpack.encode(message), context.peers.direct_peers())
 
     def _own_update(self, now: float) -> RouterUpdate:
         context = self._context
         settings = context.settings
         self._sequence += 1
-        spent = context.allowances.spent_by_account()
-        demand = context.allowances.urgent_demand.totals()
+        spent = context.quotas.spent_by_account()
+        demand = context.quotas.urgent_demand.totals()
         return RouterUpdate(
             settings.name,
             settings.caller_address.host,
@@ -274,16 +286,18 @@
     def _domain_message(self, now: float) -> DomainMessage:
         context = self._context
         peers = context.peers
-        heard = [peer.name for peer in peers.near() if peers.is_heard(peer, now)]
+        alive_peers = [
+            peer.name for peer in peers.direct_peers() if peers.is_alive(peer, now)
+        ]
         updates = [
             self._updates_by_name[name]
-            for name in heard
+            for name in alive_peers
             if name in self._updates_by_name
         ]
         return DomainMessage(
             context.settings.failure_domain,
             [self._own_update(now), *updates],
-            context.targets.loads_with(heard),
+            context.targets.total_loads(alive_peers),
             reads=self._take_prefixes_to_relay(),
             quarantine=context.quarantine.next_update(
                 context.quarantine.relay_outbox, context.clock()
@@ -291,7 +305,7 @@
             signals=self._signals_aggregate.merge(own_signals(context), now),
         )
 
-    def _take_prefixes_to_relay(self) -> list[Read]:
+    def _take_prefixes_to_relay(self) -> list[PrefixPlacement]:
         reads = list(self._prefixes_to_relay)
         self._prefixes_to_relay.clear()
         return reads
@@ -309,11 +323,13 @@
         lost.
         """
         context = self._context
-        if context.allowances.knows_window(now):
+        if context.quotas.has_full_window(now):
             return None
         peers = context.peers
-        heard = [peer.name for peer in peers.near() if peers.is_heard(peer, now)]
-        return choice(heard) if heard else None
+        alive_peers = [
+            peer.name for peer in peers.direct_peers() if peers.is_alive(peer, now)
+        ]
+        return choice(alive_peers) if alive_peers else None
 
     def _send_history(self, receiver: Peer, now: float) -> None:
         """Send the spending history to a router that asked for it, if complete here.
@@ -321,12 +337,12 @@
         It takes kilobytes, so it is sent to that router only.
         """
         context = self._context
-        if not context.allowances.knows_window(now):
+        if not context.quotas.has_full_window(now):
             return
         message = PeerMessage(
             self._own_update(now),
             context.targets.own_loads(),
-            spending_history=context.allowances.spent_by_bin(now),
+            spending_history=context.quotas.spent_by_bin(now),
         )
         self._send(msgpack.encode(message), [receiver])
 
@@ -354,31 +370,35 @@
                 self._receive_peer_message(message, now)
             case DomainMessage():
                 self._receive_domain_message(message, now)
-        self._context.dispatcher.pump_all(now)
+        self._context.dispatcher.dispatch_all_queued(now)
 
     def _receive_peer_message(self, message: PeerMessage, now: float) -> None:
         context = self._context
         sender = message.update.to_peer()
         if not self._receive_update(message.update, now):
             return
-        if context.peers.is_near(sender):
-            context.targets.hear_loads(sender.name, message.loads)
-            context.dispatcher.prefix_reads.hear(message.reads)
+        if context.peers.is_direct(sender):
+            context.targets.replace_peer_loads(sender.name, message.loads)
+            context.dispatcher.prefix_cache_index.merge(message.reads)
             self._prefixes_to_relay.extend(message.reads)
-            self._merge_quarantine(message.quarantine, is_near=True)
+            self._merge_quarantine(message.quarantine, is_direct=True)
             merge_signals(context, message.signals, sender.name)
-            self._signals_aggregate.note(sender.name, message.signals, now)
+            self._signals_aggregate.record(sender.name, message.signals, now)
         if message.history_from == context.settings.name:
             self._send_history(sender, now)
         if message.spending_history is not None:
-            context.allowances.learn(message.spending_history, Knowledge.ALL, now)
+            context.quotas.restore(
+                message.spending_history, HistoryCoverage.COMPLETE, now
+            )
 
     def _receive_loads(self, message: LoadMessage, now: float) -> None:
         context, name = self._context, message.name
-        if not context.peers.hear_again(name, message.life, message.sequence, now):
+        if not context.peers.record_heartbeat(
+            name, message.life, message.sequence, now
+        ):
             return
-        if context.peers.is_near(context.peers.by_name[name]):
-            context.targets.hear_some_loads(name, message.loads)
+        if context.peers.is_direct(context.peers.by_name[name]):
+            context.targets.update_peer_loads(name, message.loads)
 
     def _receive_domain_message(self, message: DomainMessage, now: float) -> None:
         context = self._context
@@ -387,43 +407,43 @@
         for update in message.routers:
             if update.name != context.settings.name:
                 self._receive_update(update, now)
-        if message.failure_domain in context.peers.far_domains():
+        if message.failure_domain in context.peers.relayed_domains():
             source = DOMAIN_SOURCE + message.failure_domain
-            context.targets.hear_loads(source, message.loads)
-        context.dispatcher.prefix_reads.hear(message.reads)
-        self._merge_quarantine(message.quarantine, is_near=False)
+            context.targets.replace_peer_loads(source, message.loads)
+        context.dispatcher.prefix_cache_index.merge(message.reads)
+        self._merge_quarantine(message.quarantine, is_direct=False)
         merge_signals(context, message.signals, message.failure_domain)
         if not message.is_forwarded:
             data = msgpack.encode(replace(message, is_forwarded=True))
-            self._send(data, context.peers.near())
+            self._send(data, context.peers.direct_peers())
 
     def _receive_update(self, update: RouterUpdate, now: float) -> bool:
         """Apply an update about a router; return False if it is outdated."""
         peer = update.to_peer()
-        if not self._context.peers.hear(peer, now):
+        if not self._context.peers.record_message(peer, now):
             return False
         self._updates_by_name[update.name] = update
         self._store_health.update_peer_health(update.store_healthy_s)
-        self._context.allowances.hear(
+        self._context.quotas.record_peer_totals(
             incarnation_of(peer),
             update.spent,
             is_new=update.age_s < now - self._started_at,
             now=now,
         )
-        self._context.allowances.urgent_demand.hear(
+        self._context.quotas.urgent_demand.record_peer_totals(
             incarnation_of(peer), update.demand, now
         )
         self._context.rollouts.merge(incarnation_of(peer), update.rollouts, now)
         return True
 
-    def _merge_quarantine(self, update: QuarantineUpdate, *, is_near: bool) -> None:
+    def _merge_quarantine(self, update: QuarantineUpdate, *, is_direct: bool) -> None:
         context = self._context
-        context.quarantine.merge(update, context.clock(), is_direct=is_near)
+        context.quarantine.merge(update, context.clock(), is_direct=is_direct)
 
     def _forget(self, peer: Peer) -> None:
         """Remove the state of a peer process that has ended."""
-        self._context.targets.hear_loads(peer.name, {})
-        self._context.allowances.forget(incarnation_of(peer))
+        self._context.targets.replace_peer_loads(peer.name, {})
+        self._context.quotas.forget_peer(incarnation_of(peer))
         self._updates_by_name.pop(peer.name, None)
 
 
@@ -445,9 +465,9 @@
 
 
 def _scaled_interval_s(shortest_s: float, peers: int) -> float:
-    return min(shortest_s * max(1.0, peers / PEERS_OF_ONE_MESH), MAX_SEND_INTERVAL_S)
+    return min(shortest_s * max(1.0, peers / MAX_FULL_MESH_PEERS), MAX_SEND_INTERVAL_S)
 
 
 def incarnation_of(peer: Peer) -> str:
     """Return the id of one process lifetime of a router."""
-    return f"{peer.name}/{peer.life}"
+    return f"{peer.name}/{peer.incarnation}"
--- a/libs/direct/src/berylwalk/direct/_shared_reads.py
+++ b/libs/direct/src/berylwalk/direct/_shared_reads.py
@@ -83,12 +83,12 @@
     def serves_peers(self) -> bool:
         """Return whether other routers rely on the data of this one."""
         peers = self._context.peers
-        is_shared = bool(peers.far_domains())
+        is_shared = bool(peers.relayed_domains())
         return is_shared and peers.is_relay(self._context.clock())
 
     def follows_peers(self) -> bool:
         """Return whether this router uses the data of peers instead of store calls."""
-        if not self._context.peers.far_domains():
+        if not self._context.peers.relayed_domains():
             return False
         return not self.serves_peers() and self._store_health.accepts_peer_data()
 
@@ -130,26 +130,26 @@
 
     def _peers_to_query(self) -> list[Peer]:
         peers, now = self._context.peers, self._context.clock()
-        far_domains = sorted(peers.far_domains())
-        if not far_domains or not self._store_health.accepts_peer_data():
+        relayed_domains = sorted(peers.relayed_domains())
+        if not relayed_domains or not self._store_health.accepts_peer_data():
             return []
         self._pending.retain(set(peers.by_name))
-        reader = None if peers.is_relay(now) else peers.first_near(now)
+        reader = None if peers.is_relay(now) else peers.first_direct_peer(now)
         queried = [] if reader is None else [reader]
         reader_responds = reader is not None and not self._pending.has_unanswered(
             reader.name
         )
         if not reader_responds and not self._is_fresh():
-            queried += self._remote_reader(far_domains, now)
+            queried += self._remote_reader(relayed_domains, now)
         return queried
 
     def _is_fresh(self) -> bool:
         return all(mirror.is_fresh for mirror in self._mirrors_by_name.values())
 
-    def _remote_reader(self, far_domains: list[str], now: float) -> list[Peer]:
+    def _remote_reader(self, relayed_domains: list[str], now: float) -> list[Peer]:
         """Return the reader of another failure domain; a different domain each time."""
-        index = next(self._remote_domain_index) % len(far_domains)
-        reader = self._context.peers.relay_of(far_domains[index], now)
+        index = next(self._remote_domain_index) % len(relayed_domains)
+        reader = self._context.peers.relay_of(relayed_domains[index], now)
         return [] if reader is None else [reader]
 
     def _send_query(self, peer: Peer) -> None:
--- a/libs/direct/src/berylwalk/direct/_signals_aggregate.py
+++ b/libs/direct/src/berylwalk/direct/_signals_aggregate.py
@@ -7,7 +7,7 @@
     SignalsUpdate,
     rotate,
 )
-from berylwalk.dispatch import NEWS_KEPT_S
+from berylwalk.dispatch import UPDATE_TTL_S
 
 
 class SignalsAggregate:
@@ -16,7 +16,7 @@
     def __init__(self) -> None:
         self._received_by_router: dict[str, tuple[float, list[SignalsUpdate]]] = {}
 
-    def note(self, router: str, updates: list[SignalsUpdate], now: float) -> None:
+    def record(self, router: str, updates: list[SignalsUpdate], now: float) -> None:
         """Replace the signals received from a direct peer."""
         if updates:
             self._received_by_router[router] = (now, updates)
@@ -25,23 +25,25 @@
 
     def merge(self, own: list[SignalsUpdate], now: float) -> list[SignalsUpdate]:
         """Return the signals of each target, with the newest limit and its age."""
-        merge = {each.life_id: each for each in own}
+        merged = {each.incarnation_id: each for each in own}
         for router, (heard_at, updates) in list(self._received_by_router.items()):
-            if now - heard_at > NEWS_KEPT_S:
+            if now - heard_at > UPDATE_TTL_S:
                 del self._received_by_router[router]
                 continue
             for each in updates:
                 aged = _with_added_age(each, now - heard_at)
-                known = merge.get(each.life_id)
-                merge[each.life_id] = aged if known is None else _merge(known, aged)
-        return rotate(list(merge.values()), MAX_SIGNALS_PER_RELAY_MESSAGE, now)
+                known = merged.get(each.incarnation_id)
+                merged[each.incarnation_id] = (
+                    aged if known is None else _merge(known, aged)
+                )
+        return rotate(list(merged.values()), MAX_SIGNALS_PER_RELAY_MESSAGE, now)
 
 
 def _with_added_age(update: SignalsUpdate, by_s: float) -> SignalsUpdate:
     if update.limit_age_s is None:
         return update
     age_s = update.limit_age_s + by_s
-    if age_s > NEWS_KEPT_S:
+    if age_s > UPDATE_TTL_S:
         return replace(update, limit_age_s=None, limit_per_s=None)
     return replace(update, limit_age_s=age_s)
 
--- a/libs/rollout/src/berylwalk/rollout/_evidence.py
+++ b/libs/rollout/src/berylwalk/rollout/_evidence.py
@@ -180,10 +180,10 @@
             sums.old[row] = sums.old.get(row, Tally()).max_with(tally)
         return sum(tally.bad for tally in sums.new.values()) > bad_before
 
-    def record_crash(self, router: str, life_id: str, *, is_new: bool) -> None:
+    def record_crash(self, router: str, incarnation_id: str, *, is_new: bool) -> None:
         """Count that a target ended while it ran a request."""
         sums = self._of(router)
-        (sums.crashed_new if is_new else sums.crashed_old).add(life_id)
+        (sums.crashed_new if is_new else sums.crashed_old).add(incarnation_id)
 
     def merge_crashes(self, router: str, new: Iterable[str], old: int) -> bool:
         """Take which ends of targets a router saw; returns whether any is news."""
