--- a/libs/direct/src/berylwalk/direct/_admission.py
+++ b/libs/direct/src/berylwalk/direct/_admission.py
@@ -37,7 +37,7 @@
         The service that it is sent to.
     cost : float
         Its cost in quota units of the account.
-    ends_at : float
+    deadline : float
         Deadline of the response, on the router's clock.
     identity : bytes
         Digest that the request shares with its repetitions.
@@ -54,7 +54,7 @@
     rank: tuple[int, int]
     service: str
     cost: float
-    ends_at: float
+    deadline: float
     identity: Identity
     is_trial: bool = False
     charge: "Charge | None" = None
@@ -186,7 +186,7 @@
         rank=access.rank,
         service=route.service_for(random()),
         cost=_cost(access.account, parsed_headers),
-        ends_at=request.arrived_at + limit_s,
+        deadline=request.arrived_at + limit_s,
         identity=request_identity(
             None if access.account is None else access.account.name,
             request.method,
--- a/libs/direct/src/berylwalk/direct/_attempt.py
+++ b/libs/direct/src/berylwalk/direct/_attempt.py
@@ -75,7 +75,7 @@
         self._body_bytes = 0
         self.status = 0
         self.headers: Headers = []
-        self.statement = NO_SIGNALS
+        self.signals = NO_SIGNALS
         self.done = Signal()
         self.end: AttemptEnd | None = None
         self.detail = ""
@@ -100,12 +100,12 @@
         """Handle the status and headers."""
         self.status = status
         self.headers = headers
-        self.statement = parse_target_headers(status, headers)
-        self._on_signals(self.statement, status)
+        self.signals = parse_target_headers(status, headers)
+        self._on_signals(self.signals, status)
         content_type = header_value(headers, b"content-type") or b""
         if self._expects_stream and status == 200 and EVENT_STREAM in content_type:
             if header_value(headers, REQUEST_ID_HEADER) != self._request_id:
-                self._finish(AttemptEnd.BROKEN, "the answer names no request")
+                self._finish(AttemptEnd.BROKEN, "response does not echo the request id")
                 return
             self._splitter = EventSplitter()
 
@@ -117,7 +117,7 @@
             self._body.append(data)
             self._body_bytes += len(data)
             if self._body_bytes > MAX_BUFFERED_BYTES:
-                self._finish(AttemptEnd.BROKEN, "the answer is too long")
+                self._finish(AttemptEnd.BROKEN, "response exceeds the buffer limit")
             return
         try:
             events = self._splitter.feed(data)
@@ -155,7 +155,7 @@
             self._finish(AttemptEnd.BROKEN, f"{end}: {detail}")
         elif self._splitter is not None:
             if self._splitter.has_partial_event:
-                self._finish(AttemptEnd.BROKEN, "the last event is not whole")
+                self._finish(AttemptEnd.BROKEN, "stream ends with a partial event")
             else:
                 if self.last_event_at is not None:
                     self._report_output(self.last_event_at)
@@ -198,7 +198,7 @@
             return AttemptEnd.FAILED, f"status {self.status}"
         named = header_value(self.headers, REQUEST_ID_HEADER)
         if self.status < 300 and named != self._request_id:
-            return AttemptEnd.BROKEN, "the answer names no request"
+            return AttemptEnd.BROKEN, "response does not echo the request id"
         return AttemptEnd.ANSWERED, ""
 
     def _finish(self, end: AttemptEnd, detail: str) -> None:
--- a/libs/direct/src/berylwalk/direct/_attempt_runner.py
+++ b/libs/direct/src/berylwalk/direct/_attempt_runner.py
@@ -84,10 +84,10 @@
                 connection = await context.pool.open(target.entry)
             if connection is None:
                 attempt.abandon(
-                    AttemptEnd.NOT_SENT, "no connection", target_unreachable=True
+                    AttemptEnd.NOT_SENT, "connection failed", target_unreachable=True
                 )
             elif not self._is_still_allowed(target):
-                attempt.abandon(AttemptEnd.NOT_SENT, "no longer allowed")
+                attempt.abandon(AttemptEnd.NOT_SENT, "sending no longer allowed")
             else:
                 await self._transfer(target, connection, attempt)
         finally:
@@ -116,11 +116,11 @@
             tokens = self._tokens_per_event() * events
             target.note_output(tokens, events, elapsed_s)
 
-        def on_signals(statement: TargetSignals, status: int) -> None:
+        def on_signals(signals: TargetSignals, status: int) -> None:
             if status != STATUS_MISDIRECTED_REQUEST:
                 # Status 421 comes from another target process at the same address.
-                self._log.log_signals(self._admitted, target, statement)
-                apply_signals(self._context, target, statement, sent_at)
+                self._log.log_signals(self._admitted, target, signals)
+                apply_signals(self._context, target, signals, sent_at)
                 if status < 500 and status != STATUS_TOO_MANY_REQUESTS:
                     slots = target.entry.slots
                     target.flow_control.backoff.note_accepted(slots, sent_at=sent_at)
@@ -169,7 +169,7 @@
                 connection.pause()
 
         def on_incarnation_ended() -> None:
-            attempt.abort_target_ended("the target started again")
+            attempt.abort_target_ended("target restarted")
 
         self._response_writer.set_on_writable(on_writable)
         connection.send(
@@ -182,23 +182,23 @@
             target.on_incarnation_ended.discard(on_incarnation_ended)
 
     async def _wait_for_end(self, target: Target, attempt: Attempt) -> None:
-        clock, ends_at = self._context.clock, self._admitted.ends_at
+        clock, deadline = self._context.clock, self._admitted.deadline
         sent_at = clock()
         while attempt.end is None:
             self._context.note_suspension()
             now = clock()
-            if now >= ends_at:
+            if now >= deadline:
                 attempt.abandon(AttemptEnd.SILENT, "timeout")
             elif self._seems_unreachable(target, attempt, now):
                 attempt.abandon(
-                    AttemptEnd.SILENT, "target is silent", target_unreachable=True
+                    AttemptEnd.SILENT, "target silent", target_unreachable=True
                 )
             else:
                 if self._version_observer is not None:
                     self._version_observer.check_progress(
                         attempt, self._attempt_feedback.elapsed_s(sent_at)
                     )
-                with move_on_after(min(PROGRESS_CHECK_INTERVAL_S, ends_at - now)):
+                with move_on_after(min(PROGRESS_CHECK_INTERVAL_S, deadline - now)):
                     await attempt.done.wait()
 
     def _encode_request(self, target: Target) -> bytes:
@@ -213,7 +213,7 @@
             headers,
             target_id=target.entry.target_id,
             account=self._admitted.account_name,
-            remaining_s=self._admitted.ends_at - self._context.clock(),
+            remaining_s=self._admitted.deadline - self._context.clock(),
         )
         if request.body or request.method not in (b"GET", b"HEAD"):
             headers.append((b"Content-Length", b"%d" % len(request.body)))
--- a/libs/direct/src/berylwalk/direct/_daemon.py
+++ b/libs/direct/src/berylwalk/direct/_daemon.py
@@ -232,10 +232,10 @@
             "stopping", open_requests=len(self._exchanges_by_connection)
         )
         self._callers.announce_closing()
-        ends_at = now + context.settings.stop_grace_s - KILL_MARGIN_S
+        exit_at = now + context.settings.stop_grace_s - KILL_MARGIN_S
         await sleep(STOP_ACCEPT_S)
         self._callers.close()
-        while context.clock() < ends_at:
+        while context.clock() < exit_at:
             self._callers.close_idle()
             if not self._exchanges_by_connection:
                 break
--- a/libs/direct/src/berylwalk/direct/_exchange.py
+++ b/libs/direct/src/berylwalk/direct/_exchange.py
@@ -134,7 +134,7 @@
             attempts=self._attempts,
             log=log,
         )
-        self._opens_at = float("-inf")
+        self._available_at = float("-inf")
         self.is_finished = False
 
     async def run(self) -> None:
@@ -147,7 +147,7 @@
             return
         context.retries.record_request(admitted.service, context.clock())
         deadlines = deadlines_at_arrival(
-            admitted.request.arrived_at, admitted.route.objective_s, admitted.ends_at
+            admitted.request.arrived_at, admitted.route.objective_s, admitted.deadline
         )
         while True:
             target = await self._acquire_target(deadlines)
@@ -163,7 +163,7 @@
                 self._respond_failure(attempt, reason)
                 return
             self._excluded.add(target.entry.incarnation_id)
-            deadlines = deadlines_after_failure(context.clock(), admitted.ends_at)
+            deadlines = deadlines_after_failure(context.clock(), admitted.deadline)
             self._log.log_retried(
                 admitted, target, attempt, self._response_writer.last_event_id
             )
@@ -171,7 +171,7 @@
     def _reason_not_to_retry(self, attempt: Attempt) -> str:
         """Return the reason not to retry on another target; empty to retry."""
         now = self._context.clock()
-        if now >= self._admitted.ends_at:
+        if now >= self._admitted.deadline:
             return "timeout"
         if not self._attempts.may_repeat(self._admitted.route, attempt.end):
             return f"attempt-{attempt.end}"
@@ -204,7 +204,7 @@
             granted.append(target)
             placed.set()
 
-        pending = self._ticket(deadlines, on_placed)
+        pending = self._pending_request(deadlines, on_placed)
         started_at = context.clock()
         target = self._canary_target(pending, started_at)
         if target is None:
@@ -253,7 +253,7 @@
         """
         context, service = self._context, self._admitted.service
         dispatcher = context.dispatcher
-        self._opens_at = available_at = dispatcher.available_at(pending, now)
+        self._available_at = available_at = dispatcher.available_at(pending, now)
         if available_at > deadlines.wait_until or not dispatcher.has_candidate(
             pending, now
         ):
@@ -279,20 +279,20 @@
             return None
         version = rollouts.progress(service).order.version
         targets = self._context.targets.of_service(service)
-        life_ids = [
+        incarnation_ids = [
             each.entry.incarnation_id
             for each in targets
             if each.entry.version == version
         ]
-        group = rollouts.canary_targets(
-            service, life_ids, len(targets) - len(life_ids), now
+        candidates = rollouts.canary_targets(
+            service, incarnation_ids, len(targets) - len(incarnation_ids), now
         )
-        target = self._context.dispatcher.choose_among(pending, group, now)
+        target = self._context.dispatcher.choose_among(pending, candidates, now)
         if target is None:
             rollouts.refund_canary(service, route)
         return target
 
-    def _ticket(
+    def _pending_request(
         self, deadlines: RequestDeadlines, on_placed: Callable[[Target], None]
     ) -> PendingRequest:
         admitted = self._admitted
@@ -300,7 +300,7 @@
             service=admitted.service,
             rank=admitted.rank,
             work=admitted.parsed_headers.work,
-            deadline=admitted.ends_at,
+            deadline=admitted.deadline,
             start_by=deadlines.start_by,
             longest_pause_s=admitted.route.longest_pause_s,
             on_placed=on_placed,
@@ -359,7 +359,7 @@
                 admitted.identity, self._context.clock()
             )
         return retry_after_s(
-            admitted.ends_at - now, available_in_s=self._opens_at - now
+            admitted.deadline - now, available_in_s=self._available_at - now
         )
 
     def _finish(self, status: int, reason: str) -> None:
--- a/libs/direct/src/berylwalk/direct/_exchange_log.py
+++ b/libs/direct/src/berylwalk/direct/_exchange_log.py
@@ -92,23 +92,23 @@
                 "longest_pause_ms": _ms(attempt.longest_pause_s),
                 "events": attempt.events,
                 "took_ms": _ms(self.context.clock() - sent_at),
-                **_signal_fields(attempt.statement),
+                **_signal_fields(attempt.signals),
             }
         )
 
     def log_signals(
-        self, admitted: Admitted, target: Target, statement: TargetSignals
+        self, admitted: Admitted, target: Target, signals: TargetSignals
     ) -> None:
         """Log the signals of a target if they have changed."""
-        if statement == target.last_signals:
+        if signals == target.last_signals:
             return
-        target.last_signals = statement
+        target.last_signals = signals
         self.context.metrics.target_signals.labels(admitted.service).inc()
         self.context.log.request(
             "target-statement",
             admitted.request_id,
             target=target.entry.target_id,
-            **_signal_fields(statement),
+            **_signal_fields(signals),
         )
 
     def log_retried(
@@ -198,7 +198,7 @@
             **_charge_fields(admitted.charge),
             objective_ms=_ms(admitted.route.objective_s),
             longest_pause_allowed_ms=_ms(admitted.route.longest_pause_s),
-            limit_ms=_ms(admitted.ends_at - admitted.request.arrived_at),
+            limit_ms=_ms(admitted.deadline - admitted.request.arrived_at),
             waited_ms=_ms(self.waited_s),
             first_event_ms=first_event_ms,
             attempts=self.attempts,
@@ -254,17 +254,17 @@
     }
 
 
-def _signal_fields(statement: TargetSignals) -> dict[str, object]:
+def _signal_fields(signals: TargetSignals) -> dict[str, object]:
     """Return the fields about a target's signals; empty for most responses."""
-    if statement.is_empty:
+    if signals.is_empty:
         return {}
     fields: dict[str, object] = {
-        "limit_per_s": statement.limit_per_s,
-        "is_leaving": statement.is_leaving,
-        "rest_ms": _known_ms(statement.retry_after_s),
+        "limit_per_s": signals.limit_per_s,
+        "is_leaving": signals.is_leaving,
+        "rest_ms": _known_ms(signals.retry_after_s),
     }
-    if statement.problem:
-        fields["statement_problem"] = statement.problem
+    if signals.problem:
+        fields["statement_problem"] = signals.problem
     return fields
 
 
--- a/libs/direct/src/berylwalk/direct/_flow_control.py
+++ b/libs/direct/src/berylwalk/direct/_flow_control.py
@@ -32,7 +32,7 @@
 
     Parameters
     ----------
-    life_id : str
+    incarnation_id : str
         Incarnation id of the target.
     limit_age_s : float or None
         Age of the last signal about a rate limit, in seconds; None if there was none.
@@ -55,12 +55,12 @@
 
 
 def apply_signals(
-    context: RouterContext, target: Target, statement: TargetSignals, sent_at: float
+    context: RouterContext, target: Target, signals: TargetSignals, sent_at: float
 ) -> None:
     """Apply the signals of a response; other routers are notified of changes."""
     now = context.clock()
-    changed = target.flow_control.note_answer(statement, sent_at=sent_at, now=now)
-    _on_needs_changed(context, target, changed, source="target")
+    changed = target.flow_control.note_answer(signals, sent_at=sent_at, now=now)
+    _on_signals_changed(context, target, changed, source="target")
     if FlowControlSignal.LIMIT in changed or FlowControlSignal.LEAVING in changed:
         context.on_signals_changed()
 
@@ -74,23 +74,23 @@
         target = context.targets.by_incarnation_id.get(each.incarnation_id)
         if target is None:
             continue
-        heard = FlowControlUpdate(
+        update = FlowControlUpdate(
             limit_per_s=each.limit_per_s,
             limit_age_s=each.limit_age_s,
             is_leaving=each.is_leaving,
         )
-        changed = target.flow_control.apply_update(heard, now)
-        _on_needs_changed(context, target, changed, source=source)
+        changed = target.flow_control.apply_update(update, now)
+        _on_signals_changed(context, target, changed, source=source)
 
 
 def own_signals(context: RouterContext) -> list[SignalsUpdate]:
     """Return the recent signals of own responses, to be sent to other routers."""
     now = context.clock()
-    told = []
+    updates = []
     for target in context.targets.flow_controlled():
         update = target.flow_control.pending_update(now)
         if update is not None:
-            told.append(
+            updates.append(
                 SignalsUpdate(
                     target.entry.incarnation_id,
                     update.limit_age_s,
@@ -98,7 +98,7 @@
                     update.is_leaving,
                 )
             )
-    return rotate(told, MAX_SIGNALS_PER_MESSAGE, now)
+    return rotate(updates, MAX_SIGNALS_PER_MESSAGE, now)
 
 
 def rotate(updates: list[SignalsUpdate], most: int, now: float) -> list[SignalsUpdate]:
@@ -124,7 +124,7 @@
         limit.set_share(share, now)
 
 
-def _on_needs_changed(
+def _on_signals_changed(
     context: RouterContext,
     target: Target,
     changed: list[FlowControlSignal],
--- a/libs/direct/src/berylwalk/direct/_gauges.py
+++ b/libs/direct/src/berylwalk/direct/_gauges.py
@@ -27,7 +27,7 @@
         metrics.target_errors.labels(target_id).set(target.error_rate)
         heard_s = min(now - target.last_heard_at, MAX_AGE_S)
         metrics.target_heard_age_s.labels(target_id).set(heard_s)
-        _refresh_needs(context, target, now)
+        _refresh_flow_control(context, target, now)
     for name, spent in context.quotas.spent_in_window(now).items():
         metrics.allowance_spent.labels(name).set(spent)
     quarantine = context.quarantine
@@ -40,18 +40,20 @@
     metrics.log_lines_dropped.set(context.log.dropped)
 
 
-def _refresh_needs(context: RouterContext, target: Target, now: float) -> None:
-    metrics, needs, target_id = (
+def _refresh_flow_control(context: RouterContext, target: Target, now: float) -> None:
+    metrics, flow_control, target_id = (
         context.metrics,
         target.flow_control,
         target.entry.target_id,
     )
-    limit = needs.limit
+    limit = flow_control.limit
     limit_per_s = NO_LIMIT if limit.per_s is None else limit.per_s
     metrics.target_limit_per_s.labels(target_id).set(limit_per_s)
     metrics.target_limit_share.labels(target_id).set(limit.share)
-    metrics.target_rest_s.labels(target_id).set(max(0.0, needs.backoff.until - now))
-    metrics.target_leaving.labels(target_id).set(needs.is_leaving)
+    metrics.target_rest_s.labels(target_id).set(
+        max(0.0, flow_control.backoff.until - now)
+    )
+    metrics.target_leaving.labels(target_id).set(flow_control.is_leaving)
 
 
 def _refresh_rollouts(context: RouterContext) -> None:
--- a/libs/direct/src/berylwalk/direct/_membership.py
+++ b/libs/direct/src/berylwalk/direct/_membership.py
@@ -35,7 +35,7 @@
         Client of the platform's store.
     store_health : StoreHealth
         Tracks the results of store calls.
-    life : str
+    incarnation : str
         Id of this process lifetime.
     on_ended : callable
         Called with each peer whose process has ended.
@@ -47,13 +47,13 @@
         store: KeyValueClient,
         store_health: StoreHealth,
         *,
-        life: str,
+        incarnation: str,
         on_ended: Callable[[Peer], None],
     ) -> None:
         self._context = context
         self._store = store
         self._store_health = store_health
-        self._life = life
+        self._incarnation = incarnation
         self._on_ended = on_ended
         self._lease_id: int | None = None
         self._state = PrefixState()
@@ -101,7 +101,7 @@
         entry = MemberEntry(
             settings.caller_address.host,
             settings.peer_port,
-            self._life,
+            self._incarnation,
             settings.failure_domain,
         )
         key = MEMBERS_PREFIX + settings.name.encode()
@@ -116,12 +116,12 @@
         return True
 
     async def _list(self) -> None:
-        is_first = True
+        is_first_list = True
         failures = 0
         while True:
             listing = await self._store_health.track(
                 "list-members",
-                self._store.list_prefix(MEMBERS_PREFIX, stale_ok=not is_first),
+                self._store.list_prefix(MEMBERS_PREFIX, stale_ok=not is_first_list),
             )
             if isinstance(listing, Unavailable):
                 failures += 1
@@ -133,9 +133,9 @@
                 self._apply(self._state.items)
             is_alone = self._context.peers.known_count() == 1
             interval_s = (
-                FIRST_LIST_INTERVAL_S if is_first and is_alone else LIST_INTERVAL_S
+                FIRST_LIST_INTERVAL_S if is_first_list and is_alone else LIST_INTERVAL_S
             )
-            is_first = is_alone
+            is_first_list = is_alone
             await sleep(interval_s)
 
     def _apply(self, items: list[KeyValue]) -> None:
--- a/libs/direct/src/berylwalk/direct/_mirrored_prefix.py
+++ b/libs/direct/src/berylwalk/direct/_mirrored_prefix.py
@@ -217,16 +217,16 @@
         """
         if not self._is_listed:
             return False
-        news = self._state.apply_delta(delta, requested_at)
-        if news is None:
+        new_events = self._state.apply_delta(delta, requested_at)
+        if new_events is None:
             self._list_requested.set()
             return False
-        self._publish(news)
+        self._publish(new_events)
         return True
 
-    def _publish(self, news: list[WatchEvent]) -> None:
-        if news:
-            self._on_changes(news, self._state.known_at)
+    def _publish(self, new_events: list[WatchEvent]) -> None:
+        if new_events:
+            self._on_changes(new_events, self._state.known_at)
         else:
             self._on_known(self._state.items, self._state.known_at)
 
@@ -312,9 +312,9 @@
             # A response without changes was held for the whole time.
             is_unchanged = not changes.events and not changes.unreadable
             known_at = requested_at + (held_s if is_unchanged else 0.0)
-            news = self._state.apply_changes(changes, known_at=known_at)
-            self._publish(news)
-            batched_s = rules.batch_s if news else 0.0
+            new_events = self._state.apply_changes(changes, known_at=known_at)
+            self._publish(new_events)
+            batched_s = rules.batch_s if new_events else 0.0
             if batched_s:
                 await sleep(batched_s)
 
--- a/libs/direct/src/berylwalk/direct/_peer_messages.py
+++ b/libs/direct/src/berylwalk/direct/_peer_messages.py
@@ -13,7 +13,7 @@
 Loads = dict[str, tuple[int, int]]
 """Requests in flight and waiting prompt tokens, by incarnation id of the target."""
 
-Reads = list[tuple[int, str]]
+PrefixPlacements = list[tuple[int, str]]
 """Hashes of prompt prefixes with the target incarnations they were sent to."""
 
 
@@ -33,7 +33,7 @@
     ----------
     name, host, port : str, str, int
         Name of the router and address for messages.
-    life : str
+    incarnation : str
         Id of the process lifetime.
     failure_domain : str
         Failure domain of its VM.
@@ -54,7 +54,7 @@
     name: str
     host: str
     port: int
-    life: str
+    incarnation: str
     failure_domain: str
     age_s: float
     sequence: int
@@ -69,7 +69,7 @@
             self.name,
             self.host,
             self.port,
-            self.life,
+            self.incarnation,
             self.failure_domain,
             sequence=self.sequence,
         )
@@ -89,7 +89,7 @@
     spending_history : dict or None
         Units spent by all routers in the window, by account and time bin; the
         response to a router that asked for it.
-    reads : list of (int, str)
+    placements : list of (int, str)
         Prefix placements since the previous message.
     quarantine : QuarantineUpdate
         Changes in the quarantine.
@@ -101,7 +101,7 @@
     loads: Loads
     history_from: str | None = None
     spending_history: dict[str, list[float]] | None = None
-    reads: Reads = field(default_factory=list)
+    placements: PrefixPlacements = field(default_factory=list)
     quarantine: QuarantineUpdate = field(default_factory=QuarantineUpdate)
     signals: list[SignalsUpdate] = field(default_factory=list)
 
@@ -119,7 +119,7 @@
         Their total loads at targets.
     is_forwarded : bool
         Whether the receiving relay has forwarded it within its own domain.
-    reads : list of (int, str)
+    placements : list of (int, str)
         Their prefix placements since the relay's previous message.
     quarantine : QuarantineUpdate
         Changes in the quarantine.
@@ -131,7 +131,7 @@
     routers: list[RouterUpdate]
     loads: Loads
     is_forwarded: bool = False
-    reads: Reads = field(default_factory=list)
+    placements: PrefixPlacements = field(default_factory=list)
     quarantine: QuarantineUpdate = field(default_factory=QuarantineUpdate)
     signals: list[SignalsUpdate] = field(default_factory=list)
 
@@ -141,7 +141,7 @@
 
     Parameters
     ----------
-    name, life : str, str
+    name, incarnation : str, str
         Name and process lifetime of the sender, known from its regular messages.
     sequence : int
         Increases with each message of a process, regular ones included.
@@ -150,7 +150,7 @@
     """
 
     name: str
-    life: str
+    incarnation: str
     sequence: int
     loads: Loads
 
--- a/libs/direct/src/berylwalk/direct/_peering.py
+++ b/libs/direct/src/berylwalk/direct/_peering.py
@@ -89,9 +89,13 @@
         self._context = context
         self._store_health = store_health
         self.shared_reads = SharedReads(context, store_health, self._send)
-        self._life = uuid4().hex[:8]
+        self._incarnation = uuid4().hex[:8]
         self._membership = Membership(
-            context, store, store_health, life=self._life, on_ended=self._forget
+            context,
+            store,
+            store_health,
+            incarnation=self._incarnation,
+            on_ended=self._forget,
         )
         self._started_at = context.clock()
         self._sequence = 0
@@ -169,7 +173,7 @@
         self._sequence += 1
         name = self._context.settings.name
         message = LoadMessage(
-            name, self._life, self._sequence, self._pending_placements
+            name, self._incarnation, self._sequence, self._pending_placements
         )
         self._pending_placements = {}
         self._send(msgpack.encode(message), self._context.peers.direct_peers())
@@ -222,12 +226,12 @@
             peer for peer in peers.by_name.values() if peers.is_alive(peer, now)
         ]
         direct_peers = {peer.name for peer in alive_peers if peers.is_direct(peer)}
-        far = {
+        remote_domains = {
             DOMAIN_SOURCE + peer.failure_domain
             for peer in alive_peers
             if not peers.is_direct(peer)
         }
-        return direct_peers | far
+        return direct_peers | remote_domains
 
     def _send_if_due(self) -> None:
         context = self._context
@@ -235,8 +239,8 @@
         spent = context.quotas.spent_by_account()
         now = context.clock()
         history_from = self._history_source(now)
-        reads = context.dispatcher.prefix_cache_index.take_updates()
-        self._prefixes_to_relay.extend(reads)
+        placements = context.dispatcher.prefix_cache_index.take_updates()
+        self._prefixes_to_relay.extend(placements)
         quarantine = context.quarantine.next_update(
             context.quarantine.direct_outbox, context.clock()
         )
@@ -244,7 +248,9 @@
         signals = own_signals(context)
         signal_contents = [each.content for each in signals]
         current = (loads, spent, rollouts, signal_contents)
-        is_unchanged = self._last_sent == current and history_from is None and not reads
+        is_unchanged = (
+            self._last_sent == current and history_from is None and not placements
+        )
         if (
             is_unchanged
             and not quarantine
@@ -257,7 +263,7 @@
             self._own_update(now),
             loads,
             history_from,
-            reads=reads,
+            placements=placements,
             quarantine=quarantine,
             signals=signals,
         )
@@ -273,7 +279,7 @@
             settings.name,
             settings.caller_address.host,
             settings.peer_port,
-            self._life,
+            self._incarnation,
             settings.failure_domain,
             now - self._started_at,
             self._sequence,
@@ -298,7 +304,7 @@
             context.settings.failure_domain,
             [self._own_update(now), *updates],
             context.targets.total_loads(alive_peers),
-            reads=self._take_prefixes_to_relay(),
+            placements=self._take_prefixes_to_relay(),
             quarantine=context.quarantine.next_update(
                 context.quarantine.relay_outbox, context.clock()
             ),
@@ -306,9 +312,9 @@
         )
 
     def _take_prefixes_to_relay(self) -> list[PrefixPlacement]:
-        reads = list(self._prefixes_to_relay)
+        placements = list(self._prefixes_to_relay)
         self._prefixes_to_relay.clear()
-        return reads
+        return placements
 
     def _send(self, data: bytes, peers: Iterable[Peer]) -> None:
         for peer in peers:
@@ -379,8 +385,8 @@
             return
         if context.peers.is_direct(sender):
             context.targets.replace_peer_loads(sender.name, message.loads)
-            context.dispatcher.prefix_cache_index.merge(message.reads)
-            self._prefixes_to_relay.extend(message.reads)
+            context.dispatcher.prefix_cache_index.merge(message.placements)
+            self._prefixes_to_relay.extend(message.placements)
             self._merge_quarantine(message.quarantine, is_direct=True)
             merge_signals(context, message.signals, sender.name)
             self._signals_aggregate.record(sender.name, message.signals, now)
@@ -394,7 +400,7 @@
     def _receive_loads(self, message: LoadMessage, now: float) -> None:
         context, name = self._context, message.name
         if not context.peers.record_heartbeat(
-            name, message.life, message.sequence, now
+            name, message.incarnation, message.sequence, now
         ):
             return
         if context.peers.is_direct(context.peers.by_name[name]):
@@ -410,7 +416,7 @@
         if message.failure_domain in context.peers.relayed_domains():
             source = DOMAIN_SOURCE + message.failure_domain
             context.targets.replace_peer_loads(source, message.loads)
-        context.dispatcher.prefix_cache_index.merge(message.reads)
+        context.dispatcher.prefix_cache_index.merge(message.placements)
         self._merge_quarantine(message.quarantine, is_direct=False)
         merge_signals(context, message.signals, message.failure_domain)
         if not message.is_forwarded:
--- a/libs/direct/src/berylwalk/direct/_quarantine_store.py
+++ b/libs/direct/src/berylwalk/direct/_quarantine_store.py
@@ -144,17 +144,17 @@
 
     async def _sync(self) -> None:
         now = self._context.clock()
-        is_first = self._context.peers.is_leader(now)
-        for identity in self._due(now, is_first=is_first):
+        is_leader = self._context.peers.is_leader(now)
+        for identity in self._due(now, is_leader=is_leader):
             if not await self._write_evidence(identity):
                 return
-        if is_first:
+        if is_leader:
             await self._delete_cleared()
         has_records = bool(self._stored or self._context.quarantine.blames)
-        if is_first and has_records and now - self._scanned_at >= SCAN_INTERVAL_S:
+        if is_leader and has_records and now - self._scanned_at >= SCAN_INTERVAL_S:
             await self._scan()
 
-    def _due(self, now: float, *, is_first: bool) -> list[Identity]:
+    def _due(self, now: float, *, is_leader: bool) -> list[Identity]:
         """Return the requests with evidence that is missing in the store."""
         quarantine = self._context.quarantine
         missing = [
@@ -169,7 +169,7 @@
         return [
             identity
             for identity, since in self._due_since.items()
-            if is_first or now - since >= FALLBACK_WRITE_DELAY_S
+            if is_leader or now - since >= FALLBACK_WRITE_DELAY_S
         ]
 
     async def _write_evidence(self, identity: Identity) -> bool:
--- a/libs/direct/src/berylwalk/direct/_rollout_coordinator.py
+++ b/libs/direct/src/berylwalk/direct/_rollout_coordinator.py
@@ -215,8 +215,8 @@
     async def _step(self) -> None:
         context = self._context
         now = context.clock()
-        is_first = context.peers.is_leader(now)
-        if not is_first and now - self._stepped_at < FALLBACK_STEP_INTERVAL_S:
+        is_leader = context.peers.is_leader(now)
+        if not is_leader and now - self._stepped_at < FALLBACK_STEP_INTERVAL_S:
             return
         self._stepped_at = now
         for progress in context.rollouts.progresses:
@@ -248,14 +248,14 @@
                 return None
             return Record.start(order, former, self._wall_clock())
         peers = self._context.peers
-        heard = [
+        alive_incarnations = [
             incarnation_of(peer)
             for peer in peers.by_name.values()
             if peers.is_alive(peer, now)
         ]
-        all_are_heard = len(heard) == len(peers.by_name)
+        all_alive = len(alive_incarnations) == len(peers.by_name)
         step = rollouts.next_phase(
-            progress, heard, all_peers_alive=all_are_heard, now=now
+            progress, alive_incarnations, all_peers_alive=all_alive, now=now
         )
         if step is None:
             return None
--- a/libs/direct/src/berylwalk/direct/_target_feed.py
+++ b/libs/direct/src/berylwalk/direct/_target_feed.py
@@ -29,7 +29,7 @@
 """How long changes are batched at the store between watch calls: a replaced target
 writes several in a row, and each response is billed."""
 ROUNDING_TOLERANCE_S = 1e-6
-MISSING_START_DETAIL = "the target has told when it started, and this entry does not"
+MISSING_START_DETAIL = "start time missing, although reported before"
 
 
 class TargetFeed:
@@ -125,7 +125,7 @@
         self._invalid_items.keep_only({item.key.decode() for item in items})
         for target_id in context.targets.replace(entries, now):
             self._on_target_removed(target_id, "not listed", revision)
-        self._process_ended_lives(revision)
+        self._process_ended_incarnations(revision)
         context.dispatcher.dispatch_all_queued(now)
 
     def _confirm(self, items: list[KeyValue], known_at: float) -> None:
@@ -144,7 +144,7 @@
         if entry is not None:
             self._log_change(entry, item.mod_revision)
             self._context.targets.update(entry, self._context.clock())
-            self._process_ended_lives(item.mod_revision)
+            self._process_ended_incarnations(item.mod_revision)
             self._context.dispatcher.dispatch_queued(
                 entry.service, self._context.clock()
             )
@@ -170,9 +170,7 @@
             return entry
         self._invalid_items.report(item.key.decode(), entry.problem, entry.detail)
         if self._context.targets.discard(entry.target_id, self._context.clock()):
-            self._on_target_removed(
-                entry.target_id, "entry not usable", item.mod_revision
-            )
+            self._on_target_removed(entry.target_id, "invalid entry", item.mod_revision)
         return None
 
     def _is_missing_start(self, entry: TargetEntry) -> bool:
@@ -192,7 +190,7 @@
                 entry.target_id, "unknown-service", entry.service
             )
 
-    def _process_ended_lives(self, revision: int) -> None:
+    def _process_ended_incarnations(self, revision: int) -> None:
         for target in self._context.targets.pop_ended_incarnations():
             self._context.log.process(
                 "target-started-again",
--- a/libs/direct/tests/test_direct_peering.py
+++ b/libs/direct/tests/test_direct_peering.py
@@ -269,7 +269,7 @@
         """A fleet is replaced router by router."""
         message = msgpack.decode(msgpack.encode(PeerMessage(self.NEWS, {})))
         former = msgpack.encode(message[:5])
-        assert msgpack.decode(former, type=PeerMessage).reads == []
+        assert msgpack.decode(former, type=PeerMessage).placements == []
 
     @pytest.mark.parametrize(
         "message",
@@ -288,7 +288,7 @@
             peering = fleet.router._peering
             told = []
             fleet.router._context.log.process = lambda event, **_: told.append(event)
-            message = PeerMessage(self.NEWS, {"i-0": (5, 5)}, reads=[(1, "i-0")])
+            message = PeerMessage(self.NEWS, {"i-0": (5, 5)}, placements=[(1, "i-0")])
             peering._receive(msgpack.encode(message)[:cut])
             peering._receive(msgpack.encode([9, "of another version"]))
             assert told.count("peer-message-invalid") == 2
