--- a/libs/direct/src/berylwalk/direct/_attempt_runner.py
+++ b/libs/direct/src/berylwalk/direct/_attempt_runner.py
@@ -101,14 +101,14 @@
         incarnation_id = target.entry.incarnation_id
         prefix_cache_index = self._context.dispatcher.prefix_cache_index
         cached_tokens = prefix_cache_index.cached_tokens(work).get(incarnation_id, 0)
-        start = estimate_first_event(target, work, cached_tokens=cached_tokens)
+        estimate = estimate_first_event(target, work, cached_tokens=cached_tokens)
         prefix_cache_index.note_sent(work, incarnation_id)
-        self._log.log_placed(self._admitted, target, start)
-        self._observe_version(target, start)
+        self._log.log_placed(self._admitted, target, estimate)
+        self._observe_version(target, estimate)
 
         def on_first_event() -> None:
             target.note_first_event(
-                work, start, self._attempt_feedback.elapsed_s(sent_at)
+                work, estimate, self._attempt_feedback.elapsed_s(sent_at)
             )
             self._attempt_feedback.record_alive(target)
 
@@ -135,12 +135,14 @@
             on_signals=on_signals,
         )
 
-    def _observe_version(self, target: Target, start: FirstEventEstimate) -> None:
+    def _observe_version(self, target: Target, estimate: FirstEventEstimate) -> None:
         """Observe the attempt if a version of the service is being rolled out."""
         context, admitted = self._context, self._admitted
         self._version_observer = None
         if context.rollouts.is_in_progress(admitted.service):
-            self._version_observer = VersionObserver(context, admitted, target, start)
+            self._version_observer = VersionObserver(
+                context, admitted, target, estimate
+            )
 
     def _is_still_allowed(self, target: Target) -> bool:
         """Return whether sending is still allowed once the connection is open."""
--- a/libs/direct/src/berylwalk/direct/_exchange.py
+++ b/libs/direct/src/berylwalk/direct/_exchange.py
@@ -311,7 +311,7 @@
         )
 
     def _must_run_isolated(self) -> bool:
-        """Return whether the request must run on a target without other requests."""
+        """Return whether the request may terminate its target."""
         return (
             self._admitted.is_trial
             or self._quarantine_status() is QuarantineStatus.SUSPECTED
--- a/libs/direct/src/berylwalk/direct/_exchange_log.py
+++ b/libs/direct/src/berylwalk/direct/_exchange_log.py
@@ -54,7 +54,7 @@
         )
 
     def log_placed(
-        self, admitted: Admitted, target: Target, start: FirstEventEstimate
+        self, admitted: Admitted, target: Target, estimate: FirstEventEstimate
     ) -> None:
         """Log the selected target and the estimate behind the decision."""
         self.context.log.request(
@@ -63,11 +63,11 @@
             target=target.entry.target_id,
             prompt_tokens=admitted.parsed_headers.work.prompt_tokens,
             output_tokens=admitted.parsed_headers.work.output_tokens,
-            ahead_tokens=start.ahead_tokens,
-            own_tokens=start.own_tokens,
-            expected_ms=_ms(start.total_s),
-            reading_ms=_ms(start.reading_s),
-            slot_wait_ms=_ms(start.slot_wait_s),
+            ahead_tokens=estimate.ahead_tokens,
+            own_tokens=estimate.own_tokens,
+            expected_ms=_ms(estimate.total_s),
+            reading_ms=_ms(estimate.reading_s),
+            slot_wait_ms=_ms(estimate.slot_wait_s),
             in_flight=target.in_flight,
             peer_in_flight=target.peer_in_flight,
             token_ms=_known_ms(target.output_token_s),
--- a/libs/direct/src/berylwalk/direct/_flow_control.py
+++ b/libs/direct/src/berylwalk/direct/_flow_control.py
@@ -101,12 +101,14 @@
     return rotate(updates, MAX_SIGNALS_PER_MESSAGE, now)
 
 
-def rotate(updates: list[SignalsUpdate], most: int, now: float) -> list[SignalsUpdate]:
+def rotate(
+    updates: list[SignalsUpdate], max_count: int, now: float
+) -> list[SignalsUpdate]:
     """Return the part of the updates that goes into the next message."""
-    if len(updates) <= most:
+    if len(updates) <= max_count:
         return updates
-    begin = int(now / ROTATION_INTERVAL_S) * most % len(updates)
-    return (updates[begin:] + updates[:begin])[:most]
+    begin = int(now / ROTATION_INTERVAL_S) * max_count % len(updates)
+    return (updates[begin:] + updates[:begin])[:max_count]
 
 
 def update_limit_shares(context: RouterContext) -> None:
@@ -136,7 +138,7 @@
     context.targets.note_flow_controlled(target)
     flow_control, now = target.flow_control, context.clock()
     _update_limit_share(context, target, now)
-    rest_s = (
+    backoff_s = (
         flow_control.backoff.until - now if flow_control.backoff.is_on(now) else 0.0
     )
     context.log.process(
@@ -146,6 +148,6 @@
         told_by=source,
         limit_per_s=flow_control.limit.per_s,
         limit_share=round(flow_control.limit.share, 3),
-        rest_ms=max(0, round(rest_s * 1000)),
+        rest_ms=max(0, round(backoff_s * 1000)),
         is_leaving=flow_control.is_leaving,
     )
--- a/libs/direct/src/berylwalk/direct/_gauges.py
+++ b/libs/direct/src/berylwalk/direct/_gauges.py
@@ -25,8 +25,8 @@
         metrics.peer_in_flight.labels(target_id).set(target.peer_in_flight)
         metrics.target_token_s.labels(target_id).set(target.output_token_s or 0.0)
         metrics.target_errors.labels(target_id).set(target.error_rate)
-        heard_s = min(now - target.last_heard_at, MAX_AGE_S)
-        metrics.target_heard_age_s.labels(target_id).set(heard_s)
+        silent_s = min(now - target.last_heard_at, MAX_AGE_S)
+        metrics.target_heard_age_s.labels(target_id).set(silent_s)
         _refresh_flow_control(context, target, now)
     for name, spent in context.quotas.spent_in_window(now).items():
         metrics.allowance_spent.labels(name).set(spent)
--- a/libs/direct/src/berylwalk/direct/_version_observer.py
+++ b/libs/direct/src/berylwalk/direct/_version_observer.py
@@ -32,7 +32,7 @@
         The request.
     target : Target
         Target of the attempt.
-    start : FirstEventEstimate
+    estimate : FirstEventEstimate
         Estimate of the time to the first event.
     """
 
@@ -41,14 +41,14 @@
         context: RouterContext,
         admitted: Admitted,
         target: Target,
-        start: FirstEventEstimate,
+        estimate: FirstEventEstimate,
     ) -> None:
         self._context = context
         self._admitted = admitted
         self._target = target
         progress = context.rollouts.progress(admitted.service)
         version = progress.order.version
-        self._row = context.rollouts.answer_key(
+        self._answer_key = context.rollouts.answer_key(
             admitted.service,
             target.entry.version,
             target.entry.incarnation_id,
@@ -63,20 +63,20 @@
             if each.entry.version != version
         ]
         self._token_s = mean_token_s(others)
-        self._typical_s = self._typical_start_s(others, start)
+        self._typical_s = self._typical_start_s(others, estimate)
 
     def _typical_start_s(
-        self, others: Sequence[Target], start: FirstEventEstimate
+        self, others: Sequence[Target], estimate: FirstEventEstimate
     ) -> float | None:
         """Return the usual time to a first event or full response, or None."""
         if self._admitted.parsed_headers.work.prompt_tokens:
             model = self._target.first_event_model
             reading_s = model.reading_s(
-                self._token_s, start.ahead_tokens, start.own_tokens
+                self._token_s, estimate.ahead_tokens, estimate.own_tokens
             )
-            return model.fixed_s + reading_s + start.slot_wait_s
+            return model.fixed_s + reading_s + estimate.slot_wait_s
         known = [each.slot_s for each in others if each.slot_s is not None]
-        return sum(known) / len(known) + start.slot_wait_s if known else None
+        return sum(known) / len(known) + estimate.slot_wait_s if known else None
 
     def record(self, attempt: Attempt, elapsed_s: float, tokens_per_event: int) -> None:
         """Count the response.
@@ -121,7 +121,7 @@
             return
         self._is_counted = True
         context, service = self._context, self._admitted.service
-        context.rollouts.record_answer(service, self._row, kind, context.clock())
+        context.rollouts.record_answer(service, self._answer_key, kind, context.clock())
 
     def _classify(
         self, attempt: Attempt, elapsed_s: float, tokens_per_event: int
