--- a/libs/agent/src/berylwalk/agent/__init__.py
+++ b/libs/agent/src/berylwalk/agent/__init__.py
@@ -16,7 +16,7 @@
     StartDispatch,
     TargetChanged,
     TargetProgress,
-    TargetStatementReceived,
+    TargetSignalsReceived,
     Tick,
     TiersChanged,
 )
@@ -42,7 +42,7 @@
     "StartDispatch",
     "TargetChanged",
     "TargetProgress",
-    "TargetStatementReceived",
+    "TargetSignalsReceived",
     "Tick",
     "TiersChanged",
     "run_agent",
--- a/libs/agent/src/berylwalk/agent/_dispatch.py
+++ b/libs/agent/src/berylwalk/agent/_dispatch.py
@@ -17,7 +17,7 @@
     DispatchEnd,
     DispatchEnded,
     TargetProgress,
-    TargetStatementReceived,
+    TargetSignalsReceived,
 )
 from berylwalk.agent._response_meter import ResponseMeter
 from berylwalk.agent._shell import AgentShell
@@ -184,7 +184,7 @@
         self, call: DispatchedCall, stream: HttpStream, send: Send, sent_at: float
     ) -> DispatchEnd:
         call.status = stream.status
-        self._report_statement(stream, sent_at)
+        self._report_signals(stream, sent_at)
         meter = ResponseMeter(
             stream.headers.get("content-type", ""),
             is_model=call.grant.resource.startswith(MODEL_PREFIX),
@@ -211,7 +211,7 @@
         progress.finish(0 if meter.is_stream else meter.reported_tokens)
         return DispatchEnd.COMPLETE
 
-    def _report_statement(self, stream: HttpStream, sent_at: float) -> None:
+    def _report_signals(self, stream: HttpStream, sent_at: float) -> None:
         headers = [
             (name.encode("latin-1"), value.encode("latin-1"))
             for name, value in stream.headers.items()
@@ -219,13 +219,11 @@
         statement = read_statement(stream.status, headers)
         if statement.problem:
             logging.warning("the target states: %s", statement.problem)
-        if not statement.is_plain or self._shell.machine.has_active_statement:
+        if not statement.is_plain or self._shell.machine.has_active_signals:
             was_accepted = (
                 stream.status < SERVER_ERROR and stream.status != TOO_MANY_REQUESTS
             )
-            self._shell.handle(
-                TargetStatementReceived(statement, sent_at, was_accepted)
-            )
+            self._shell.handle(TargetSignalsReceived(statement, sent_at, was_accepted))
 
     def _handle_failure(self, grant: Grant, failure: RequestFailed) -> DispatchEnd:
         logging.warning("call of %s failed: %s", grant.request_id, failure.reason)
--- a/libs/agent/src/berylwalk/agent/_events.py
+++ b/libs/agent/src/berylwalk/agent/_events.py
@@ -45,7 +45,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class TargetStatementReceived:
+class TargetSignalsReceived:
     """The head of an answer came, with what it states of the target.
 
     Parameters
@@ -111,7 +111,7 @@
     DatagramArrived
     | GrantArrived
     | TargetProgress
-    | TargetStatementReceived
+    | TargetSignalsReceived
     | DispatchEnded
     | TiersChanged
     | TargetChanged
--- a/libs/agent/src/berylwalk/agent/_grants.py
+++ b/libs/agent/src/berylwalk/agent/_grants.py
@@ -80,7 +80,7 @@
             return RefusalReason.TOMBSTONE
         if self._target.refuses_new_work:
             return RefusalReason.LEAVING
-        if self._slots.is_paused:
+        if self._slots.is_backing_off:
             return RefusalReason.NO_SLOT
         if not self._target.serves(grant.resource):
             return RefusalReason.NOT_SERVED
--- a/libs/agent/src/berylwalk/agent/_machine.py
+++ b/libs/agent/src/berylwalk/agent/_machine.py
@@ -19,7 +19,7 @@
     StartDispatch,
     TargetChanged,
     TargetProgress,
-    TargetStatementReceived,
+    TargetSignalsReceived,
     Tick,
     TiersChanged,
 )
@@ -97,9 +97,9 @@
         return self._slots.limit
 
     @property
-    def has_active_statement(self) -> bool:
+    def has_active_signals(self) -> bool:
         """Whether an answer that states nothing of the target would be news."""
-        return self._slots.has_active_statement
+        return self._slots.has_active_signals
 
     @property
     def is_slow(self) -> bool:
@@ -182,8 +182,8 @@
                 if version > self._tiers_version:
                     self._tiers_version = version
                     self._slots.tiers = tiers
-            case TargetStatementReceived():
-                if self._slots.apply_statement(event):
+            case TargetSignalsReceived():
+                if self._slots.apply_signals(event):
                     self._target.target_leaving = True
                     self._reservations.refuse_all(RefusalReason.LEAVING, now)
             case TargetChanged(resources, reachable):
@@ -256,7 +256,7 @@
     ) -> None:
         if reachable and not self._target.reachable:
             # What it said before it was away may be of its last life.
-            self._slots.reset_statements()
+            self._slots.reset_flow_control()
             self._target.target_leaving = False
         self._target.resources = resources
         self._target.reachable = reachable
--- a/libs/agent/src/berylwalk/agent/_slots.py
+++ b/libs/agent/src/berylwalk/agent/_slots.py
@@ -12,7 +12,7 @@
     tier_slot_limit,
 )
 from berylwalk.agent._config import AgentConfig
-from berylwalk.agent._events import DispatchEnd, TargetProgress, TargetStatementReceived
+from berylwalk.agent._events import DispatchEnd, TargetProgress, TargetSignalsReceived
 from berylwalk.dispatch import Need, StatedNeeds
 from berylwalk.model import RequestId, TierPolicy
 from berylwalk.wire import Grant
@@ -64,7 +64,7 @@
         self.running_by_id: dict[RequestId, RunningRequest] = {}
         self._now = 0.0
         self._needs = StatedNeeds()
-        self.reset_statements()
+        self.reset_flow_control()
         self._held = 0
         # Running requests and held slots.
         self._in_use_by_rank: Counter[int] = Counter()
@@ -85,12 +85,12 @@
         return self._needs.obstacle(self._now) is not None
 
     @property
-    def is_paused(self) -> bool:
+    def is_backing_off(self) -> bool:
         """Whether it wants nothing, not even what has its slot already."""
         return self._needs.rest.is_on(self._now)
 
     @property
-    def has_active_statement(self) -> bool:
+    def has_active_signals(self) -> bool:
         """Whether an answer that states nothing would be news."""
         needs = self._needs
         return needs.limit.per_s is not None or needs.rest.sends_left is not None
@@ -107,7 +107,7 @@
         """Tell the time, before anything is asked."""
         self._now = now
 
-    def apply_statement(self, event: TargetStatementReceived) -> bool:
+    def apply_signals(self, event: TargetSignalsReceived) -> bool:
         """Take what the target states; returns whether it says that it leaves."""
         changed = self._needs.note_answer(
             event.statement, sent_at=event.sent_at, now=self._now
@@ -116,7 +116,7 @@
             self._needs.rest.note_taken(self.limit, sent_at=event.sent_at)
         return Need.LEAVING in changed
 
-    def reset_statements(self) -> None:
+    def reset_flow_control(self) -> None:
         """Begin with a target that has said nothing: it has started again."""
         self._needs = StatedNeeds()
         # All work for the target passes through here.
--- a/libs/agent/tests/test_agent_stated_needs.py
+++ b/libs/agent/tests/test_agent_stated_needs.py
@@ -8,7 +8,7 @@
     GrantArrived,
     StartDispatch,
     TargetChanged,
-    TargetStatementReceived,
+    TargetSignalsReceived,
     Tick,
 )
 from berylwalk.dispatch import TargetStatement
@@ -19,7 +19,7 @@
 def states(driver, *, was_accepted=True, **statement):
     """Let an answer state something of the target."""
     stated = TargetStatement(**statement)
-    driver.handle(TargetStatementReceived(stated, driver.now - 0.1, was_accepted))
+    driver.handle(TargetSignalsReceived(stated, driver.now - 0.1, was_accepted))
 
 
 def dispatched(driver, seconds, *, step_s=0.05):
@@ -74,10 +74,10 @@
         """It has to be asked for: most answers state nothing."""
         driver = Driver(initial_limit=8)
         states(driver, limit_per_s=0.5)
-        assert driver.machine.has_active_statement
+        assert driver.machine.has_active_signals
         driver.now += 3.0
         states(driver)
-        assert not driver.machine.has_active_statement
+        assert not driver.machine.has_active_signals
         assert dispatched(driver, 1.0) == 20
 
 
@@ -124,4 +124,4 @@
         driver.handle(TargetChanged(("model:m",), reachable=False), after=1.0)
         driver.handle(TargetChanged(("model:m",), reachable=True), after=1.0)
         assert driver.grant(rid(2), conditional=True) is None
-        assert not driver.machine.has_active_statement
+        assert not driver.machine.has_active_signals
