--- a/libs/admission/src/berylwalk/admission/__init__.py
+++ b/libs/admission/src/berylwalk/admission/__init__.py
@@ -1,4 +1,4 @@
-"""Decisions of an agent: order of waiting, slot limit, headroom, estimates."""
+"""Admission control: fair queueing, concurrency limit, headroom and estimates."""
 
 from berylwalk.admission._admission_queue import AdmissionQueue
 from berylwalk.admission._concurrency_limit import ConcurrencyLimit, LatencyTargets
--- a/libs/admission/src/berylwalk/admission/_admission_queue.py
+++ b/libs/admission/src/berylwalk/admission/_admission_queue.py
@@ -1,4 +1,4 @@
-"""Waiting entries of an agent, in the order in which they take slots."""
+"""Queue of an agent's requests, in the order in which they take slots."""
 
 from collections.abc import Hashable, Iterator
 from dataclasses import dataclass, field
@@ -15,7 +15,7 @@
 
 @dataclass(slots=True)
 class _Tier:
-    # All entries, in order of arrival.
+    # Entries in any state, in order of arrival.
     entries_by_key: dict[Hashable, QueueEntry] = field(default_factory=dict)
     queues_by_account: dict[str, AccountQueue] = field(default_factory=dict)
     ring: AccountRing = field(default_factory=AccountRing)
@@ -30,15 +30,16 @@
 
 
 class AdmissionQueue:
-    """Waiting entries by tier, account and deadline.
+    """Queue by tier, account and deadline.
 
-    An entry that is taken or parked keeps its age, and costs its account only if
-    it ran.
+    An entry that is taken or parked keeps its order of arrival. Its account is
+    charged only if it ran.
 
     Parameters
     ----------
     place_of : callable
-        Place of an entry; `place_by_tier` or `place_by_arrival`.
+        Computes the key of an entry; `tiered_scheduling_key` or
+        `fifo_scheduling_key`.
     """
 
     def __init__(
@@ -50,7 +51,7 @@
         self._next_sequence = 0
 
     def __len__(self) -> int:
-        """Return the number of entries queued or parked; those taken don't count."""
+        """Return the number of entries that are queued or parked."""
         return sum(tier.waiting for tier in self._tiers_by_rank.values())
 
     def __contains__(self, key: Hashable) -> bool:
@@ -60,13 +61,13 @@
         return iter(tuple(self._entries_by_key.values()))
 
     def get(self, key: Hashable) -> QueueEntry | None:
-        """Return the entry, waiting or taken, or None."""
+        """Return the entry in any state, or None if it is absent."""
         return self._entries_by_key.get(key)
 
     def add(self, entry: QueueEntry) -> None:
-        """Add an entry as the newest."""
+        """Queue a new entry."""
         if entry.key in self._entries_by_key:
-            raise ValueError(f"{entry.key} is present")
+            raise ValueError(f"entry {entry.key} is already in the queue")
         self._next_sequence += 1
         entry.sequence = self._next_sequence
         self._entries_by_key[entry.key] = entry
@@ -75,7 +76,7 @@
         self._enqueue(entry, tier)
 
     def peek(self) -> QueueEntry | None:
-        """Return the entry that `take` would return, or None when none is queued."""
+        """Return the entry that `take` would return, or None if none is queued."""
         rank = self.highest_rank()
         if rank is None:
             return None
@@ -87,11 +88,11 @@
         Raises
         ------
         IndexError
-            If nothing is queued.
+            If no entry is queued.
         """
         rank = self.highest_rank()
         if rank is None:
-            raise IndexError("nothing is queued")
+            raise IndexError("the admission queue has no queued entries")
         tier = self._tiers_by_rank[rank]
         queue = tier.ring.select()
         entry = queue.heap.peek()[1]
@@ -101,20 +102,20 @@
         return entry
 
     def park(self, key: Hashable) -> None:
-        """Pass over a taken entry until it is put back; undo its charge."""
+        """Skip a taken entry until it is unparked, and refund its account."""
         entry = self._entries_by_key[key]
         if entry.state is not EntryState.TAKEN:
-            raise ValueError(f"{key} is not taken")
+            raise ValueError(f"entry {key} cannot be parked: it is not taken")
         tier = self._tier_of(entry)
         self._refund(entry, tier)
         entry.state = EntryState.PARKED
         tier.parked += 1
 
     def unpark(self, key: Hashable) -> None:
-        """Queue a parked entry again, with its old place."""
+        """Queue a parked entry again, in its original order of arrival."""
         entry = self._entries_by_key[key]
         if entry.state is not EntryState.PARKED:
-            raise ValueError(f"{key} is not parked")
+            raise ValueError(f"entry {key} cannot be unparked: it is not parked")
         tier = self._tier_of(entry)
         tier.parked -= 1
         entry.state = EntryState.QUEUED
@@ -126,14 +127,14 @@
         Parameters
         ----------
         key : hashable
-            Name of the request.
+            Identifier of the request.
         ran : bool
-            Whether a taken entry used its slot, so that its account pays.
+            Whether a taken entry used its slot; otherwise its account is refunded.
 
         Returns
         -------
         WaitingEntry or None
-            The entry, or None when it was absent.
+            The entry, or None if it was absent.
         """
         entry = self._entries_by_key.pop(key, None)
         if entry is None:
@@ -151,7 +152,7 @@
         return entry
 
     def eviction_candidate(self) -> QueueEntry | None:
-        """Return the entry that makes room first, or None when nothing waits."""
+        """Return the newest entry of the lowest tier, or None if none waits."""
         rank = max((r for r, t in self._tiers_by_rank.items() if t.waiting), default=-1)
         if rank < 0:
             return None
@@ -161,26 +162,26 @@
         )
 
     def highest_rank(self) -> int | None:
-        """Return the rank that is served next, or None when none is queued."""
+        """Return the highest tier with queued entries, or None if none is queued."""
         ranks = (rank for rank, tier in self._tiers_by_rank.items() if tier.queued)
         return min(ranks, default=None)
 
     def has_entry_ahead(self, rank: int) -> bool:
-        """Return whether an entry goes before a new one of a rank."""
+        """Return whether a queued entry is served before a new one of a rank."""
         highest = self.highest_rank()
         return highest is not None and highest <= rank
 
     def count_at_rank(self, rank: int) -> int:
-        """Return how many entries of a rank wait."""
+        """Return the number of queued or parked entries of a rank."""
         tier = self._tiers_by_rank.get(rank)
         return 0 if tier is None else tier.waiting
 
     def count_by_rank(self) -> dict[int, int]:
-        """Return how many entries wait, by rank."""
+        """Return the number of queued or parked entries by rank."""
         return {rank: tier.waiting for rank, tier in self._tiers_by_rank.items()}
 
     def work_ahead(self, rank: int) -> Work:
-        """Return the work that waits at a rank and above."""
+        """Return the queued work of a rank and all higher ones."""
         prompt_tokens = 0.0
         output_tokens = 0.0
         for other, tier in self._tiers_by_rank.items():
@@ -192,10 +193,10 @@
     def work_ahead_of_account(
         self, rank: int, client_account: str, weight: float
     ) -> Work:
-        """Return the work that a new entry of an account would wait for.
+        """Return the queued work that is served before a new entry of an account.
 
-        Of its own tier this is at most the account's waiting work, taken as
-        often as the account's share makes the others go first.
+        Within its own tier this is the account's queued work divided by the
+        account's share, at most the queued work of the tier.
         """
         above = self.work_ahead(rank - 1)
         tier = self._tiers_by_rank.get(rank)
@@ -218,14 +219,14 @@
         return tier
 
     def _enqueue(self, entry: QueueEntry, tier: _Tier) -> AccountQueue:
-        place = self._scheduling_key(entry)
-        queue = tier.queues_by_account.get(place.client_account)
+        key = self._scheduling_key(entry)
+        queue = tier.queues_by_account.get(key.client_account)
         if queue is None:
-            queue = AccountQueue(place.client_account)
-            tier.queues_by_account[place.client_account] = queue
+            queue = AccountQueue(key.client_account)
+            tier.queues_by_account[key.client_account] = queue
             tier.ring.append(queue)
-        queue.weight = place.weight
-        queue.heap.push(place.sort_key, entry.sequence, entry)
+        queue.weight = key.weight
+        queue.heap.push(key.sort_key, entry.sequence, entry)
         _add_work(queue, tier, entry, 1)
         return queue
 
--- a/libs/admission/src/berylwalk/admission/_concurrency_limit.py
+++ b/libs/admission/src/berylwalk/admission/_concurrency_limit.py
@@ -1,4 +1,4 @@
-"""Limit of concurrent calls to a target, adapted to its observed speed."""
+"""Limit of concurrent requests to a target, adapted to its latency."""
 
 from dataclasses import dataclass
 
@@ -6,8 +6,8 @@
 
 WINDOW_S = 0.25
 MIN_GAP_TOKENS = 4
-# A first token later than this many times its unloaded prefill time, plus so
-# many token gaps and a constant, has waited inside the target.
+# A time to first token above the sum of these allowances means that the request
+# was queued inside the target.
 PREFILL_FACTOR = 4.0
 GAPS_TO_FIRST_TOKEN = 10.0
 QUEUE_ALLOWANCE_S = 0.05
@@ -15,25 +15,25 @@
 
 @dataclass(frozen=True, slots=True)
 class LatencyTargets:
-    """Wanted speed of the target, in seconds."""
+    """Wanted latency of the target: token gap and time to first token, in seconds."""
 
     token_gap_s: float = 0.1
     first_token_s: float = 2.0
 
 
 class ConcurrencyLimit:
-    """The limit and the window of observations that will adapt it.
+    """Concurrency limit, adapted once per window of observations.
 
     Parameters
     ----------
     rule : LimitRule
-        How the limit follows the samples.
+        Computes the next limit.
     initial, minimum, maximum : int
-        Limit at start and its bounds.
+        Initial limit and its bounds.
     targets : SlotTargets
-        Wanted speed.
+        Wanted latency.
     window_s : float
-        Time between two changes, in seconds.
+        Length of a window, in seconds.
     """
 
     def __init__(
@@ -57,51 +57,50 @@
 
     @property
     def due_at(self) -> float:
-        """When `update` may change the limit next, in seconds."""
+        """End of the current window, in seconds; `update` may then change the limit."""
         return self._window_started_at + self._window_s
 
     def value(self, *, slowdown: float = 1.0) -> int:
-        """Return the limit in force.
+        """Return the limit in force, at least the minimum.
 
         Parameters
         ----------
         slowness : float
-            How many times slower than its baseline the target is; divides the
+            Factor by which the target is slower than its baseline; divides the
             limit.
         """
         lowered = int(self._limit / max(slowdown, 1.0))
         return max(lowered, self._minimum)
 
     def observe_gap(self, elapsed_s: float, tokens: int) -> None:
-        """Record the time that a number of tokens of one answer took."""
+        """Record the time between successive tokens of one response."""
         self._gap_total_s += elapsed_s
         self._gap_tokens += tokens
 
     def observe_first_token(
         self, elapsed_s: float, unloaded_s: float, gap_s: float
     ) -> None:
-        """Record the time to a first token.
+        """Record a time to first token.
 
-        Work that waits inside the target is out of reach of the tiers, so that
-        the limit follows the least of the common target and the time that
-        shows such a wait.
+        The wanted time is capped by the least time that indicates queueing inside
+        the target, where tiers have no effect.
 
         Parameters
         ----------
         elapsed_s : float
-            Time since the dispatch, in seconds.
+            Time since dispatch, in seconds.
         unloaded_s : float
-            Expected prefill time of a target with little load, in seconds.
+            Expected prefill time of a lightly loaded target, in seconds.
         gap_s : float
-            Present token gap, in seconds.
+            Current token gap, in seconds.
         """
         prefill_s = PREFILL_FACTOR * unloaded_s
-        waited_s = prefill_s + GAPS_TO_FIRST_TOKEN * gap_s + QUEUE_ALLOWANCE_S
-        wanted_s = min(max(self._latency_targets.first_token_s, prefill_s), waited_s)
+        queueing_s = prefill_s + GAPS_TO_FIRST_TOKEN * gap_s + QUEUE_ALLOWANCE_S
+        wanted_s = min(max(self._latency_targets.first_token_s, prefill_s), queueing_s)
         self._add_first_ratio(elapsed_s / wanted_s)
 
     def observe_response(self, elapsed_s: float) -> None:
-        """Record the time to the answer of a plain service."""
+        """Record the response time of a service that generates no tokens."""
         self._add_first_ratio(elapsed_s / self._latency_targets.first_token_s)
 
     def update(self, now: float, in_use: int) -> None:
@@ -112,7 +111,7 @@
         now : float
             Monotonic time, in seconds.
         in_use : int
-            Slots in use or held at this time.
+            Slots in use or held.
         """
         self._saturated = self._saturated or in_use >= int(self._limit)
         if now - self._window_started_at < self._window_s:
@@ -124,11 +123,11 @@
         self._clear_window()
 
     def _adapt(self, sample: LoadSample, in_use: int) -> None:
-        wanted = self._rule(self._limit, sample)
-        # What runs beyond the limit must end before a lower limit can show.
-        if wanted < self._limit and in_use > int(self._limit) + 1:
+        proposed = self._rule(self._limit, sample)
+        # An earlier decrease has no effect until requests beyond the limit end.
+        if proposed < self._limit and in_use > int(self._limit) + 1:
             return
-        self._limit = min(max(wanted, self._minimum), self._maximum)
+        self._limit = min(max(proposed, self._minimum), self._maximum)
 
     def _add_first_ratio(self, ratio: float) -> None:
         self._first_ratios += ratio
--- a/libs/admission/src/berylwalk/admission/_deadline_heap.py
+++ b/libs/admission/src/berylwalk/admission/_deadline_heap.py
@@ -1,18 +1,19 @@
-"""Heap of entries by time, with removal from the middle."""
+"""Priority queue by time, with removal of any entry."""
 
 from heapq import heapify, heappop, heappush
 from typing import Generic, TypeVar
 
 EntryT = TypeVar("EntryT")
 
-MIN_STALE = 32
+MIN_STALE_ITEMS = 32
 
 
 class DeadlineHeap(Generic[EntryT]):
     """Entries ordered by time, then by sequence.
 
-    Removed entries stay in the heap until they surface or make up its half;
-    each operation takes O(log n) amortized time. Sequences are unique.
+    Entries are removed lazily: a removed one stays in the heap until it reaches
+    the top or half of the heap is stale. Each operation takes O(log n) amortized
+    time. Sequence numbers are unique.
     """
 
     def __init__(self) -> None:
@@ -23,7 +24,7 @@
         return len(self._time_by_sequence)
 
     def push(self, time: float, sequence: int, entry: EntryT) -> None:
-        """Add an entry, or move it when its sequence is present."""
+        """Add an entry, or change its time if its sequence number is present."""
         self._time_by_sequence[sequence] = time
         heappush(self._heap, (time, sequence, entry))
         self._compact()
@@ -34,7 +35,7 @@
             self._compact()
 
     def peek(self) -> tuple[float, EntryT] | None:
-        """Return the earliest time and its entry, or None when empty."""
+        """Return the earliest time and its entry, or None if empty."""
         while self._heap:
             time, sequence, entry = self._heap[0]
             if self._time_by_sequence.get(sequence) == time:
@@ -59,7 +60,7 @@
 
     def _compact(self) -> None:
         stale = len(self._heap) - len(self._time_by_sequence)
-        if stale < max(MIN_STALE, len(self._time_by_sequence)):
+        if stale < max(MIN_STALE_ITEMS, len(self._time_by_sequence)):
             return
         live = self._time_by_sequence
         kept = {item[1]: item for item in self._heap if live.get(item[1]) == item[0]}
--- a/libs/admission/src/berylwalk/admission/_estimates.py
+++ b/libs/admission/src/berylwalk/admission/_estimates.py
@@ -1,43 +1,43 @@
-"""Observed speed of a target, and estimates made from it."""
+"""Estimates of service and queueing times from observed speed."""
 
 from collections import OrderedDict
 from dataclasses import dataclass
 
-RATE_SHARE = 0.2
+SMOOTHING = 0.2
 MIN_PROMPT_TOKENS = 16
 MIN_ELAPSED_S = 1e-4
 INITIAL_LENGTH_RATIO = 0.5
-MAX_LENGTH_KEYS = 512
+MAX_LENGTH_RATIOS = 512
 
 
 @dataclass(frozen=True, slots=True)
 class Work:
-    """An amount of work, in tokens; may be the sum of many requests."""
+    """Amount of work of one or many requests, in tokens."""
 
     prompt_tokens: float = 0.0
     output_tokens: float = 0.0
 
 
 class SpeedModel:
-    """Prefill rate, token gap by batch size, and mean time of a whole answer.
+    """Prefill rate, token gap by batch size, and mean response time.
 
     Parameters
     ----------
     prefill_tokens_per_s, token_gap_s : float
-        Expected values, used until something was observed.
+        Values used before the first observation.
     """
 
     def __init__(self, *, prefill_tokens_per_s: float, token_gap_s: float) -> None:
         self._prefill_tokens_per_s = prefill_tokens_per_s
         self._unloaded_tokens_per_s = prefill_tokens_per_s
         self._nominal_gap_s = token_gap_s
-        # One mean for each power of two of the batch size.
+        # Moving averages; buckets are powers of two of the batch size.
         self._gap_s_by_bucket: dict[int, float] = {}
         self._mean_response_s = 0.0
 
     @property
     def prefill_tokens_per_s(self) -> float:
-        """Observed prefill rate, in tokens a second."""
+        """Observed prefill rate, in tokens per second."""
         return self._prefill_tokens_per_s
 
     def observe_first_token(
@@ -48,11 +48,11 @@
         Parameters
         ----------
         prompt_tokens : int
-            Length of the prompt.
+            Tokens of the prompt.
         elapsed_s : float
             The time, in seconds.
         unloaded : bool
-            Whether the target had little else to do.
+            Whether the target was lightly loaded.
         """
         if prompt_tokens < MIN_PROMPT_TOKENS:
             return
@@ -62,18 +62,18 @@
             self._unloaded_tokens_per_s = _blend(self._unloaded_tokens_per_s, rate)
 
     def observe_gap(self, batch: int, gap_s: float) -> None:
-        """Record the time between two tokens of one answer at a batch size."""
+        """Record the time between two tokens of one response at a batch size."""
         bucket = batch.bit_length()
         known = self._gap_s_by_bucket.get(bucket)
         self._gap_s_by_bucket[bucket] = gap_s if known is None else _blend(known, gap_s)
 
     def observe_response(self, elapsed_s: float) -> None:
-        """Record the time that a whole answer held its slot."""
+        """Record the time for which a complete response held its slot."""
         known = self._mean_response_s
         self._mean_response_s = _blend(known, elapsed_s) if known else elapsed_s
 
     def token_gap_s(self, batch: int) -> float:
-        """Return the expected time between two tokens of one answer."""
+        """Return the expected time between two tokens of one response, in seconds."""
         bucket = batch.bit_length()
         known = self._gap_s_by_bucket
         if bucket in known:
@@ -88,38 +88,38 @@
         return prompt_tokens / self._prefill_tokens_per_s
 
     def unloaded_prefill_s(self, prompt_tokens: float) -> float:
-        """Return the prefill time that a target with little load needs."""
+        """Return the expected prefill time of a lightly loaded target, in seconds."""
         return prompt_tokens / self._unloaded_tokens_per_s
 
     def service_s(self, work: Work, batch: int) -> float:
-        """Return the expected time that work holds a slot, in seconds."""
+        """Return the expected time for which work holds a slot, in seconds."""
         decode_s = work.output_tokens * self.token_gap_s(batch)
         return self.prefill_s(work.prompt_tokens) + decode_s
 
     def wait_s(self, ahead: Work, limit: int) -> float:
-        """Return the expected wait behind other work when all slots are taken.
+        """Return the expected wait for a slot when all are taken, in seconds.
 
         Parameters
         ----------
         ahead : Work
-            All work that takes a slot earlier.
+            Work that takes a slot earlier.
         limit : int
-            Slots of the target.
+            Concurrency limit of the target.
         """
         ahead_s = self.service_s(ahead, limit)
         return (ahead_s + self._mean_response_s) / max(limit, 1)
 
 
 class OutputLengthModel:
-    """Share of the announced output tokens that answers really have.
+    """Ratio of generated to requested output tokens.
 
-    Callers announce upper bounds; a plan made with them would refuse work that
-    fits its deadline.
+    Callers request upper bounds; estimates from those would refuse requests that
+    can meet their deadline.
 
     Parameters
     ----------
     initial : float
-        Share assumed until something was observed.
+        Ratio assumed before the first observation.
     """
 
     def __init__(self, *, initial: float = INITIAL_LENGTH_RATIO) -> None:
@@ -136,14 +136,14 @@
     def observe(
         self, client_account: str, rank: int, requested_tokens: int, tokens: int
     ) -> None:
-        """Record the length of a whole answer."""
+        """Record the length of a complete response."""
         key = (client_account, rank)
         ratio = min(tokens / max(requested_tokens, 1), 1.0)
         known = self._ratio_by_account.pop(key, None)
         self._ratio_by_account[key] = ratio if known is None else _blend(known, ratio)
-        if len(self._ratio_by_account) > MAX_LENGTH_KEYS:
+        if len(self._ratio_by_account) > MAX_LENGTH_RATIOS:
             self._ratio_by_account.popitem(last=False)
 
 
 def _blend(known: float, observed: float) -> float:
-    return known + RATE_SHARE * (observed - known)
+    return known + SMOOTHING * (observed - known)
--- a/libs/admission/src/berylwalk/admission/_fair_queue.py
+++ b/libs/admission/src/berylwalk/admission/_fair_queue.py
@@ -1,4 +1,4 @@
-"""Deficit round robin between the client accounts of one tier."""
+"""Deficit round robin over the client accounts of one tier."""
 
 from collections import deque
 from dataclasses import dataclass, field
@@ -6,13 +6,13 @@
 
 from berylwalk.admission._deadline_heap import DeadlineHeap
 
-# Cost credited in each round to an account of weight 1, in seconds of service.
+# Credit of an account of weight 1 in each round, in seconds of service.
 QUANTUM_S = 0.125
 
 
 @dataclass(slots=True, eq=False)
 class AccountQueue:
-    """Waiting entries of one client account, earliest deadline first."""
+    """Queued entries of one client account, earliest deadline first."""
 
     client_account: str
     weight: float = 1.0
@@ -23,21 +23,21 @@
 
     @property
     def credit(self) -> float:
-        """Cost credited in each round."""
+        """Credit in each round, in seconds of service."""
         return QUANTUM_S * self.weight
 
     def rounds_needed(self, cost: float) -> int:
-        """Return how many credits are missing for an entry of this cost."""
+        """Return after how many rounds the account can afford an entry of this cost."""
         missing = cost - self.deficit
         return max(ceil(missing / self.credit), 0)
 
 
 class AccountRing:
-    """Accounts with waiting entries, in the order of their turns."""
+    """Accounts with queued entries, in round robin order."""
 
     def __init__(self) -> None:
         self._ring: deque[AccountQueue] = deque()
-        # Whether the account in front already got the credit of its turn.
+        # Whether the first account has been credited for the current round.
         self._front_credited = False
 
     def __len__(self) -> int:
@@ -47,22 +47,22 @@
         return iter(self._ring)
 
     def append(self, queue: AccountQueue) -> None:
-        """Add an account that has begun to wait."""
+        """Add an account whose first entry was queued."""
         queue.deficit = 0.0
         self._ring.append(queue)
 
     def remove(self, queue: AccountQueue) -> None:
-        """Remove an account that no longer waits; it keeps no credit."""
+        """Remove an account without queued entries; its credit is lost."""
         if self._ring[0] is queue:
             self._front_credited = False
         self._ring.remove(queue)
         queue.deficit = 0.0
 
     def select(self) -> AccountQueue:
-        """Return the account whose turn it is, with enough credit for its head.
+        """Return the account to serve next; its credit covers its first entry.
 
-        Rounds in which no account could afford its head are skipped in one
-        step, so that the cost is O(accounts) whatever the size of the work.
+        Rounds in which no account can afford its first entry are skipped in one
+        step, so that a call takes O(accounts) time for entries of any cost.
         """
         if self._front_credited and self._affords(self._ring[0]):
             return self._ring[0]
@@ -82,7 +82,7 @@
             self._front_credited = False
 
     def _next_turn(self) -> tuple[int, int]:
-        # A turn begins with a credit, so that each account takes at least one.
+        # An account is credited when its round begins, so it needs at least one.
         return min(
             (max(queue.rounds_needed(_head_cost(queue)), 1), position)
             for position, queue in enumerate(self._ring)
--- a/libs/admission/src/berylwalk/admission/_headroom.py
+++ b/libs/admission/src/berylwalk/admission/_headroom.py
@@ -1,37 +1,37 @@
-"""Slots that a tier may take while higher tiers keep their headroom."""
+"""Slots that a tier may use so that higher tiers keep their headroom."""
 
 from collections.abc import Iterable
 from math import ceil
 
 from berylwalk.model import TierPolicy
 
-# Keeps the rounding error of a sum of shares from reserving one slot too many.
-ROUNDING = 1e-9
+# Tolerance for rounding errors in the sum of shares.
+ROUNDING_TOLERANCE = 1e-9
 
 
 def tier_slot_limit(
     rank: int, limit: int, tiers: Iterable[TierPolicy], *, higher_active: bool
 ) -> int:
-    """Return how many slots may be in use for a tier to take one more.
+    """Return the number of slots that is open to a tier.
 
     Parameters
     ----------
     rank : int
-        Rank of the tier that asks.
+        Rank of the tier; 0 is the highest.
     limit : int
-        All slots of the target.
+        Concurrency limit of the target.
     tiers : iterable of TierPolicy
         The tiers in force.
     higher_active : bool
-        Whether anything of a higher tier runs or waits.
+        Whether a request of a higher tier runs or is queued.
 
     Returns
     -------
     int
         The tier may take a slot while fewer than this many are in use. At
-        least 1 when nothing higher is active.
+        least 1 when no higher tier is active.
     """
     share = sum(tier.headroom for tier in tiers if tier.rank < rank)
-    reserved = ceil(min(share, 1.0) * limit - ROUNDING)
+    reserved = ceil(min(share, 1.0) * limit - ROUNDING_TOLERANCE)
     least = 0 if higher_active else 1
     return max(limit - reserved, least)
--- a/libs/admission/src/berylwalk/admission/_limit_rules.py
+++ b/libs/admission/src/berylwalk/admission/_limit_rules.py
@@ -1,4 +1,4 @@
-"""Rules that adapt the slot limit; interchangeable, so that they compare."""
+"""Interchangeable rules that adapt a concurrency limit to observed latency."""
 
 from collections.abc import Callable
 from dataclasses import dataclass
@@ -9,15 +9,15 @@
 
 @dataclass(frozen=True, slots=True)
 class LoadSample:
-    """What was observed in one window.
+    """Load of the target, as observed in one window.
 
     Parameters
     ----------
     pressure : float
-        Observed time divided by its target; the larger of the token gap's and
-        the first token's. Above 1 the target is overloaded.
+        Observed latency divided by the wanted one; the larger of the ratios for
+        the token gap and the first token. Above 1 the target is overloaded.
     saturated : bool
-        Whether all slots were in use, so that more could have run.
+        Whether all slots were in use.
     """
 
     latency_ratio: float
@@ -25,11 +25,11 @@
 
 
 LimitRule = Callable[[float, LoadSample], float]
-"""From the limit and a sample to the next limit, before bounds apply."""
+"""Maps the limit and a sample to the next limit, before bounds apply."""
 
 
 def fixed() -> LimitRule:
-    """Return the rule that keeps the limit."""
+    """Return a rule that never changes the limit."""
 
     def next_limit(limit: float, sample: LoadSample) -> float:
         return limit
@@ -40,7 +40,7 @@
 def aimd(
     *, increase: float = 1.0, decrease: float = 0.9, growth: float = 0.1
 ) -> LimitRule:
-    """Return additive increase, multiplicative decrease.
+    """Return a rule of additive increase and multiplicative decrease.
 
     Parameters
     ----------
@@ -49,8 +49,8 @@
     decrease : float
         Factor applied in an overloaded window.
     growth : float
-        Share of the limit added instead, if it is more, while the observed time
-        is less than half of its target.
+        Share of the limit added instead, if it is more, while the latency ratio
+        is below `FAST_GROWTH_MAX_RATIO`.
     """
 
     def next_limit(limit: float, sample: LoadSample) -> float:
@@ -66,21 +66,21 @@
 
 
 def gradient(*, smoothing: float = 0.5, floor: float = 0.5) -> LimitRule:
-    """Return the rule that follows the ratio of the wanted to the observed time.
+    """Return a rule that follows the ratio of wanted to observed latency.
 
     Parameters
     ----------
     smoothing : float
-        Share of the new value, from 0 to 1.
+        Weight of the new value, from 0 to 1.
     floor : float
-        Least ratio, which bounds how far one window lowers the limit.
+        Least ratio; bounds how far one window lowers the limit.
     """
 
     def next_limit(limit: float, sample: LoadSample) -> float:
         ratio = 1.0 / max(sample.latency_ratio, 1.0)
-        wanted = limit * max(ratio, floor)
+        proposed = limit * max(ratio, floor)
         if sample.saturated and sample.latency_ratio <= 1.0:
-            wanted += sqrt(limit)
-        return limit + smoothing * (wanted - limit)
+            proposed += sqrt(limit)
+        return limit + smoothing * (proposed - limit)
 
     return next_limit
--- a/libs/admission/src/berylwalk/admission/_policies.py
+++ b/libs/admission/src/berylwalk/admission/_policies.py
@@ -1,4 +1,4 @@
-"""Combinations of the admission rules."""
+"""Combinations of admission rules."""
 
 from dataclasses import dataclass
 
@@ -12,20 +12,20 @@
 
 @dataclass(frozen=True, slots=True)
 class Policy:
-    """How an agent admits work.
+    """Rules by which an agent admits requests.
 
     Parameters
     ----------
     place_of : callable
-        Place of a waiting entry.
+        Computes the scheduling key of a queue entry.
     limit_rule : LimitRule
-        How the slot limit adapts.
+        Adapts the concurrency limit.
     headroom : bool
-        Whether lower tiers leave slots to higher ones.
+        Whether slots are reserved for higher tiers.
     deadlines : bool
-        Whether requests that cannot meet their deadline are refused.
-    slowness : bool
-        Whether a target slower than its own baseline gets a lower limit.
+        Whether requests that would miss their deadline are refused.
+    limit_stragglers : bool
+        Whether the limit of a target slower than its own baseline is lowered.
     """
 
     scheduling_key: SchedulingKeyFunction
@@ -47,7 +47,7 @@
 
 
 def fifo_policy() -> Policy:
-    """Return the baseline for benchmarks: arrival order, fixed limit."""
+    """Return the benchmark baseline: first in, first out, with a fixed limit."""
     return Policy(
         fifo_scheduling_key,
         fixed(),
--- a/libs/admission/src/berylwalk/admission/_queue_entries.py
+++ b/libs/admission/src/berylwalk/admission/_queue_entries.py
@@ -1,4 +1,4 @@
-"""Waiting entries and what decides about their turns."""
+"""Queue entries and the keys by which they are scheduled."""
 
 from collections.abc import Callable, Hashable
 from dataclasses import dataclass
@@ -7,36 +7,36 @@
 
 
 class EntryState(Enum):
-    """Where an entry of the waiting list stands."""
+    """State of an entry of the admission queue."""
 
     QUEUED = auto()
-    """It waits for its turn."""
+    """Queued."""
 
     TAKEN = auto()
-    """It has its turn; its account is charged."""
+    """Taken from the queue and charged to its account, but not yet removed."""
 
     PARKED = auto()
-    """It waits, but is passed over until it is put back."""
+    """Skipped until it is unparked; not charged."""
 
 
 @dataclass(slots=True, eq=False)
 class QueueEntry:
-    """One waiting request.
+    """Queued request.
 
     Parameters
     ----------
     key : hashable
-        Name of the request.
+        Identifier of the request.
     client_account : str
-        Whose request it is.
+        Client account of the request.
     rank : int
         Rank of its tier; 0 is the highest.
     weight : float
-        Share of the account.
+        Weight of the account.
     prompt_tokens, output_tokens : float
-        Expected size.
+        Expected size, in tokens.
     cost : float
-        Expected service time at nominal speed, in seconds.
+        Expected service time at nominal speed, in seconds of service.
     deadline_at : float
         Monotonic time, in seconds.
     """
@@ -54,18 +54,18 @@
 
 
 class SchedulingKey(NamedTuple):
-    """What decides about an entry's turn.
+    """Position of an entry in the order of service.
 
     Parameters
     ----------
     rank : int
-        Lower ranks go first.
+        Lower ranks are served first.
     client_account : str
-        Accounts of a rank share by deficit round robin.
+        Accounts of a rank are served by deficit round robin.
     weight : float
-        Share of the account.
-    urgency : float
-        The least goes first inside an account, ties in order of arrival.
+        Weight of the account.
+    sort_key : float
+        Order within an account, least first; ties are served in order of arrival.
     """
 
     rank: int
@@ -78,12 +78,12 @@
 
 
 def tiered_scheduling_key(entry: QueueEntry) -> SchedulingKey:
-    """Return the place by tier, account and deadline."""
+    """Order by tier, then fairly by account, then by deadline."""
     return SchedulingKey(
         entry.rank, entry.client_account, entry.weight, entry.deadline_at
     )
 
 
 def fifo_scheduling_key(entry: QueueEntry) -> SchedulingKey:
-    """Return the place of the first-in-first-out baseline."""
+    """Order by arrival (first in, first out)."""
     return SchedulingKey(0, "", 1.0, 0.0)
--- a/libs/admission/src/berylwalk/admission/_straggler.py
+++ b/libs/admission/src/berylwalk/admission/_straggler.py
@@ -2,10 +2,10 @@
 
 from dataclasses import dataclass
 
-RECENT_SHARE = 0.1
-BASELINE_SHARE = 0.02
-# While slow, the baseline follows so slowly that a fault isn't taken for normal.
-SLOW_BASELINE_SHARE = 0.0002
+RECENT_WEIGHT = 0.1
+BASELINE_WEIGHT = 0.02
+# Low, so that the baseline does not adapt to a persistent slowdown.
+SLOW_BASELINE_WEIGHT = 0.0002
 SLOW_RATIO = 2.0
 RECOVERED_RATIO = 1.4
 MIN_SAMPLES = 20
@@ -23,7 +23,7 @@
 
 
 class StragglerDetector:
-    """Compare recent token gaps with the baseline at the same batch size.
+    """Compare recent token gaps with their baseline at the same batch size.
 
     Parameters
     ----------
@@ -51,27 +51,27 @@
 
     @property
     def slowdown(self) -> float:
-        """How many times slower the target is; 1 unless it is slow."""
+        """Factor by which the target is slower than its baseline; 1 unless slow."""
         return max(self._ratio, 1.0) if self._slow else 1.0
 
     def observe(self, batch: int, gap_s: float) -> None:
-        """Record the time between two tokens of one answer at a batch size."""
+        """Record the time between two tokens of one response at a batch size."""
         bucket = batch.bit_length()
         gaps = self._gaps_by_bucket.get(bucket)
         if gaps is None:
             self._gaps_by_bucket[bucket] = _GapStats(gap_s, gap_s)
             return
         gaps.samples += 1
-        gaps.recent_s += RECENT_SHARE * (gap_s - gaps.recent_s)
-        gaps.baseline_s += self._baseline_share(gaps) * (gap_s - gaps.baseline_s)
+        gaps.recent_s += RECENT_WEIGHT * (gap_s - gaps.recent_s)
+        gaps.baseline_s += self._baseline_weight(gaps) * (gap_s - gaps.baseline_s)
         self._update_state(gaps)
 
-    def _baseline_share(self, gaps: _GapStats) -> float:
+    def _baseline_weight(self, gaps: _GapStats) -> float:
         if gaps.samples <= MIN_SAMPLES:
             return 1.0 / gaps.samples
         if self._slow or gaps.ratio > self._recovered_ratio:
-            return SLOW_BASELINE_SHARE
-        return BASELINE_SHARE
+            return SLOW_BASELINE_WEIGHT
+        return BASELINE_WEIGHT
 
     def _update_state(self, gaps: _GapStats) -> None:
         if gaps.samples <= MIN_SAMPLES:
--- a/libs/agent/src/berylwalk/agent/__init__.py
+++ b/libs/agent/src/berylwalk/agent/__init__.py
@@ -1,4 +1,4 @@
-"""The process beside each target: admission, dispatch and drain."""
+"""Agent: the sidecar process of a target that admits and dispatches its requests."""
 
 from berylwalk.agent._config import IDLE_TICK_S, PEER_TIMEOUT_S, TICK_S, AgentConfig
 from berylwalk.agent._daemon import AgentDaemon, run_agent
--- a/libs/agent/src/berylwalk/agent/_config.py
+++ b/libs/agent/src/berylwalk/agent/_config.py
@@ -8,7 +8,7 @@
 """Least time between two ticks, in seconds."""
 
 IDLE_TICK_S = 0.1
-"""Longest time between two ticks, in seconds."""
+"""Largest time between two ticks, in seconds."""
 
 PEER_TIMEOUT_S = 3.0
 RECORD_RETENTION_S = 600.0
@@ -18,7 +18,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class AgentConfig:
-    """What the state machine needs to know at start.
+    """Configuration of the state machine.
 
     Parameters
     ----------
@@ -27,31 +27,32 @@
     incarnation : int
         Wall-clock milliseconds at process start.
     failure_domain : str
-        Where the target is.
+        Failure domain of the target.
     resources : tuple of str
-        What the target serves.
+        Resources of the target.
     policy : Policy
-        Order, limit rule, headroom and deadlines.
+        Scheduling, limit rule, headroom and deadlines.
     initial_limit, min_limit, max_limit : int
-        Slot limit at start and its bounds.
+        Initial concurrency limit and its bounds.
     max_waiting : int
-        Longest waiting list.
-    targets : SlotTargets
-        Wanted speed of the target.
+        Largest number of queued reservations.
+    latency_targets : LatencyTargets
+        Wanted latency of the target.
     prefill_tokens_per_s, token_gap_s : float
-        Expected speed of the target.
+        Nominal speed of the target.
     ready_timeout_s : float
-        How long a slot is held for the grant, in seconds.
+        Time for which an offered slot is held for its grant, in seconds.
     ask_ahead : int
-        Slots that may be offered beyond the limit.
-    remember_s : float
-        How long a request that ended is remembered, in seconds.
-    max_remembered : int
-        Largest number of requests remembered.
+        Slots that may be offered beyond the concurrency limit.
+    retention_s : float
+        Time for which the record of an ended request is kept, in seconds.
+    max_attempt_records : int
+        Largest number of records of ended requests.
     peer_timeout_s : float
-        Silence after which a router loses its reservations, in seconds.
+        Time without a message after which a router counts as failed and loses its
+        reservations, in seconds.
     digest_interval_s : float
-        Least time between two digests pushed, in seconds.
+        Least time between two pushes of digests, in seconds.
     """
 
     agent_id: str
--- a/libs/agent/src/berylwalk/agent/_control.py
+++ b/libs/agent/src/berylwalk/agent/_control.py
@@ -1,4 +1,4 @@
-"""Datagrams between the agent and the routers."""
+"""Control datagrams between the agent and the routers."""
 
 from collections.abc import Callable
 
@@ -17,20 +17,20 @@
 class ControlChannel:
     """Sends and receives control datagrams.
 
-    Routers are answered at the address that their last datagram came from.
+    Datagrams to a router go to the source address of its last datagram.
 
     Parameters
     ----------
     endpoint : DatagramEndpoint
-        The socket.
+        Socket of the datagrams.
     agent_id : str
         Node identifier.
     incarnation : int
         Incarnation of the agent.
     settings : SettingsPuller
-        Told of the routers' settings versions.
+        Records the routers' settings versions.
     handle : callable
-        Takes the datagrams, as events.
+        Called with an event for each datagram.
     """
 
     def __init__(
@@ -50,7 +50,7 @@
         self._address_by_router: dict[str, tuple[str, int]] = {}
 
     def send(self, router: str, messages: tuple[ControlMessage, ...]) -> None:
-        """Send one datagram; to a router never heard of it is dropped."""
+        """Send one datagram; drop it if the address of the router is unknown."""
         address = self._address_by_router.get(router)
         if address is None:
             return
@@ -60,18 +60,18 @@
         self._endpoint.send(encode_datagram(datagram), address)
 
     async def run_receiver(self) -> None:
-        """Take datagrams in until the endpoint is closed."""
+        """Receive datagrams until the endpoint is closed."""
         async for received in self._endpoint:
             self.receive(received)
 
     def receive(self, received: Received) -> None:
-        """Take one datagram in."""
+        """Decode and handle one datagram; ignore an invalid one."""
         datagram = decode_datagram(received.payload)
         if datagram is None:
             return
         router = datagram.sender
         self._address_by_router[router] = received.address
-        # First, so that nothing is admitted by settings known to be old.
+        # First, so that no request is admitted with settings known to be outdated.
         self._settings.record_announcement(
             router, received.address[0], datagram.settings_version
         )
--- a/libs/agent/src/berylwalk/agent/_daemon.py
+++ b/libs/agent/src/berylwalk/agent/_daemon.py
@@ -1,4 +1,4 @@
-"""The agent's process: its parts, their start and their end."""
+"""Agent process: construction, start, drain and shutdown."""
 
 import time
 from collections.abc import Awaitable, Callable
@@ -36,17 +36,17 @@
 from berylwalk.transport import HttpServer
 
 DRAIN_LINGER_S = 1.0
-"""Time for which routers are still answered after the last request ended."""
+"""Time for which routers are still served after the last request ended, in seconds."""
 
 CLOSE_TIMEOUT_S = 5.0
-"""Longest wait for routers to read the ends of answers."""
+"""Longest time for routers to read the rest of their responses, in seconds."""
 
 
 class AgentDaemon:
-    """An agent.
+    """Agent process of one target.
 
-    Build it with :meth:`from_config`, then ``await start()``. Start and close
-    it in the same task.
+    Create it with :meth:`from_config`, then ``await start()``. Call `start` and
+    `close` in the same task.
 
     Parameters
     ----------
@@ -96,13 +96,13 @@
     def from_config(
         cls, settings: AgentSettings, *, incarnation: int | None = None
     ) -> Self:
-        """Build an agent; its incarnation is the present time by default."""
+        """Create an agent; its incarnation is the current time by default."""
         if incarnation is None:
             incarnation = int(time.time() * 1000)
         return cls(settings, incarnation=incarnation)
 
     async def start(self) -> None:
-        """Open all ports and start the background tasks.
+        """Bind all ports and start the background tasks.
 
         Raises
         ------
@@ -118,22 +118,21 @@
             self._task_group.start_soon(keep_running, name, task)
         await self._dispatch_server.start()
         await self._ops_server.start()
-        logging.info("agent %s is started", self._settings.node.id)
+        logging.info("agent %s started", self._settings.node.id)
 
     async def drain(self) -> None:
-        """Take no new work, and return when the requests that run have ended."""
+        """Refuse new work and return when all running requests have ended."""
         logging.info("draining")
         self._is_draining = True
         self._shell.handle(DrainRequested())
         await self._shell.drained.wait()
-        # Routers learn by digests that the agent leaves, and may still ask for
-        # the fate of an attempt.
+        # Routers learn of the drain from digests and may still query attempts.
         await sleep(DRAIN_LINGER_S)
         await self._dispatch_server.close(timeout_s=CLOSE_TIMEOUT_S)
         logging.info("drained")
 
     async def close(self) -> None:
-        """Stop at once; requests in progress are cut."""
+        """Stop immediately and abort the requests in progress."""
         with CancelScope(shield=True):
             await self._dispatch_server.close()
             await self._ops_server.close()
@@ -145,14 +144,18 @@
         self._tracing.close()
 
     def readiness(self) -> list[Finding]:
-        """Return why the agent admits nothing; empty when it is ready."""
+        """Return why the agent admits no requests; empty if it is ready."""
         findings = []
         if self._is_draining:
             findings.append(Finding("agent", "it is draining"))
         if not self._health.reachable:
-            findings.append(Finding("target", "it does not answer"))
+            findings.append(Finding("target", "it does not respond"))
         if not self._puller.is_usable:
-            findings.append(Finding("settings", "a newer version is not known yet"))
+            findings.append(
+                Finding(
+                    "settings", "an announced newer version has not been received yet"
+                )
+            )
         return findings
 
     def _new_health(self) -> TargetHealth:
@@ -220,7 +223,7 @@
 
 
 def run_agent(settings: AgentSettings) -> None:
-    """Run an agent until SIGTERM or SIGINT; the requests that run end first.
+    """Run an agent until SIGTERM or SIGINT, then drain it.
 
     Parameters
     ----------
--- a/libs/agent/src/berylwalk/agent/_digests.py
+++ b/libs/agent/src/berylwalk/agent/_digests.py
@@ -1,4 +1,4 @@
-"""Load digests: what routers are told, and when."""
+"""Load digests: their content and when they are pushed to routers."""
 
 from collections.abc import Sequence
 from math import inf
@@ -12,23 +12,23 @@
 
 MAX_RANKS = 64
 MAX_WAIT_MS = 3_600_000
-# Time between pushes for each router, which bounds the cost in a large fleet.
+# Bounds the rate of pushes to all routers together.
 PUSH_INTERVAL_PER_ROUTER_S = 0.01
 
 
 class DigestBuilder:
-    """Build digests, and tell when a change is worth a push.
+    """Builds digests and decides when a change is pushed.
 
     Parameters
     ----------
     config : AgentConfig
-        Failure domain and interval.
+        Failure domain and push interval.
     slots : Slots
-        Running requests and speed.
+        Running requests and observed speed.
     waiting : WaitingList
-        Waiting reservations.
+        Queue of reservations.
     target : Target
-        What the target serves.
+        Resources and state of the target.
     """
 
     def __init__(
@@ -47,7 +47,7 @@
         self._target = target
 
     def build(self) -> Digest:
-        """Return the digest of the present state."""
+        """Return a digest of the current state."""
         self._sequence += 1
         slots = self._slots
         target = self._target
@@ -78,13 +78,13 @@
         return self._slots.wait_s(ahead)
 
     def may_push(self, now: float) -> bool:
-        """Return whether a change may be waiting to be told, and it is time."""
+        """Return whether a change is unpushed and the push interval has passed."""
         if now - self._pushed_at < self._interval_s:
             return False
         return self._is_pending or self._state() != self._pushed_state
 
     def next_due(self) -> float:
-        """Return when a change is to be told next, in seconds."""
+        """Return when a change is to be pushed next, in seconds; inf if never."""
         if self._state() != self._pushed_state:
             return self._pushed_at + self._interval_s
         if not self._is_pending:
@@ -92,25 +92,25 @@
         return max(self._pending_at, self._pushed_at + self._interval_s)
 
     def due_routers(self, now: float, routers: Sequence[tuple[str, Peer]]) -> list[str]:
-        """Return the routers that are to be told of a change now.
+        """Return the routers to which a change is pushed now, and mark them.
 
         Parameters
         ----------
         now : float
             Monotonic time, in seconds.
         routers : sequence of (str, Peer)
-            Routers that want digests.
+            Routers that subscribed to digests.
         """
         state = self._state()
         if state != self._pushed_state:
             self._pushed_state = state
             self._changed_at = now
-        # Many routers would make even rare digests costly.
-        shared_s = len(routers) * PUSH_INTERVAL_PER_ROUTER_S
+        # Limits the push rate in a large fleet.
+        min_interval_s = len(routers) * PUSH_INTERVAL_PER_ROUTER_S
         pending = [item for item in routers if item[1].pushed_at < self._changed_at]
         due, later = [], []
         for router, peer in pending:
-            due_at = peer.pushed_at + max(peer.push_interval_s, shared_s)
+            due_at = peer.pushed_at + max(peer.push_interval_s, min_interval_s)
             if due_at <= now:
                 due.append((router, peer))
             else:
--- a/libs/agent/src/berylwalk/agent/_dispatch.py
+++ b/libs/agent/src/berylwalk/agent/_dispatch.py
@@ -1,4 +1,4 @@
-"""The dispatch endpoint: grants in, the target's answers out."""
+"""Dispatch endpoint: accepts grants and relays the responses of the target."""
 
 from collections.abc import Callable
 from time import monotonic
@@ -52,10 +52,10 @@
 SERVER_ERROR = 500
 MAX_BODY_BYTES = 64 << 20
 BODY_TIMEOUT_S = 60.0
-RETRY_AFTER_MS = 1000
-# Tokens that arrive close together are passed on as one piece.
+UNREACHABLE_RETRY_AFTER_MS = 1000
+# Chunks that arrive within this time are relayed as one.
 COALESCE_S = 0.005
-# Least time between two progress events of a request.
+# Least time between two progress events of a request, in seconds.
 PROGRESS_INTERVAL_S = 0.1
 
 
@@ -65,17 +65,17 @@
     Parameters
     ----------
     shell : AgentShell
-        Judges grants.
+        Admits grants.
     client : HttpClient
         Connections to the target.
     key : FleetKey
-        Opens grants.
+        Authenticates grants.
     target_url : str
         Base URL of the target.
     observer : DispatchObserver
-        Notes what becomes of grants.
+        Records the outcomes of grants.
     on_refused_connection : callable
-        Called when the target refused a connection.
+        Called when the target refuses a connection.
     clock : callable
         Monotonic clock, in seconds.
     """
@@ -100,20 +100,20 @@
         self._clock = clock
 
     async def __call__(self, scope: Scope, receive: Receive, send: Send) -> None:
-        """Answer one HTTP request."""
+        """Serve one HTTP request."""
         grant = grant_from_header(read_headers(scope).get(GRANT_HEADER, ""), self._key)
         if grant is None:
-            await _send_error(send, 403, "no valid grant")
+            await _send_error(send, 403, "grant is missing or invalid")
             return
         body = await read_body(receive, MAX_BODY_BYTES, BODY_TIMEOUT_S)
         if isinstance(body, BodyFailure):
             raise AbortConnection
         if self._key.digest(body) != grant.body_digest:
-            await _send_error(send, 403, "the body does not belong to the grant")
+            await _send_error(send, 403, "request body does not match the grant")
             return
         if await _is_disconnected(receive):
-            # A process that was stopped for a while wakes up with grants whose
-            # routers have given up; as long as none ran, that can be told.
+            # After a suspension of the process, grants arrive whose routers have
+            # already disconnected. They are not run.
             raise AbortConnection
         refusal = self._shell.admit(grant)
         if refusal is not None:
@@ -135,13 +135,13 @@
         try:
             end = await self._relay_until_disconnect(call, body, receive, send)
         finally:
-            # The slot is free, or the attempt dead, before the router learns it.
+            # Free the slot, or tombstone the attempt, before the router is notified.
             self._shell.handle(DispatchEnded(grant.request_id, end))
             self._observer.ended(call, end)
         if end is DispatchEnd.COMPLETE:
             await send_end(send)
         elif end is DispatchEnd.NOT_SENT:
-            refusal = Refusal(RefusalReason.NOT_SERVED, RETRY_AFTER_MS)
+            refusal = Refusal(RefusalReason.NOT_SERVED, UNREACHABLE_RETRY_AFTER_MS)
             await self._refuse(grant, refusal, send)
         else:
             raise AbortConnection
@@ -174,7 +174,7 @@
         try:
             return await self._relay_response(call, stream, send, sent_at)
         except StreamBrokenError as error:
-            logging.warning("answer of %s broke: %s", grant.request_id, error)
+            logging.warning("response of %s ended early: %s", grant.request_id, error)
             return DispatchEnd.BROKEN
         finally:
             with CancelScope(shield=True):
@@ -193,18 +193,18 @@
         await send_start(send, stream.status, response_headers(stream.headers))
         sender = chunk_sender(send)
 
-        def try_take(chunk: bytes) -> bool:
+        def try_forward(chunk: bytes) -> bool:
             if sender is None or not sender.is_ready():
                 return False
             progress.add(meter.feed(chunk), is_stream=meter.is_stream)
             sender.write(chunk)
             return True
 
-        async def take(chunk: bytes) -> None:
+        async def forward(chunk: bytes) -> None:
             progress.add(meter.feed(chunk), is_stream=meter.is_stream)
             await send_chunk(send, chunk)
 
-        await stream.forward(try_take, take)
+        await stream.forward(try_forward, forward)
         if not meter.is_complete:
             logging.warning("stream of %s has no end marker", call.grant.request_id)
             return DispatchEnd.BROKEN
@@ -218,7 +218,7 @@
         ]
         statement = read_statement(stream.status, headers)
         if statement.problem:
-            logging.warning("the target states: %s", statement.problem)
+            logging.warning("invalid signal of the target: %s", statement.problem)
         if not statement.is_plain or self._shell.machine.has_active_signals:
             was_accepted = (
                 stream.status < SERVER_ERROR and stream.status != TOO_MANY_REQUESTS
@@ -226,7 +226,7 @@
             self._shell.handle(TargetSignalsReceived(statement, sent_at, was_accepted))
 
     def _handle_failure(self, grant: Grant, failure: RequestFailed) -> DispatchEnd:
-        logging.warning("call of %s failed: %s", grant.request_id, failure.reason)
+        logging.warning("request %s failed: %s", grant.request_id, failure.reason)
         if failure.state is SendState.NOT_SENT:
             self._on_refused_connection()
             return DispatchEnd.NOT_SENT
@@ -234,7 +234,7 @@
 
 
 class _Progress:
-    """Reports the tokens of one answer, a few times a second at most."""
+    """Reports the tokens of one response at a limited rate."""
 
     def __init__(
         self,
@@ -252,7 +252,7 @@
         self._next_report_at = 0.0
 
     def add(self, tokens: int, *, is_stream: bool) -> None:
-        """Count the tokens of a piece."""
+        """Count the tokens of a chunk."""
         self._call.tokens += tokens
         if not self._first_chunk_seen:
             self._first_chunk_seen = True
@@ -265,7 +265,7 @@
             self._report(self._unreported, first=False)
 
     def finish(self, reported_tokens: int) -> None:
-        """Report what is left; an unstreamed answer gives its tokens here."""
+        """Report remaining tokens, or those of a response that is no stream."""
         self._call.tokens += reported_tokens
         tokens = self._unreported + reported_tokens
         if tokens:
@@ -278,7 +278,7 @@
 
 
 async def _is_disconnected(receive: Receive) -> bool:
-    # The loop needs a turn to see the end of a connection behind its data.
+    # The event loop processes the end of a connection after its buffered data.
     for _ in range(LOOP_PASSES_TO_SEE_DISCONNECT):
         await sleep(0)
     with move_on_after(0):
@@ -292,7 +292,7 @@
     while (await receive())["type"] != DISCONNECT:
         pass
     call.caller_gone = True
-    # What must not be repeated runs to its end, so that its outcome is known.
+    # A request that is not idempotent runs to completion, so that its outcome is known.
     if call.grant.idempotent:
         scope.cancel()
 
--- a/libs/agent/src/berylwalk/agent/_dispatch_headers.py
+++ b/libs/agent/src/berylwalk/agent/_dispatch_headers.py
@@ -1,4 +1,4 @@
-"""Headers that go to the target and back."""
+"""Headers of requests to the target and of responses to the router."""
 
 from collections.abc import Mapping
 
@@ -9,10 +9,10 @@
 REFUSED_HEADER = "berylwalk-refused"
 REQUEST_ID_HEADER = b"berylwalk-request-id"
 TRACEPARENT_HEADER = b"traceparent"
-DISPATCHED = (b"berylwalk-dispatched", b"1")
+DISPATCHED_HEADER = (b"berylwalk-dispatched", b"1")
 RESERVED_PREFIX = "berylwalk-"
 
-_NOT_TO_TARGET = frozenset(
+_NOT_FORWARDED_TO_TARGET = frozenset(
     {
         "connection",
         "content-length",
@@ -25,25 +25,25 @@
         "upgrade",
     }
 )
-_NOT_TO_ROUTER = frozenset(
+_NOT_FORWARDED_TO_ROUTER = frozenset(
     {"connection", "keep-alive", "te", "trailer", "transfer-encoding", "upgrade"}
 )
 
 
 def target_headers(grant: Grant, traceparent: str) -> list[Header]:
-    """Return the headers of the call to the target.
+    """Return the headers of the request to the target.
 
     Parameters
     ----------
     grant : Grant
-        The call.
+        Grant of the request.
     traceparent : str
-        W3C trace context of the hop.
+        W3C trace context of the span.
     """
     headers = [
         (name.encode("latin-1"), value.encode("latin-1"))
         for name, value in grant.headers
-        if _is_forwarded(name, _NOT_TO_TARGET)
+        if _is_forwarded(name, _NOT_FORWARDED_TO_TARGET)
     ]
     headers.append((REQUEST_ID_HEADER, str(grant.request_id).encode("latin-1")))
     if traceparent:
@@ -52,21 +52,21 @@
 
 
 def response_headers(headers: Mapping[str, str]) -> list[Header]:
-    """Return the headers of the answer to the router.
+    """Return the headers of the response to the router.
 
     Parameters
     ----------
     headers : mapping of str to str
-        The target's, by lower-case name.
+        Response headers of the target, by lower-case name.
     """
-    passed = [
+    forwarded = [
         (name.encode("latin-1"), value.encode("latin-1"))
         for name, value in headers.items()
-        if _is_forwarded(name, _NOT_TO_ROUTER)
+        if _is_forwarded(name, _NOT_FORWARDED_TO_ROUTER)
     ]
-    return [DISPATCHED, *passed]
+    return [DISPATCHED_HEADER, *forwarded]
 
 
-def _is_forwarded(name: str, withheld: frozenset[str]) -> bool:
+def _is_forwarded(name: str, excluded: frozenset[str]) -> bool:
     lower = name.lower()
-    return lower not in withheld and not lower.startswith(RESERVED_PREFIX)
+    return lower not in excluded and not lower.startswith(RESERVED_PREFIX)
--- a/libs/agent/src/berylwalk/agent/_dispatch_observer.py
+++ b/libs/agent/src/berylwalk/agent/_dispatch_observer.py
@@ -1,4 +1,4 @@
-"""Metrics, log lines and spans of dispatched and refused requests."""
+"""Metrics, log events and spans of dispatched and refused requests."""
 
 from collections.abc import Callable
 from dataclasses import dataclass
@@ -13,20 +13,20 @@
 
 @dataclass(slots=True)
 class DispatchedCall:
-    """A call to the target in progress.
+    """Dispatched request in progress.
 
     Parameters
     ----------
     grant : Grant
-        The call.
+        Grant of the request.
     hop : Hop
-        Its span.
+        Span of the request.
     started_at : float
         Monotonic time of the dispatch, in seconds.
     status : int
-        The target's status; 0 before it arrives.
+        HTTP status of the target; 0 before the response.
     tokens : int
-        Output tokens so far.
+        Output tokens received so far.
     caller_gone : bool
         Whether the router closed the connection.
     """
@@ -40,16 +40,16 @@
 
 
 class DispatchObserver:
-    """Notes what becomes of grants.
+    """Records metrics, log events and spans of grants.
 
     Parameters
     ----------
     metrics : AgentMetrics
-        Counters and gauges.
+        Metrics to update.
     tracing : Tracing
         Starts spans.
     machine : AgentMachine
-        Its read-only properties feed the gauges.
+        Source of the gauges.
     clock : callable
         Monotonic clock, in seconds.
     """
@@ -68,7 +68,7 @@
         self._clock = clock
 
     def started(self, grant: Grant) -> DispatchedCall:
-        """Note a dispatch and start its span."""
+        """Record a dispatch and start its span."""
         attributes = {
             "berylwalk.request_id": str(grant.request_id),
             "berylwalk.attempt": grant.attempt,
@@ -78,13 +78,13 @@
         return DispatchedCall(grant, hop, self._clock())
 
     def first_chunk(self, call: DispatchedCall) -> None:
-        """Note the first piece of an answer."""
+        """Record the first chunk of a response."""
         elapsed_s = self._clock() - call.started_at
         tier = self._tier_name(call.grant)
         self._metrics.first_token_seconds.labels(tier).observe(elapsed_s)
 
     def ended(self, call: DispatchedCall, end: DispatchEnd) -> None:
-        """Note the end of a dispatch."""
+        """Record the end of a dispatch."""
         grant = call.grant
         tier = self._tier_name(grant)
         elapsed_s = self._clock() - call.started_at
@@ -112,13 +112,13 @@
         )
 
     def refused(self, grant: Grant, refusal: Refusal) -> None:
-        """Note a refused grant."""
+        """Record a refused grant."""
         reason = refusal.reason
         self._metrics.refusals.labels(self._tier_name(grant), reason.value).inc()
-        # Usual under load, and followed by a reservation.
-        is_usual = reason is RefusalReason.NO_SLOT
+        # Expected under load; the router reserves a slot instead.
+        is_expected = reason is RefusalReason.NO_SLOT
         log_event(
-            Level.DEBUG if is_usual else Level.INFO,
+            Level.DEBUG if is_expected else Level.INFO,
             "grant-refused",
             request_id=str(grant.request_id),
             attempt=grant.attempt,
@@ -126,7 +126,7 @@
         )
 
     def update_gauges(self, settings_version: int) -> None:
-        """Copy the present state into the metrics."""
+        """Set the gauges to the current state."""
         metrics = self._metrics
         metrics.limit.set(self._machine.limit)
         metrics.settings_version.set(settings_version)
--- a/libs/agent/src/berylwalk/agent/_events.py
+++ b/libs/agent/src/berylwalk/agent/_events.py
@@ -10,16 +10,16 @@
 
 @dataclass(frozen=True, slots=True)
 class DatagramArrived:
-    """A datagram of a router was opened and decoded."""
+    """A datagram of a router arrived and was decrypted and decoded."""
 
     datagram: Datagram
 
 
 @dataclass(frozen=True, slots=True)
 class GrantArrived:
-    """A grant and its body arrived.
+    """A grant arrived together with its request body.
 
-    Answered by exactly one `StartDispatch` or `RefuseGrant` in the same step.
+    Handling it returns exactly one `StartDispatch` or `RefuseGrant`.
     """
 
     grant: Grant
@@ -27,16 +27,16 @@
 
 @dataclass(frozen=True, slots=True)
 class TargetProgress:
-    """The target sent a piece of the answer.
+    """The target sent a chunk of a response.
 
     Parameters
     ----------
     request_id : RequestId
-        Whose answer it is.
+        Request of the response.
     first : bool
-        Whether it is the first piece.
+        Whether it is the first chunk.
     tokens : int
-        Tokens in the piece, estimated by the shell; 1 when unknown.
+        Tokens of the chunk, as estimated; 1 if unknown.
     """
 
     request_id: RequestId
@@ -46,16 +46,16 @@
 
 @dataclass(frozen=True, slots=True)
 class TargetSignalsReceived:
-    """The head of an answer came, with what it states of the target.
+    """The headers of a response arrived, with flow control signals of the target.
 
     Parameters
     ----------
     statement : TargetStatement
-        What it states.
+        Signals in the headers.
     sent_at : float
-        When its request was sent, in seconds.
-    is_taken : bool
-        Whether the target took the request.
+        Monotonic time at which the request was sent, in seconds.
+    was_accepted : bool
+        Whether the target accepted the request.
     """
 
     statement: TargetStatement
@@ -64,18 +64,18 @@
 
 
 class DispatchEnd(StrEnum):
-    """How a dispatched call ended."""
+    """Outcome of a dispatched request."""
 
     COMPLETE = "complete"
     BROKEN = "broken"
     CALLER_GONE = "caller-gone"
     NOT_SENT = "not-sent"
-    """Nothing was sent to the target: the attempt did not run and is dead."""
+    """Nothing was sent to the target; the attempt did not run and never will."""
 
 
 @dataclass(frozen=True, slots=True)
 class DispatchEnded:
-    """The call to the target ended; its slot is free."""
+    """A dispatched request ended and its slot is free."""
 
     request_id: RequestId
     end: DispatchEnd
@@ -83,7 +83,7 @@
 
 @dataclass(frozen=True, slots=True)
 class TiersChanged:
-    """A newer settings version is in force."""
+    """A settings version with these tiers is in force."""
 
     version: int
     tiers: tuple[TierPolicy, ...]
@@ -91,7 +91,7 @@
 
 @dataclass(frozen=True, slots=True)
 class TargetChanged:
-    """What the target serves, or whether it can be reached, changed."""
+    """The resources or the reachability of the target changed."""
 
     resources: tuple[str, ...]
     reachable: bool = True
@@ -99,12 +99,12 @@
 
 @dataclass(frozen=True, slots=True)
 class DrainRequested:
-    """Take no new work; finish what runs."""
+    """The agent was asked to refuse new work and finish running requests."""
 
 
 @dataclass(frozen=True, slots=True)
 class Tick:
-    """Time passed; sent when a timer is due and each `IDLE_TICK_S` seconds."""
+    """A timer is due, or `IDLE_TICK_S` passed since the last tick."""
 
 
 AgentEvent = (
@@ -122,7 +122,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SendToRouter:
-    """Send messages to a router in one datagram; it may be lost."""
+    """Send messages to a router in one datagram, without delivery guarantee."""
 
     router: str
     messages: tuple[ControlMessage, ...]
@@ -130,14 +130,14 @@
 
 @dataclass(frozen=True, slots=True)
 class StartDispatch:
-    """Call the target now; the grant is used up."""
+    """Send the granted request to the target now; the grant is used up."""
 
     grant: Grant
 
 
 @dataclass(frozen=True, slots=True)
 class RefuseGrant:
-    """Answer the grant's HTTP request with a refusal; it will never run."""
+    """Respond to the grant's HTTP request with a refusal; its attempt never runs."""
 
     grant: Grant
     refusal: Refusal
@@ -145,7 +145,7 @@
 
 @dataclass(frozen=True, slots=True)
 class DrainFinished:
-    """Nothing runs any more after a `DrainRequested`."""
+    """All running requests ended after a `DrainRequested`."""
 
 
 AgentAction = SendToRouter | StartDispatch | RefuseGrant | DrainFinished
--- a/libs/agent/src/berylwalk/agent/_grants.py
+++ b/libs/agent/src/berylwalk/agent/_grants.py
@@ -1,4 +1,4 @@
-"""Whether a grant is dispatched: the only place where that is decided."""
+"""Admission of grants: the only place that decides whether one is dispatched."""
 
 from berylwalk.admission import EntryState
 from berylwalk.agent._attempt_registry import AttemptRegistry
@@ -12,7 +12,7 @@
 
 
 class GrantHandler:
-    """Judges grants and records what comes of them.
+    """Admits or refuses grants and records the decisions.
 
     Parameters
     ----------
@@ -20,12 +20,12 @@
         Identity and incarnation.
     slots : Slots
         Slots of the target.
-    ledger : Ledger
-        Memory of attempts.
+    attempts : AttemptRegistry
+        Known attempts.
     reservations : Reservations
-        Reservations that grants answer.
+        Reservations of the agent.
     target : Target
-        What the target serves.
+        Resources and state of the target.
     """
 
     def __init__(
@@ -45,23 +45,23 @@
     def admit(
         self, grant: Grant, now: float, *, is_stale_router: bool
     ) -> Refusal | None:
-        """Use up a grant.
+        """Admit or refuse a grant; either uses it up.
 
         Parameters
         ----------
         grant : Grant
-            The grant that arrived.
+            The grant.
         now : float
             Monotonic time, in seconds.
         router_gone : bool
-            Whether a later incarnation of its router is known.
+            Whether a newer incarnation of its router is known.
 
         Returns
         -------
         Refusal or None
-            Why it does not run; None when it is dispatched.
+            Why the grant is refused; None if it is dispatched.
         """
-        reason = self._judge(grant, now, is_stale_router)
+        reason = self._refusal_reason(grant, now, is_stale_router)
         if reason is None:
             self._dispatch(grant, now)
             return None
@@ -69,7 +69,7 @@
         retry_ms = self._reservations.retry_after_ms(reason, grant.tier_rank)
         return Refusal(reason, retry_ms)
 
-    def _judge(
+    def _refusal_reason(
         self, grant: Grant, now: float, is_stale_router: bool
     ) -> RefusalReason | None:
         if (grant.agent, grant.agent_incarnation) != self._identity:
@@ -111,7 +111,7 @@
             if reservation.state is EntryState.TAKEN:
                 return True
             return self._slots.may_overcommit(rank, waiting.highest_rank())
-        # An earlier attempt must not stand in the way of its own successor.
+        # An earlier attempt must not block its own successor.
         self._cancel_earlier(grant, reservation, now)
         if waiting.has_entry_ahead(rank):
             return False
--- a/libs/agent/src/berylwalk/agent/_health.py
+++ b/libs/agent/src/berylwalk/agent/_health.py
@@ -1,4 +1,4 @@
-"""What the target serves, found out by asking it now and then."""
+"""Health checks: polls the target for its resources and reachability."""
 
 from collections.abc import Callable
 
@@ -12,7 +12,7 @@
 POLL_INTERVAL_S = 1.0
 STARTUP_POLL_INTERVAL_S = 0.1
 POLL_TIMEOUT_S = 2.0
-# An answer may be late under load; a refused connection is certain.
+# A loaded target may respond late; a refused connection counts at once.
 MAX_MISSED_POLLS = 3
 OK = 200
 
@@ -26,7 +26,7 @@
 
 
 class TargetHealth:
-    """Polls the target and reports what it serves.
+    """Polls the target for its resources and reachability.
 
     Parameters
     ----------
@@ -35,7 +35,7 @@
     url : str
         Base URL of the target.
     models, services : tuple of str
-        What the settings say that it serves.
+        Models and services of the target according to the settings.
     on_change : callable
         Called after `resources` or `reachable` changed.
 
@@ -44,7 +44,7 @@
     resources : tuple of str
         ``model:NAME`` and ``service:NAME``.
     reachable : bool
-        Whether the target answers.
+        Whether the target responds.
     """
 
     def __init__(
@@ -66,26 +66,26 @@
         self.reachable = False
 
     async def run(self) -> None:
-        """Poll until cancelled; more often until the target first answers."""
+        """Poll until cancelled, more often while the target is unreachable."""
         while True:
             await self.poll()
             await sleep(POLL_INTERVAL_S if self.reachable else STARTUP_POLL_INTERVAL_S)
 
     async def poll(self) -> None:
-        """Ask the target once."""
-        answer = await self._client.request(
+        """Poll the target once."""
+        response = await self._client.request(
             "GET", self._url, read_timeout_s=POLL_TIMEOUT_S
         )
-        if isinstance(answer, RequestFailed):
-            self._note_failure(answer)
+        if isinstance(response, RequestFailed):
+            self._handle_failure(response)
         else:
-            self._note_answer(answer)
+            self._handle_response(response)
 
     def mark_unreachable(self) -> None:
-        """Note that the target refused a connection."""
+        """Mark the target unreachable, after it refused a connection."""
         self._update(self.resources, reachable=False)
 
-    def _note_failure(self, failure: RequestFailed) -> None:
+    def _handle_failure(self, failure: RequestFailed) -> None:
         self._missed_polls += 1
         if (
             failure.state is SendState.NOT_SENT
@@ -93,11 +93,11 @@
         ):
             self._update(self.resources, reachable=False)
 
-    def _note_answer(self, answer: HttpResponse) -> None:
+    def _handle_response(self, response: HttpResponse) -> None:
         self._missed_polls = 0
         models = self._models
-        if models and answer.status == OK:
-            models = _model_names(answer.body) or models
+        if models and response.status == OK:
+            models = _model_names(response.body) or models
         self._update(resource_names(models, self._services), reachable=True)
 
     def _update(self, resources: tuple[str, ...], *, reachable: bool) -> None:
@@ -119,7 +119,7 @@
 def resource_names(
     models: tuple[str, ...], services: tuple[str, ...]
 ) -> tuple[str, ...]:
-    """Return the resources that models and services stand for."""
+    """Return the resource names of models and services."""
     named_models = (f"model:{name}" for name in models)
     named_services = (f"service:{name}" for name in services)
     return (*named_models, *named_services)
--- a/libs/agent/src/berylwalk/agent/_machine.py
+++ b/libs/agent/src/berylwalk/agent/_machine.py
@@ -40,7 +40,7 @@
 
 
 class AgentMachine:
-    """Decides what reaches the target, without I/O.
+    """Decides which requests reach the target; performs no I/O.
 
     Parameters
     ----------
@@ -73,32 +73,32 @@
 
     @classmethod
     def from_config(cls, config: AgentConfig) -> "AgentMachine":
-        """Construct from a configuration."""
+        """Create the state machine."""
         return cls(config)
 
     @property
     def running_count(self) -> int:
-        """Requests dispatched and not ended."""
+        """Number of running requests."""
         return len(self._slots.running_by_id)
 
     @property
     def ready_count(self) -> int:
-        """Slots held for grants."""
+        """Number of slots that are held for grants."""
         return self._slots.held
 
     @property
     def waiting_count(self) -> int:
-        """Reservations that wait."""
+        """Number of queued reservations."""
         return len(self._reservations.waiting)
 
     @property
     def limit(self) -> int:
-        """Slots of the target at present."""
+        """Concurrency limit in force."""
         return self._slots.limit
 
     @property
     def has_active_signals(self) -> bool:
-        """Whether an answer that states nothing of the target would be news."""
+        """Whether a response without signals would end a rate limit or backoff."""
         return self._slots.has_active_signals
 
     @property
@@ -107,7 +107,7 @@
         return self._slots.straggler.slow
 
     def waiting_by_rank(self) -> dict[int, int]:
-        """Return the number of waiting reservations by rank."""
+        """Return the number of queued reservations by rank."""
         return self._reservations.waiting.count_by_rank()
 
     def running_by_rank(self) -> dict[int, int]:
@@ -121,7 +121,7 @@
         return next(names, str(rank))
 
     def next_due(self, now: float) -> float:
-        """Return when a `Tick` is needed next; one each `IDLE_TICK_S` is besides.
+        """Return when a `Tick` is needed next, in addition to those each `IDLE_TICK_S`.
 
         Parameters
         ----------
@@ -145,17 +145,17 @@
         Parameters
         ----------
         event : AgentEvent
-            What happened.
+            Event to handle.
         now : float
             Monotonic time, in seconds.
 
         Returns
         -------
         list of AgentAction
-            What the shell must do, in this order.
+            Actions for the shell to perform, in this order.
         """
         if isinstance(event, TargetProgress):
-            # By far the most frequent event; it changes nothing to act on.
+            # By far the most frequent event; it causes no action.
             self._slots.progress(event, now)
             return []
         self._slots.set_time(now)
@@ -195,15 +195,15 @@
 
     def _judge_grant(self, grant: Grant, now: float) -> StartDispatch | RefuseGrant:
         router, incarnation, _ = grant.request_id
-        heard = self._record_message(router, incarnation, now)
+        status = self._record_message(router, incarnation, now)
         refusal = self._grants.admit(
-            grant, now, is_stale_router=heard is IncarnationStatus.STALE
+            grant, now, is_stale_router=status is IncarnationStatus.STALE
         )
         return StartDispatch(grant) if refusal is None else RefuseGrant(grant, refusal)
 
     def _receive(self, datagram: Datagram, now: float) -> None:
-        heard = self._record_message(datagram.sender, datagram.incarnation, now)
-        if heard is IncarnationStatus.STALE:
+        status = self._record_message(datagram.sender, datagram.incarnation, now)
+        if status is IncarnationStatus.STALE:
             return
         for message in datagram.messages:
             if isinstance(message, Hello):
@@ -215,8 +215,8 @@
     def _record_message(
         self, router: str, incarnation: int, now: float
     ) -> IncarnationStatus:
-        heard = self._peers.record_message(router, incarnation, now)
-        if heard is IncarnationStatus.REPLACED:
+        status = self._peers.record_message(router, incarnation, now)
+        if status is IncarnationStatus.REPLACED:
             self._reservations.refuse_all(
                 RefusalReason.TOMBSTONE,
                 now,
@@ -225,7 +225,7 @@
                     and reservation.key.incarnation != incarnation
                 ),
             )
-        return heard
+        return status
 
     def _end_dispatch(
         self, request_id: RequestId, end: DispatchEnd, now: float
@@ -245,7 +245,7 @@
             self._reservations.refuse_all(
                 RefusalReason.TOMBSTONE,
                 now,
-                where=lambda reservation, gone=router: reservation.router == gone,
+                where=lambda reservation, failed=router: reservation.router == failed,
             )
         self._reservations.refuse_overdue(now)
         self._slots.update_limit(now)
@@ -255,7 +255,7 @@
         self, resources: tuple[str, ...], reachable: bool, now: float
     ) -> None:
         if reachable and not self._target.reachable:
-            # What it said before it was away may be of its last life.
+            # The target may have restarted, so earlier signals may be obsolete.
             self._slots.reset_flow_control()
             self._target.target_leaving = False
         self._target.resources = resources
--- a/libs/agent/src/berylwalk/agent/_messages.py
+++ b/libs/agent/src/berylwalk/agent/_messages.py
@@ -1,4 +1,4 @@
-"""Answers to the reservations, withdrawals and revocations of routers."""
+"""Handling of reservations, withdrawals and revocations of routers."""
 
 from berylwalk.agent._attempt_registry import AttemptRegistry
 from berylwalk.agent._outbox import Outbox
@@ -16,18 +16,18 @@
 
 
 class MessageHandler:
-    """Handles the messages that concern one request each.
+    """Handles messages about single requests.
 
     Parameters
     ----------
-    ledger : Ledger
-        Memory of attempts.
+    attempts : AttemptRegistry
+        Known attempts.
     reservations : Reservations
-        All reservations.
+        Reservations of the agent.
     target : Target
-        What the target serves.
+        Resources and state of the target.
     outbox : Outbox
-        Takes the answers.
+        Takes the replies.
     """
 
     def __init__(
@@ -43,7 +43,7 @@
         self._outbox = outbox
 
     def handle(self, message: ControlMessage, now: float) -> None:
-        """Handle one message of the current incarnation of a router."""
+        """Handle a message of the current incarnation of a router."""
         match message:
             case Reserve():
                 self._reserve(message, now)
@@ -56,7 +56,7 @@
     def _reserve(self, message: Reserve, now: float) -> None:
         request_id = message.request_id
         if self._attempts.is_dispatched(request_id):
-            # A late copy; "did not run" would be untrue.
+            # A delayed duplicate. A refusal would claim that the request did not run.
             return
         reservation = self._reservations.get(request_id)
         if self._attempts.is_tombstoned(request_id, message.attempt):
@@ -81,7 +81,7 @@
         self._send_refused(message, reason)
 
     def _has_room_again(self, reason: RefusalReason, rank: int) -> bool:
-        # The router must not shed a request for a lack of room that has passed.
+        # Otherwise the router would shed a request although the queue has space again.
         return reason in _QUEUE_SPACE_REASONS and self._reservations.has_room(rank)
 
     def _send_refused(self, message: Reserve, reason: RefusalReason) -> None:
@@ -95,7 +95,7 @@
             return
         is_known = self._reservations.get(request_id) is not None
         if not is_known and self._attempts.may_be_pruned(request_id):
-            # It may have run before it was pruned: no answer is true.
+            # It may have run before its record was pruned, so neither reply is safe.
             return
         self._reservations.cancel(request_id, attempt, now)
         self._send_revoke_result(request_id, attempt, ran=False)
--- a/libs/agent/src/berylwalk/agent/_orders.py
+++ b/libs/agent/src/berylwalk/agent/_orders.py
@@ -1,4 +1,4 @@
-"""The orders endpoint: fenced orders in, calls to the target out."""
+"""Orders endpoint: passes fenced orders to the target."""
 
 from dataclasses import dataclass
 
@@ -33,24 +33,24 @@
 MAX_ORDER_BYTES = 16 << 10
 BODY_TIMEOUT_S = 5.0
 ORDER_TIMEOUT_S = 600.0
-"""Loading a large model takes minutes."""
+"""Long, because loading a large model takes minutes."""
 
 
 @dataclass(frozen=True, slots=True)
 class TargetOrder:
-    """The HTTP call that carries an order to the target."""
+    """HTTP request that carries an order to the target."""
 
     path: str
     body: dict[str, str]
 
 
 def target_order(order: Order) -> TargetOrder:
-    """Return the call for an order, in the form that engines publish.
+    """Return the request for an order.
 
     Parameters
     ----------
     order : Order
-        The order; adapters use the paths of vLLM's server.
+        The order. Adapters use the API of the vLLM server.
     """
     match order.kind:
         case OrderKind.LOAD_ADAPTER:
@@ -66,7 +66,7 @@
 
 
 class OrderCaller:
-    """Passes orders to the target over HTTP.
+    """Sends orders to the target over HTTP.
 
     Parameters
     ----------
@@ -81,25 +81,25 @@
         self._target_url = target_url.rstrip("/")
 
     async def forward(self, order: Order) -> OrderResult:
-        """Send one order and return what the target made of it."""
-        call = target_order(order)
-        answer = await self._client.request(
+        """Send an order and return its result."""
+        request = target_order(order)
+        response = await self._client.request(
             "POST",
-            self._target_url + call.path,
+            self._target_url + request.path,
             headers=(
                 ("Content-Type", "application/json"),
                 (FENCING_HEADER, str(order.fencing)),
             ),
-            body=msgspec.json.encode(call.body),
+            body=msgspec.json.encode(request.body),
             read_timeout_s=ORDER_TIMEOUT_S,
         )
-        if isinstance(answer, RequestFailed):
-            return _failed(answer)
-        if answer.status == 200:
+        if isinstance(response, RequestFailed):
+            return _failed(response)
+        if response.status == 200:
             return OrderResult(OrderOutcome.DONE)
-        text = answer.body.decode(errors="replace")
-        detail = f"the target answered {answer.status}: {text}"
-        if answer.status < 500:
+        text = response.body.decode(errors="replace")
+        detail = f"the target responded with {response.status}: {text}"
+        if response.status < 500:
             return OrderResult(OrderOutcome.REFUSED, detail)
         return OrderResult(OrderOutcome.UNKNOWN, detail)
 
@@ -110,9 +110,9 @@
     Parameters
     ----------
     gate : FencingGate
-        Checks fencing numbers.
+        Checks fencing tokens.
     key : FleetKey
-        Opens orders.
+        Authenticates orders.
     """
 
     def __init__(self, gate: FencingGate, key: FleetKey) -> None:
@@ -120,11 +120,11 @@
         self._key = key
 
     async def __call__(self, scope: Scope, receive: Receive, send: Send) -> None:
-        """Answer one HTTP request."""
+        """Serve one HTTP request."""
         body = await read_body(receive, MAX_ORDER_BYTES, BODY_TIMEOUT_S)
         order = None if isinstance(body, BodyFailure) else open_order(body, self._key)
         if order is None:
-            await send_json(send, 403, {"error": "no valid order"})
+            await send_json(send, 403, {"error": "order is missing or invalid"})
             return
         result = await self._gate.handle(order)
         await send_start(send, 200)
--- a/libs/agent/src/berylwalk/agent/_paths.py
+++ b/libs/agent/src/berylwalk/agent/_paths.py
@@ -1,4 +1,4 @@
-"""Paths of the agent's internal port."""
+"""Routing of HTTP requests on the dispatch port."""
 
 from collections.abc import Mapping
 
@@ -8,7 +8,7 @@
 
 
 def by_path(applications_by_path: Mapping[str, Application]) -> Application:
-    """Return an application that serves POST requests by their path."""
+    """Return an application that routes POST requests by path."""
 
     async def application(scope: Scope, receive: Receive, send: Send) -> None:
         chosen = applications_by_path.get(scope["path"])
--- a/libs/agent/src/berylwalk/agent/_reservations.py
+++ b/libs/agent/src/berylwalk/agent/_reservations.py
@@ -1,4 +1,4 @@
-"""Reservations: waiting, held slots, lost turns and refusals."""
+"""Reservations: queueing, slot offers and refusals."""
 
 from collections.abc import Callable
 
@@ -11,24 +11,25 @@
 from berylwalk.model import RefusalReason, RequestId
 from berylwalk.wire import Queued, Refused, Reserve
 
+# Least time until a deadline is checked again.
 DEADLINE_RECHECK_S = 0.05
 MIN_RETRY_MS = 50
 DEFAULT_RETRY_MS = 1000
 
 
 class Reservations:
-    """All reservations of the agent.
+    """Reservations of the agent.
 
     Parameters
     ----------
     config : AgentConfig
-        Waiting list's bound, timeouts and policy.
+        Queue bound, timeouts and policy.
     slots : Slots
         Slots of the target.
-    ledger : Ledger
-        Memory of attempts.
+    attempts : AttemptRegistry
+        Known attempts.
     outbox : Outbox
-        Takes the answers.
+        Takes the replies to routers.
     """
 
     def __init__(
@@ -44,32 +45,32 @@
         self._attempts = attempts
         self._outbox = outbox
         self.waiting = AdmissionQueue(scheduling_key=config.policy.scheduling_key)
-        # By the latest time at which the work could start.
+        # Ordered by the latest start that meets the deadline.
         self._latest_starts: DeadlineHeap[Reservation] = DeadlineHeap()
         self._offers = SlotOffers(config.ready_timeout_s, slots, self.waiting, outbox)
 
     @property
     def is_active(self) -> bool:
-        """Whether any reservation waits or holds a slot."""
+        """Whether any reservation is queued or holds a slot."""
         return self._offers.ready_count > 0 or len(self.waiting) > 0
 
     def next_due(self) -> float:
-        """Return when `advance` or `refuse_late` is needed next, in seconds."""
-        late = self._latest_starts.peek()
+        """Return when `advance` or `refuse_overdue` is needed next, in seconds."""
+        earliest = self._latest_starts.peek()
         return (
             self._offers.next_due
-            if late is None
-            else min(late[0], self._offers.next_due)
+            if earliest is None
+            else min(earliest[0], self._offers.next_due)
         )
 
     def get(self, request_id: RequestId) -> Reservation | None:
-        """Return the reservation of a request, or None."""
+        """Return the reservation of a request, or None if there is none."""
         return self.waiting.get(request_id)
 
     def handle_duplicate(
         self, reservation: Reservation, attempt: int, now: float
     ) -> None:
-        """Answer a repeated `Reserve`, which may carry a newer attempt."""
+        """Reply to a repeated `Reserve`, which may carry a newer attempt."""
         if attempt > reservation.attempt:
             self._attempts.add_tombstone(reservation.key, attempt - 1, now)
             reservation.attempt = attempt
@@ -79,7 +80,7 @@
             self._send_queued(reservation)
 
     def has_room(self, rank: int) -> bool:
-        """Return whether a new reservation of a tier would not be refused for room."""
+        """Return whether the queue has room for a new reservation of a tier."""
         if len(self.waiting) < self._max_waiting:
             return True
         lowest = self.waiting.eviction_candidate()
@@ -99,7 +100,7 @@
         return self._slots.wait_s(ahead)
 
     def add(self, message: Reserve, now: float) -> None:
-        """Add a reservation, or refuse it when it cannot meet its deadline."""
+        """Queue a reservation, or refuse it if it would miss its deadline."""
         reservation = self._new_reservation(message, now)
         wait_s = self.wait_s(message)
         remaining_s = message.deadline_ms / 1000
@@ -118,7 +119,7 @@
     def refuse_message(
         self, message: Reserve, reason: RefusalReason, now: float
     ) -> None:
-        """Refuse a `Reserve` that is in no list; its attempt is dead."""
+        """Refuse a `Reserve` without queueing it and tombstone its attempt."""
         self._attempts.add_tombstone(
             message.request_id, message.attempt, now, reason=reason
         )
@@ -129,7 +130,7 @@
     def refuse(
         self, reservation: Reservation, reason: RefusalReason, now: float
     ) -> None:
-        """Remove a reservation and tell its router; its attempt is dead."""
+        """Remove a reservation, tombstone its attempt and notify its router."""
         self.remove(reservation)
         self._attempts.add_tombstone(
             reservation.key, reservation.attempt, now, reason=reason
@@ -145,13 +146,13 @@
         *,
         where: Callable[[Reservation], bool] = lambda reservation: True,
     ) -> None:
-        """Refuse the reservations that meet a condition."""
+        """Refuse the reservations that fulfill a condition."""
         for reservation in self.waiting:
             if where(reservation):
                 self.refuse(reservation, reason, now)
 
     def cancel(self, request_id: RequestId, attempt: int, now: float) -> None:
-        """Make an attempt dead, with the reservation that it covers."""
+        """Tombstone an attempt and remove a reservation of it or an earlier one."""
         reservation = self.get(request_id)
         if reservation is not None and reservation.attempt <= attempt:
             self.remove(reservation)
@@ -165,13 +166,13 @@
         self._attempts.add_tombstone(request_id, attempt, now)
 
     def remove(self, reservation: Reservation, *, ran: bool = False) -> None:
-        """Remove a reservation and give back the slot that it holds."""
+        """Remove a reservation and release the slot that it holds."""
         self.waiting.remove(reservation.key, ran=ran)
         self._latest_starts.discard(reservation.sequence)
         self._offers.discard(reservation)
 
     def offer_slots(self, now: float) -> None:
-        """Offer slots to the reservations whose turn it is."""
+        """Offer available slots to the next reservations."""
         while (rank := self.waiting.highest_rank()) is not None:
             if not self._slots.may_overcommit(rank, rank):
                 return
@@ -182,13 +183,13 @@
                 self.refuse(reservation, RefusalReason.DEADLINE, now)
 
     def advance(self, now: float) -> None:
-        """End turns that were not taken; queue again those passed over."""
+        """Expire and resend slot offers; queue parked reservations again."""
         self._offers.advance(now)
 
     def refuse_overdue(self, now: float) -> None:
-        """Refuse waiting reservations that can no longer meet their deadline."""
-        while (found := self._latest_starts.peek()) is not None:
-            latest_start, reservation = found
+        """Refuse queued reservations that can no longer meet their deadline."""
+        while (earliest := self._latest_starts.peek()) is not None:
+            latest_start, reservation = earliest
             if latest_start > now:
                 return
             self._latest_starts.pop()
@@ -204,7 +205,7 @@
 
     def _watch_deadline(self, reservation: Reservation, now: float) -> None:
         service_s = self._service_s(reservation) if self._deadlines else 0.0
-        # Estimates change, so that a time in the past only means to look again.
+        # Estimates change, so a latest start in the past only causes a new check.
         latest_start = max(
             reservation.deadline_at - service_s, now + DEADLINE_RECHECK_S
         )
@@ -240,11 +241,11 @@
             resource=message.resource,
         )
 
-    def _evict_excess(self, newcomer: Reservation, now: float) -> None:
+    def _evict_excess(self, newest: Reservation, now: float) -> None:
         while len(self.waiting) > self._max_waiting:
             victim = self.waiting.eviction_candidate()
-            is_newcomer = victim is newcomer
-            reason = RefusalReason.QUEUE_FULL if is_newcomer else RefusalReason.EVICTED
+            is_newest = victim is newest
+            reason = RefusalReason.QUEUE_FULL if is_newest else RefusalReason.EVICTED
             self.refuse(victim, reason, now)
 
     def _send_queued(self, reservation: Reservation) -> None:
@@ -261,12 +262,12 @@
         self._outbox.send(request_id.router, message)
 
     def retry_after_ms(self, reason: RefusalReason, rank: int) -> int:
-        """Return when a refused request may come back, in milliseconds."""
+        """Return after what time a refused request may be retried, in milliseconds."""
         if reason not in _OVERLOAD_REASONS:
             return DEFAULT_RETRY_MS
         ahead = self.waiting.work_ahead(rank)
         wait_s = self._slots.speed.wait_s(ahead, self._slots.limit)
-        # What can't meet its deadline may fail to do so without any wait, too.
+        # A deadline may be missed even without queueing, so do not retry at once.
         is_late = reason is RefusalReason.DEADLINE
         least_ms = DEFAULT_RETRY_MS if is_late else MIN_RETRY_MS
         return max(int(wait_s * 1000), least_ms)
--- a/libs/agent/src/berylwalk/agent/_router_peers.py
+++ b/libs/agent/src/berylwalk/agent/_router_peers.py
@@ -1,37 +1,38 @@
-"""Routers that the agent has heard of."""
+"""Routers known to the agent, and their liveness."""
 
 from dataclasses import dataclass
 from enum import Enum, auto
 
-FORGET_AFTER_TIMEOUTS = 100
+# Peers are removed after this many timeouts.
+REMOVE_AFTER_TIMEOUTS = 100
 
 
 class IncarnationStatus(Enum):
-    """What a message of a router means for its incarnation."""
+    """Incarnation of a message compared with the known one of its router."""
 
     CURRENT = auto()
     REPLACED = auto()
-    """Another incarnation than the one known; the known one is gone."""
+    """Replaces the known incarnation, which has ended."""
     STALE = auto()
-    """An earlier incarnation than the one known; to be ignored."""
+    """Older than the known incarnation; the message is ignored."""
 
 
 @dataclass(slots=True)
 class Peer:
-    """One router.
+    """State of one router.
 
     Parameters
     ----------
     incarnation : int
-        Of its last accepted message.
-    heard_at : float
-        When that message came, in seconds.
-    silent : bool
-        Whether its silence was told.
-    digest_s : float or None
-        Least time between two unasked digests, in seconds; None for none.
+        Incarnation in its last accepted message.
+    last_message_at : float
+        Time of that message, in seconds.
+    timeout_reported : bool
+        Whether `newly_timed_out` has returned it since that message.
+    push_interval_s : float or None
+        Least time between two pushed digests, in seconds; None if not subscribed.
     pushed_at : float
-        When the last unasked digest was sent.
+        Time of the last pushed digest, in seconds.
     """
 
     incarnation: int
@@ -42,12 +43,12 @@
 
 
 class Peers:
-    """Incarnations of the routers and when each was last heard.
+    """Incarnation and last message of each router.
 
     Parameters
     ----------
     timeout_s : float
-        Silence after which a router counts as gone, in seconds.
+        Time without a message after which a router counts as failed, in seconds.
     """
 
     def __init__(self, *, timeout_s: float) -> None:
@@ -57,7 +58,7 @@
     def record_message(
         self, router: str, incarnation: int, now: float
     ) -> IncarnationStatus:
-        """Record a message of a router and judge its incarnation."""
+        """Record a message of a router and compare its incarnation."""
         peer = self._peers_by_id.get(router)
         if peer is None:
             self._peers_by_id[router] = Peer(incarnation, now)
@@ -72,12 +73,12 @@
         return IncarnationStatus.CURRENT
 
     def subscribe_digests(self, router: str, interval_ms: int) -> None:
-        """Note how often a router may be sent digests unasked; 0 for never."""
+        """Set how often digests are pushed to a router; 0 unsubscribes it."""
         push_interval_s = interval_ms / 1000 if interval_ms > 0 else None
         self._peers_by_id[router].push_interval_s = push_interval_s
 
     def digest_subscribers(self, now: float) -> list[tuple[str, Peer]]:
-        """Return the routers heard within the timeout that want digests."""
+        """Return the live routers that subscribed to digests."""
         return [
             (router, peer)
             for router, peer in self._peers_by_id.items()
@@ -85,17 +86,17 @@
         ]
 
     def newly_timed_out(self, now: float) -> list[str]:
-        """Return the routers that became silent since the last call."""
-        found = []
+        """Return the routers that timed out since the last call."""
+        timed_out = []
         for router, peer in tuple(self._peers_by_id.items()):
             if not self._is_timed_out(peer, now):
                 continue
             if not peer.timeout_reported:
                 peer.timeout_reported = True
-                found.append(router)
-            if now - peer.last_message_at > FORGET_AFTER_TIMEOUTS * self._timeout_s:
+                timed_out.append(router)
+            if now - peer.last_message_at > REMOVE_AFTER_TIMEOUTS * self._timeout_s:
                 del self._peers_by_id[router]
-        return found
+        return timed_out
 
     def _is_timed_out(self, peer: Peer, now: float) -> bool:
         return now - peer.last_message_at > self._timeout_s
--- a/libs/agent/src/berylwalk/agent/_settings_puller.py
+++ b/libs/agent/src/berylwalk/agent/_settings_puller.py
@@ -1,4 +1,4 @@
-"""Settings pulled from routers that have a newer version."""
+"""Pulling of newer settings versions from routers."""
 
 from collections.abc import Callable
 from random import Random
@@ -13,23 +13,23 @@
 from berylwalk.wire import SettingsQuery, SettingsReply, decode_reply, encode_sync
 
 RECHECK_INTERVAL_S = 0.1
-# Keeps a large fleet from asking one router at the same moment.
+# Spreads the requests of a large fleet.
 MAX_PULL_JITTER_S = 0.25
 
 
 class SettingsPuller:
-    """Keeps the settings replica as new as the routers' datagrams say.
+    """Keeps the settings replica at the highest version that routers announce.
 
     Parameters
     ----------
     replica : SettingsReplica
-        Holds the highest document seen.
+        Holds the settings document.
     client : SyncClient
-        Asks routers.
+        Requests documents from routers.
     port : int
         Sync port of all routers.
     on_change : callable
-        Called after the version in force, or what is known of it, changed.
+        Called after the version in force or the highest announced one changed.
     clock : callable
         Monotonic clock, in seconds.
     rng : random.Random
@@ -63,15 +63,16 @@
 
     @property
     def is_usable(self) -> bool:
-        """Whether work may be admitted by the settings in force.
+        """Whether requests may be admitted with the settings in force.
 
-        An agent that has just started must not fall below a version that it
-        has heard of; later it goes on with the one in force while it catches up.
+        After start, not until the replica has reached the highest announced
+        version. Once that has happened, the version in force remains usable while
+        a newer one is pulled.
         """
         return self._was_current or self._is_current()
 
     def record_announcement(self, router: str, address: str, version: int) -> None:
-        """Note the settings version that a router's datagram carried."""
+        """Record the settings version in a datagram of a router."""
         self._address_by_router[router] = address
         self._replica.on_announcement(router, version, self._clock())
         if version > self.version:
@@ -79,7 +80,7 @@
             self._on_change()
 
     async def run(self) -> None:
-        """Pull whenever a router is ahead."""
+        """Pull whenever a router announces a newer version."""
         while True:
             await self._behind.wait()
             router = self._replica.needs_pull(self._clock())
@@ -94,8 +95,8 @@
     async def _pull(self, router: str) -> None:
         query = encode_sync(SettingsQuery(self.version))
         address = self._address_by_router[router]
-        answer = await self._client.request(address, self._port, query)
-        document = _document_of(answer)
+        response = await self._client.request(address, self._port, query)
+        document = _decode_document(response)
         now = self._clock()
         if document is None:
             self._replica.on_pull_failed(router, now)
@@ -108,11 +109,11 @@
         return self.version >= self._replica.highest_heard
 
 
-def _document_of(answer: bytes | SyncFailed) -> SettingsDocument | None:
-    if isinstance(answer, SyncFailed):
-        logging.debug("settings were not pulled: %s", answer.reason)
+def _decode_document(response: bytes | SyncFailed) -> SettingsDocument | None:
+    if isinstance(response, SyncFailed):
+        logging.debug("failed to pull settings: %s", response.reason)
         return None
-    reply = decode_reply(answer)
+    reply = decode_reply(response)
     if not isinstance(reply, SettingsReply) or not reply.document:
         return None
     try:
--- a/libs/agent/src/berylwalk/agent/_settings_responder.py
+++ b/libs/agent/src/berylwalk/agent/_settings_responder.py
@@ -1,4 +1,4 @@
-"""Answers to routers that ask for the settings while nobody else has them."""
+"""Settings queries of routers that cannot get the settings elsewhere."""
 
 from berylwalk.process import SettingsReplies
 from berylwalk.settings import SettingsReplica
@@ -6,16 +6,16 @@
 
 
 class MalformedQueryError(ValueError):
-    """A peer asked something that agents do not answer."""
+    """A peer sent a query that agents do not support."""
 
 
 class SettingsResponder:
-    """Answers questions for the settings document.
+    """Serves queries for the settings document.
 
     Parameters
     ----------
     replica : SettingsReplica
-        Holds the document.
+        Holds the settings document.
     """
 
     def __init__(self, replica: SettingsReplica) -> None:
@@ -27,9 +27,9 @@
         Raises
         ------
         MalformedQueryError
-            If it is not a question for the settings.
+            If it is not a settings query.
         """
         query = decode_query(request)
         if not isinstance(query, SettingsQuery):
-            raise MalformedQueryError("agents answer for the settings alone")
+            raise MalformedQueryError("agents support settings queries only")
         return encode_sync(self._replies.reply(query, is_settled=False))
--- a/libs/agent/src/berylwalk/agent/_shell.py
+++ b/libs/agent/src/berylwalk/agent/_shell.py
@@ -1,4 +1,4 @@
-"""Feeds events into the state machine and carries its actions out."""
+"""Shell of the state machine: feeds it events and performs its actions."""
 
 from collections.abc import Callable
 from time import monotonic
@@ -26,21 +26,21 @@
 
 
 class AgentShell:
-    """The state machine together with what its actions need.
+    """Runs the state machine.
 
-    All methods belong to one loop.
+    Not thread-safe; all methods are called in one event loop.
 
     Parameters
     ----------
     machine : AgentMachine
-        Decides.
+        State machine to run.
     clock : callable
         Monotonic clock, in seconds.
 
     Attributes
     ----------
     drained : anyio.Event
-        Set when a drain has finished.
+        Set when a drain is complete.
     """
 
     def __init__(
@@ -60,37 +60,37 @@
 
     @property
     def machine(self) -> AgentMachine:
-        """The state machine, for its read-only properties."""
+        """The state machine; only its read-only properties may be used."""
         return self._machine
 
     def set_sender(self, send_messages: SendMessages) -> None:
-        """Set what sends datagrams to routers."""
+        """Set the function that sends messages to routers."""
         self._send_messages = send_messages
 
     def admit(self, grant: Grant) -> Refusal | None:
-        """Use up a grant; return why it isn't dispatched, or None when it is."""
+        """Admit or refuse a grant; return the refusal, or None if it is dispatched."""
         actions = self._machine.handle(GrantArrived(grant), self._clock())
-        self._act(actions)
+        self._perform(actions)
         self._ticks.note_event()
         refused = [action for action in actions if isinstance(action, RefuseGrant)]
         return refused[0].refusal if refused else None
 
     def handle(self, event: AgentEvent) -> None:
-        """Feed one event into the state machine and act on the result."""
+        """Handle an event and perform the resulting actions."""
         try:
-            self._act(self._machine.handle(event, self._clock()))
+            self._perform(self._machine.handle(event, self._clock()))
         except Exception:
-            # A fault in one event must not end the process and its requests.
-            logging.exception("handling %s failed", type(event).__name__)
-        # Pieces of answers are by far the most frequent, and set no timer.
+            # A failure to handle one event must not end the process and its requests.
+            logging.exception("failed to handle %s", type(event).__name__)
+        # By far the most frequent event; it sets no timer.
         if not isinstance(event, TargetProgress):
             self._ticks.note_event()
 
     async def run_ticks(self) -> None:
-        """Tell the state machine of the passing of time."""
+        """Send ticks to the state machine when they are due."""
         await self._ticks.run()
 
-    def _act(self, actions: list[AgentAction]) -> None:
+    def _perform(self, actions: list[AgentAction]) -> None:
         for action in actions:
             match action:
                 case SendToRouter(router, messages):
--- a/libs/agent/src/berylwalk/agent/_slot_offers.py
+++ b/libs/agent/src/berylwalk/agent/_slot_offers.py
@@ -1,4 +1,4 @@
-"""Turns of reservations: slots held for grants, and turns that were lost."""
+"""Slot offers to reservations, which hold a slot until the grant arrives."""
 
 from collections.abc import Iterator
 from dataclasses import dataclass
@@ -16,20 +16,20 @@
 
 @dataclass(slots=True, eq=False)
 class Reservation(QueueEntry):
-    """A waiting entry with its router, attempt and turn.
+    """Queue entry with the state of its slot offer.
 
     Parameters
     ----------
     attempt : int
-        The attempt that waits.
+        Attempt that is queued.
     resource : str
-        What the target must serve.
-    ready_until, resend_at : float
-        End of the held slot and time of the next `Ready`, while it is held.
+        Resource that the request needs.
+    offer_expires_at, resend_at : float
+        Expiry of the offer and time of the next `Ready`, in seconds.
     parked_until : float
-        When it may have its turn again after it lost one.
-    turns_lost : int
-        How often it lost its turn.
+        Until when it is parked after an expired offer, in seconds.
+    expired_offers : int
+        Number of expired offers.
     """
 
     attempt: int = 0
@@ -41,28 +41,28 @@
 
     @property
     def router(self) -> str:
-        """Identifier of the router that reserved."""
+        """Identifier of the router of the request."""
         return self.key.router
 
 
 class SlotOffers:
-    """Reservations that hold a slot, or are passed over after a lost turn.
+    """Reservations with an offered slot, and those parked after an expired offer.
 
     Parameters
     ----------
     ready_timeout_s : float
-        How long a slot is held, in seconds.
+        Time for which an offered slot is held, in seconds.
     slots : Slots
         Slots of the target.
-    waiting : WaitingList
-        Where the reservations wait.
+    waiting : AdmissionQueue
+        Queue of the reservations.
     outbox : Outbox
         Takes the `Ready` messages.
 
     Attributes
     ----------
     next_due : float
-        When `advance` is needed next, or earlier; in seconds.
+        When `advance` is needed next, at the latest; in seconds.
     """
 
     def __init__(
@@ -82,11 +82,11 @@
 
     @property
     def ready_count(self) -> int:
-        """Reservations that hold a slot."""
+        """Number of reservations that hold a slot."""
         return len(self._ready_by_id)
 
     def offer(self, reservation: Reservation, now: float) -> None:
-        """Hold a slot for a reservation that was taken, and say so."""
+        """Hold a slot for a reservation and offer it to the router."""
         self._slots.hold(reservation.rank)
         self._ready_by_id[reservation.key] = reservation
         reservation.offer_expires_at = now + self._ready_timeout_s
@@ -95,7 +95,7 @@
         self.send_ready(reservation)
 
     def advance(self, now: float) -> None:
-        """End turns that were not taken, repeat `Ready`, and return parked ones."""
+        """Expire offers, resend `Ready`, and unpark reservations that are due."""
         if now < self.next_due:
             return
         for reservation in tuple(self._ready_by_id.values()):
@@ -113,13 +113,13 @@
         self.next_due = min(self._due_times(), default=inf)
 
     def discard(self, reservation: Reservation) -> None:
-        """Give back the slot of a reservation, if it holds one."""
+        """Forget a reservation and release its slot, if it holds one."""
         self._parked_by_id.pop(reservation.key, None)
         if self._ready_by_id.pop(reservation.key, None) is not None:
             self._slots.release(reservation.rank)
 
     def send_ready(self, reservation: Reservation) -> None:
-        """Tell the router that a slot is held."""
+        """Notify the router that a slot is held."""
         message = Ready(reservation.key, reservation.attempt)
         self._outbox.send(reservation.router, message)
 
@@ -134,7 +134,7 @@
         self._slots.release(reservation.rank)
         self._waiting.park(reservation.key)
         self._parked_by_id[reservation.key] = reservation
-        # Doubles each time, so that a router that is gone takes few slots.
+        # Exponential backoff, so that a failed router blocks few slots.
         park_s = self._ready_timeout_s * 2.0 ** min(reservation.expired_offers, 10)
         reservation.parked_until = now + min(park_s, MAX_PARK_S)
         reservation.expired_offers += 1
--- a/libs/agent/src/berylwalk/agent/_slots.py
+++ b/libs/agent/src/berylwalk/agent/_slots.py
@@ -1,4 +1,4 @@
-"""Slots of the target: what runs, how fast, and how much more fits."""
+"""Slots of the target: running requests, observed speed and free capacity."""
 
 from collections import Counter
 from dataclasses import dataclass
@@ -23,7 +23,7 @@
 
 @dataclass(slots=True)
 class RunningRequest:
-    """One dispatched request."""
+    """Dispatched request in progress."""
 
     grant: Grant
     started_at: float
@@ -32,12 +32,12 @@
 
 
 class Slots:
-    """Dispatched requests, slots held for grants, and observed speed.
+    """Slots in use or held, the concurrency limit, and observed speed.
 
     Parameters
     ----------
     config : AgentConfig
-        Limits, policy and expected speed.
+        Limits, policy and nominal speed.
     """
 
     def __init__(self, config: AgentConfig) -> None:
@@ -66,49 +66,49 @@
         self._needs = StatedNeeds()
         self.reset_flow_control()
         self._held = 0
-        # Running requests and held slots.
+        # Counts running requests and held slots.
         self._in_use_by_rank: Counter[int] = Counter()
 
     @property
     def in_use(self) -> int:
-        """Running requests and slots held for grants."""
+        """Number of running requests and held slots."""
         return len(self.running_by_id) + self._held
 
     @property
     def held(self) -> int:
-        """Slots held for grants."""
+        """Number of slots that are held for grants."""
         return self._held
 
     @property
     def is_throttled(self) -> bool:
-        """Whether the target has said that it takes nothing at this moment."""
+        """Whether the target has signaled that it accepts no requests now."""
         return self._needs.obstacle(self._now) is not None
 
     @property
     def is_backing_off(self) -> bool:
-        """Whether it wants nothing, not even what has its slot already."""
+        """Whether the target has requested a backoff, also for held slots."""
         return self._needs.rest.is_on(self._now)
 
     @property
     def has_active_signals(self) -> bool:
-        """Whether an answer that states nothing would be news."""
+        """Whether a response without signals would end a rate limit or backoff."""
         needs = self._needs
         return needs.limit.per_s is not None or needs.rest.sends_left is not None
 
     def throttled_for_s(self) -> float:
-        """Return the time until the target takes more, as far as it has said."""
+        """Return the time until the target accepts requests, in seconds, if known."""
         return max(0.0, self._needs.opens_at(self._now) - self._now)
 
     def wait_s(self, ahead: Work) -> float:
-        """Return the expected wait behind some work, in seconds."""
+        """Return the expected wait behind queued work, in seconds."""
         return max(self.speed.wait_s(ahead, self.limit), self.throttled_for_s())
 
     def set_time(self, now: float) -> None:
-        """Tell the time, before anything is asked."""
+        """Set the current time, which other methods use."""
         self._now = now
 
     def apply_signals(self, event: TargetSignalsReceived) -> bool:
-        """Take what the target states; returns whether it says that it leaves."""
+        """Apply signals; return whether they newly announce a shutdown."""
         changed = self._needs.note_answer(
             event.statement, sent_at=event.sent_at, now=self._now
         )
@@ -117,16 +117,16 @@
         return Need.LEAVING in changed
 
     def reset_flow_control(self) -> None:
-        """Begin with a target that has said nothing: it has started again."""
+        """Discard all signals of the target, as after its restart."""
         self._needs = StatedNeeds()
-        # All work for the target passes through here.
+        # All requests to the target pass through this agent.
         self._needs.limit.set_share(1.0, self._now)
 
     @property
     def limit(self) -> int:
-        """Slots of the target at present."""
-        slow = self.straggler.slowdown if self._policy.limit_stragglers else 1.0
-        return self._limit.value(slowdown=slow)
+        """Concurrency limit in force."""
+        slowdown = self.straggler.slowdown if self._policy.limit_stragglers else 1.0
+        return self._limit.value(slowdown=slowdown)
 
     @property
     def limit_due(self) -> float:
@@ -134,7 +134,7 @@
         return self._limit.due_at
 
     def cost_s(self, prompt_tokens: float, output_tokens: float) -> float:
-        """Return the service time at expected speed, which doesn't change."""
+        """Return the service time at nominal speed, in seconds."""
         return self._nominal.service_s(Work(prompt_tokens, output_tokens), 1)
 
     def has_room(self, rank: int, highest_waiting: int | None) -> bool:
@@ -143,30 +143,30 @@
         Parameters
         ----------
         rank : int
-            The tier.
+            Rank of the tier.
         highest_waiting : int or None
-            The highest tier that waits.
+            Rank of the highest queued tier; None if none is queued.
         """
         if self.is_throttled:
             return False
         return self.in_use < self._tier_slot_limit(rank, highest_waiting)
 
     def may_overcommit(self, rank: int, highest_waiting: int | None) -> bool:
-        """Return whether a tier may have a slot beyond the limit in advance.
+        """Return whether a tier may be offered a slot, possibly beyond the limit.
 
-        Tiers that leave headroom to others may not.
+        Only tiers that leave no headroom to others may exceed the limit.
         """
         if self.is_throttled:
             return False
-        open_to_rank = self._tier_slot_limit(rank, highest_waiting)
-        if open_to_rank < self.limit:
-            return self.in_use < open_to_rank
-        return self.in_use < open_to_rank + self._ask_ahead
+        tier_limit = self._tier_slot_limit(rank, highest_waiting)
+        if tier_limit < self.limit:
+            return self.in_use < tier_limit
+        return self.in_use < tier_limit + self._ask_ahead
 
     def can_finish(
         self, prompt_tokens: float, output_tokens: float, remaining_s: float
     ) -> bool:
-        """Return whether work that starts now ends within the time that remains."""
+        """Return whether work that starts now is expected to meet its deadline."""
         if remaining_s <= 0:
             return False
         return not self._policy.deadlines or (
@@ -174,12 +174,12 @@
         )
 
     def service_s(self, prompt_tokens: float, output_tokens: float) -> float:
-        """Return the expected service time of work that starts now."""
+        """Return the expected service time of work that starts now, in seconds."""
         work = Work(prompt_tokens, output_tokens)
         observed_s = self.speed.service_s(work, len(self.running_by_id) + 1)
         if self.in_use:
             return observed_s
-        # An idle target may have recovered; only running work can show it.
+        # An idle target may have recovered, which only a running request reveals.
         return min(observed_s, self._nominal.service_s(work, 1))
 
     def hold(self, rank: int) -> None:
@@ -189,19 +189,19 @@
         self._in_use_by_rank[rank] += 1
 
     def release(self, rank: int) -> None:
-        """Give a held slot back."""
+        """Release a held slot."""
         self._held -= 1
         self._needs.note_not_sent(self._now)
         self._in_use_by_rank[rank] -= 1
 
     def start(self, grant: Grant, now: float) -> None:
-        """Record a dispatch."""
+        """Record the start of a dispatched request."""
         self.running_by_id[grant.request_id] = RunningRequest(grant, now, now)
         self._needs.note_sent(now)
         self._in_use_by_rank[grant.tier_rank] += 1
 
     def progress(self, event: TargetProgress, now: float) -> None:
-        """Learn from a piece of an answer."""
+        """Update the observed speed from a chunk of a response."""
         running = self.running_by_id.get(event.request_id)
         if running is None:
             return
@@ -212,25 +212,25 @@
             self._learn_first_token(running.grant, elapsed_s)
         elif event.tokens > 0:
             if running.tokens == 0:
-                # An unstreamed answer: its first token was not seen.
+                # Not a stream: the time includes prefill.
                 elapsed_s -= self.speed.prefill_s(running.grant.prompt_tokens)
             self._learn_gap(max(elapsed_s, 0.0), event.tokens)
         running.progress_at = now
         running.tokens += event.tokens
 
     def end(self, request_id: RequestId, end: DispatchEnd, now: float) -> bool:
-        """Record the end of a dispatch; return whether it was running."""
+        """Record the end of a dispatched request; return whether it was running."""
         running = self.running_by_id.pop(request_id, None)
         if running is None:
             return False
         grant = running.grant
         self._in_use_by_rank[grant.tier_rank] -= 1
         if end is DispatchEnd.COMPLETE:
-            self._learn_answer(running, now - running.started_at)
+            self._learn_response(running, now - running.started_at)
         return True
 
     def update_limit(self, now: float) -> None:
-        """Adapt the limit to what was observed."""
+        """Adapt the limit to the observed latency."""
         self._limit.update(now, self.in_use)
 
     def _tier_slot_limit(self, rank: int, highest_waiting: int | None) -> int:
@@ -268,7 +268,7 @@
         self.speed.observe_gap(batch, gap_s)
         self.straggler.observe(batch, gap_s)
 
-    def _learn_answer(self, running: RunningRequest, elapsed_s: float) -> None:
+    def _learn_response(self, running: RunningRequest, elapsed_s: float) -> None:
         grant = running.grant
         self.speed.observe_response(elapsed_s)
         if grant.resource.startswith(SERVICE_PREFIX):
@@ -277,8 +277,8 @@
             self._learn_length(running)
 
     def _learn_service(self, elapsed_s: float) -> None:
-        # The whole answer counts as the first token. Calls of a service are too
-        # unlike for a baseline.
+        # The response time counts as time to first token. It varies too much
+        # between requests for straggler detection.
         self._limit.observe_response(elapsed_s)
         self.speed.observe_gap(len(self.running_by_id) + 1, elapsed_s)
 
--- a/libs/agent/src/berylwalk/agent/_startup.py
+++ b/libs/agent/src/berylwalk/agent/_startup.py
@@ -1,4 +1,4 @@
-"""From the settings of the node to the configuration of its parts."""
+"""Configuration of the state machine, derived from the settings of the node."""
 
 from berylwalk.admission import LatencyTargets, Policy, fifo_policy, tiered_policy
 from berylwalk.agent._config import AgentConfig
--- a/libs/agent/src/berylwalk/agent/_target.py
+++ b/libs/agent/src/berylwalk/agent/_target.py
@@ -1,22 +1,22 @@
-"""What the target serves, and whether it takes new work."""
+"""Resources, reachability and shutdown state of the target."""
 
 from dataclasses import dataclass
 
 
 @dataclass(slots=True)
 class Target:
-    """State of the target as the agent knows it.
+    """Resources, reachability and shutdown state of the target.
 
     Parameters
     ----------
     resources : tuple of str
         ``model:NAME`` and ``service:NAME``.
     reachable : bool
-        Whether it answers.
+        Whether it responds.
     agent_draining : bool
         Whether the agent is draining.
     target_leaving : bool
-        Whether the target says in its answers that it leaves.
+        Whether the target announced its shutdown.
     """
 
     resources: tuple[str, ...] = ()
@@ -26,9 +26,9 @@
 
     @property
     def refuses_new_work(self) -> bool:
-        """Whether no new work is taken, for good."""
+        """Whether new work is refused permanently."""
         return self.agent_draining or self.target_leaving
 
     def serves(self, resource: str) -> bool:
-        """Return whether new work for a resource can be sent."""
+        """Return whether the target is reachable and serves a resource."""
         return self.reachable and resource in self.resources
--- a/libs/placement/src/berylwalk/placement/__init__.py
+++ b/libs/placement/src/berylwalk/placement/__init__.py
@@ -1,4 +1,4 @@
-"""Decisions of a router about where a request goes; pure, without I/O."""
+"""Selection of an agent for a request: pure functions without I/O."""
 
 from berylwalk.affinity import PlacementHistory
 from berylwalk.placement._affinity import (
--- a/libs/placement/src/berylwalk/placement/_affinity.py
+++ b/libs/placement/src/berylwalk/placement/_affinity.py
@@ -1,4 +1,4 @@
-"""Prompt tokens that an agent probably has in its prefix cache."""
+"""Prefix affinity: which agents probably have a prompt in their prefix cache."""
 
 from collections.abc import Sequence
 
@@ -8,30 +8,30 @@
 from berylwalk.placement._rendezvous import rendezvous_weight
 
 AFFINITY_BLOCKS = 4
-"""Leading blocks whose hash chooses the home agent of a prompt."""
+"""Number of leading blocks whose hash determines the preferred agent."""
 
 PREFERRED_CACHED_SHARE = 0.5
-"""Share of the hashed tokens assumed cached at the home agent, because other
-routers send the same prefix there."""
+"""Share of the hashed tokens assumed to be cached at the preferred agent, because
+other routers send the same prefix there."""
 
 LOAD_BOUND = 1.25
-"""A home agent's load may be this multiple of the mean load."""
+"""Largest load of a preferred agent, as a multiple of the mean load."""
 
 LOAD_ALLOWANCE = 0.25
-"""Load per slot that is always allowed, so that idle agents stay homes."""
+"""Load per slot added to the bound, so that it holds when the mean is near 0."""
 
 FINISH_BOUND = 2.0
-"""An agent with the prefix may finish after this multiple of the earliest finish."""
+"""Latest finish of an agent with the prefix, as a multiple of the earliest one."""
 
 FINISH_ALLOWANCE_S = 0.5
-"""Time that is always allowed beyond it, in seconds."""
+"""Time added to that bound, in seconds."""
 
 
 def preferred_agent(work: Work, candidates: Sequence[Candidate]) -> str | None:
-    """Return the agent that all routers prefer for the prefix, or None.
+    """Return the agent that all routers prefer for a prefix, or None without one.
 
-    Rendezvous hashing with bounded load: an agent whose load is well above
-    the mean is passed over.
+    Uses rendezvous hashing with bounded load: agents whose load is well above
+    the mean are skipped.
     """
     if not work.prefix or not candidates:
         return None
@@ -59,10 +59,10 @@
     history: PlacementHistory,
     score_by_agent: dict[str, float],
 ) -> Candidate:
-    """Return the agent with most of a prefix, among those that finish early enough.
+    """Return the agent with most of a prefix cached that finishes within the bound.
 
-    Equals are chosen by rendezvous hashing, so that routers agree on them and a
-    popular prefix is cached at few agents.
+    Ties are broken by rendezvous hashing, so that routers agree and a popular
+    prefix is cached at few agents.
 
     Parameters
     ----------
@@ -71,9 +71,9 @@
     candidates : sequence of Candidate
         At least one.
     history : PlacementHistory
-        Where earlier requests went.
+        Agents that processed earlier prefixes.
     score_by_agent : dict of str to float
-        Expected time to the whole answer, in seconds.
+        Expected time to the complete response, in seconds.
     """
     bound = FINISH_BOUND * min(score_by_agent.values()) + FINISH_ALLOWANCE_S
     blocks_by_agent = history.covered_blocks(work.prefix)
@@ -91,9 +91,9 @@
 def cached_tokens_by_agent(
     work: Work, candidates: Sequence[Candidate], history: PlacementHistory
 ) -> dict[str, int]:
-    """Return the prompt tokens that each agent probably has cached.
+    """Return the number of prompt tokens that each agent probably has cached.
 
-    Agents without any are left out.
+    Agents without cached tokens are omitted.
     """
     blocks_by_agent = history.covered_blocks(work.prefix)
     tokens_by_agent = {
--- a/libs/placement/src/berylwalk/placement/_candidates.py
+++ b/libs/placement/src/berylwalk/placement/_candidates.py
@@ -1,21 +1,21 @@
-"""What a router believes about one agent when it places a request."""
+"""Candidate agents and estimates of their waits and service times."""
 
 from dataclasses import dataclass
 
 MIN_PREFILL_TOKENS_PER_S = 1.0
-"""Floor of the observed prefill speed, against division by zero."""
+"""Least prefill speed assumed; prevents division by zero."""
 
 
 @dataclass(frozen=True, slots=True)
 class Work:
-    """Size of the request to place.
+    """Expected size of a request to place.
 
     Parameters
     ----------
     tier_rank : int
-        0 is the highest tier.
+        Rank of its tier; 0 is the highest.
     prompt_tokens, output_tokens : int
-        Expected size.
+        Expected size, in tokens.
     prefix : tuple of int
         Hashes of the leading prompt blocks, longest prefix last.
     """
@@ -28,24 +28,24 @@
 
 @dataclass(slots=True)
 class Candidate:
-    """An eligible agent, its load corrected by the router's own requests.
+    """Eligible agent, with the load that the router's own recent requests add.
 
-    Not frozen, because many are made for each placement; never changed.
+    Treated as immutable; not frozen because frozen instances are slower to create.
 
     Parameters
     ----------
     agent : str
         Node identifier.
     failure_domain : str
-        Where the target is.
+        Failure domain of the target.
     slow : bool
         Whether the target is slower than its own baseline.
     wait_s : float
         Estimated wait for a slot, in seconds.
     free_slots : int
-        Slots believed free; may be negative.
+        Estimated free slots; may be negative.
     load : float
-        Requests at the agent per slot.
+        Requests per slot.
     prefill_tokens_per_s, token_gap_s : float
         Observed speed of the target.
     """
@@ -72,7 +72,7 @@
 
 
 def service_s(work: Work, *, prefill_tokens_per_s: float, token_gap_s: float) -> float:
-    """Return the time that the work holds a slot without a cached prefix."""
+    """Return the time for which work holds a slot without cached prefix, in seconds."""
     speed = max(prefill_tokens_per_s, MIN_PREFILL_TOKENS_PER_S)
     return work.prompt_tokens / speed + work.output_tokens * token_gap_s
 
@@ -85,7 +85,7 @@
     own_requests: int,
     own_service_s: float,
 ) -> float:
-    """Return the wait once the router's own recent requests are counted.
+    """Return the wait including the router's own recent requests, in seconds.
 
     Parameters
     ----------
@@ -94,11 +94,11 @@
     reported_free_slots : int
         Free slots in that digest.
     limit : int
-        Slots of the agent.
+        Concurrency limit of the agent.
     own_requests : int
-        Requests that the router sent to the agent after the digest.
+        Requests that the router sent to the agent since that digest.
     own_service_s : float
-        Their expected slot time together, in seconds.
+        Total expected service time of those, in seconds.
     """
     free_slots = max(reported_free_slots, 0)
     if own_requests == 0 or own_requests < free_slots:
--- a/libs/placement/src/berylwalk/placement/_choosers.py
+++ b/libs/placement/src/berylwalk/placement/_choosers.py
@@ -1,4 +1,4 @@
-"""Ways to choose one of the eligible agents."""
+"""Strategies that choose one of the eligible agents."""
 
 from collections.abc import Callable, Sequence
 from random import Random
@@ -17,16 +17,16 @@
 )
 
 Chooser = Callable[[Work, Sequence[Candidate]], Candidate]
-"""Chooses one of at least one candidate."""
+"""Chooses one of the candidates; there is at least one."""
 
-OTHER_DOMAIN_PENALTY_S = 0.002
-"""Added to the score of agents in another failure domain, in seconds."""
+CROSS_DOMAIN_PENALTY_S = 0.002
+"""Added to the expected finish in another failure domain, in seconds."""
 
 
 def expected_finish_s(
     candidate: Candidate, work: Work, *, cached_tokens: int, failure_domain: str
 ) -> float:
-    """Return the expected time to the whole answer, in seconds.
+    """Return the expected time to the complete response, in seconds.
 
     Parameters
     ----------
@@ -37,27 +37,27 @@
     cached_tokens : int
         Prompt tokens that the agent probably has cached.
     failure_domain : str
-        Failure domain of the router; others cost a small penalty.
+        Failure domain of the router; others incur a small penalty.
     """
     score = candidate.wait_s
     score += prefill_s(candidate, work.prompt_tokens - cached_tokens)
     score += decode_s(candidate, work.output_tokens)
     if candidate.failure_domain != failure_domain:
-        score += OTHER_DOMAIN_PENALTY_S
+        score += CROSS_DOMAIN_PENALTY_S
     return score
 
 
 def earliest_finish(
     history: PlacementHistory, *, failure_domain: str, rng: Random
 ) -> Chooser:
-    """Return a chooser of the agent with the least expected finish.
+    """Return a strategy that chooses the agent with the earliest expected finish.
 
-    A prompt whose prefix was seen before goes where it is cached, as long as
-    that finishes early enough: repeated prefill costs the other requests of the
-    batch as well, which an expected finish doesn't show.
+    A prompt with a known prefix goes to an agent that has it cached if that agent
+    finishes within a bound, because prefill also delays the other requests of the
+    batch, which the expected finish does not include.
 
-    Ties are broken by load and then by chance, so that routers do not all
-    choose the same idle agent.
+    Ties are broken by load and then at random, so that routers do not all choose
+    the same idle agent.
     """
 
     def choose(work: Work, candidates: Sequence[Candidate]) -> Candidate:
@@ -84,7 +84,7 @@
 
 
 def least_wait(rng: Random) -> Chooser:
-    """Return a chooser of the agent with the least estimated wait."""
+    """Return a strategy that chooses the agent with the least estimated wait."""
 
     def choose(_work: Work, candidates: Sequence[Candidate]) -> Candidate:
         return min(
@@ -96,7 +96,7 @@
 
 
 def power_of_two(rng: Random) -> Chooser:
-    """Return a chooser of the less loaded of two random agents."""
+    """Return a strategy that chooses the less loaded of two random agents."""
 
     def choose(_work: Work, candidates: Sequence[Candidate]) -> Candidate:
         sample = rng.sample(candidates, min(2, len(candidates)))
@@ -106,7 +106,7 @@
 
 
 def round_robin() -> Chooser:
-    """Return a chooser of the agents in turn, by name."""
+    """Return a strategy that chooses the agents in turn, ordered by name."""
     last = ""
 
     def choose(_work: Work, candidates: Sequence[Candidate]) -> Candidate:
--- a/libs/placement/src/berylwalk/placement/_prefixes.py
+++ b/libs/placement/src/berylwalk/placement/_prefixes.py
@@ -5,13 +5,13 @@
 from xxhash import xxh3_64_intdigest
 
 BLOCK_BYTES = 1024
-"""Size of a block; only whole blocks are hashed."""
+"""Size of a block; a partial block at the end is not hashed."""
 
 MAX_BLOCKS = 64
-"""Blocks that are hashed at most."""
+"""Largest number of hashed blocks."""
 
 BYTES_PER_TOKEN = 4
-"""Typical size of a token, used to convert blocks to tokens."""
+"""Typical size of a token; converts blocks to tokens."""
 
 TOKENS_PER_BLOCK = BLOCK_BYTES // BYTES_PER_TOKEN
 
@@ -22,13 +22,14 @@
     Parameters
     ----------
     prompt : bytes
-        The prompt as the engine will see it.
+        The prompt as the engine receives it.
 
     Returns
     -------
     tuple of int
         At most `MAX_BLOCKS` unsigned 64-bit hashes, longest prefix last. Each
-        hash covers all blocks before it. Empty for prompts below one block.
+        covers its block and all earlier ones. Empty for a prompt shorter than a
+        block.
     """
     return tuple(_chained_hashes(prompt))
 
@@ -37,7 +38,7 @@
     block_count = min(len(prompt) // BLOCK_BYTES, MAX_BLOCKS)
     blocks = memoryview(prompt)
     previous = 0
-    for number in range(block_count):
-        start = number * BLOCK_BYTES
+    for index in range(block_count):
+        start = index * BLOCK_BYTES
         previous = xxh3_64_intdigest(blocks[start : start + BLOCK_BYTES], previous)
         yield previous
--- a/libs/placement/src/berylwalk/placement/_rendezvous.py
+++ b/libs/placement/src/berylwalk/placement/_rendezvous.py
@@ -1,4 +1,4 @@
-"""Rendezvous hashing."""
+"""Rendezvous (highest random weight) hashing."""
 
 from collections.abc import Iterable
 from functools import lru_cache
@@ -12,25 +12,25 @@
 
 
 def rendezvous_weight(key: int, agent: str) -> int:
-    """Return the weight of an agent for a key, a 64-bit integer."""
+    """Return the 64-bit weight of an agent for a key."""
     return xxh3_64_intdigest(_hash(agent).to_bytes(8, "little"), key)
 
 
 def rendezvous_order(key: int, agents: Iterable[str]) -> list[str]:
-    """Return the agents by falling weight for the key."""
+    """Return the agents by descending weight for a key."""
     return sorted(agents, key=lambda agent: rendezvous_weight(key, agent), reverse=True)
 
 
 def router_order(router_id: str, agents: Iterable[str]) -> list[str]:
-    """Return the agents in the order in which one router prefers them."""
+    """Return the agents in the order of preference of a router."""
     return rendezvous_order(_hash(router_id), agents)
 
 
 def subset(router_id: str, agents: Iterable[str], size: int) -> tuple[str, ...]:
-    """Return the agents that one router works with.
+    """Return the subset of agents that a router uses.
 
-    The choice is deterministic. An agent that comes or goes changes at most
-    one place of it.
+    The choice is deterministic. Adding or removing one agent changes at most one
+    member.
 
     Parameters
     ----------
@@ -39,7 +39,7 @@
     agents : iterable of str
         Node identifiers of all agents.
     size : int
-        Agents to choose at most.
+        Largest number of agents.
 
     Returns
     -------
--- a/libs/placement/src/berylwalk/placement/_retry_budget.py
+++ b/libs/placement/src/berylwalk/placement/_retry_budget.py
@@ -1,18 +1,18 @@
-"""Bound on retries as a share of successes."""
+"""Retry budget: bounds retries to a share of successes."""
 
 DEFAULT_CAPACITY = 20.0
-"""Retries that can be saved up."""
+"""Largest number of accumulated retries."""
 
 
 class RetryBudget:
-    """Token bucket that successes fill and retries empty.
+    """Token bucket that successes refill and retries drain.
 
     Parameters
     ----------
     ratio : float
         Retries allowed per success.
     capacity : float
-        Largest number of saved retries; the bucket starts full.
+        Largest number of accumulated retries; the bucket starts full.
     """
 
     def __init__(self, ratio: float, *, capacity: float = DEFAULT_CAPACITY) -> None:
@@ -22,15 +22,15 @@
 
     @property
     def tokens(self) -> float:
-        """Retries that are allowed now."""
+        """Retries available now; may be fractional."""
         return self._tokens
 
     def record_success(self) -> None:
-        """Add the share of a retry that one success allows."""
+        """Add the share of a retry that one success earns."""
         self._tokens = min(self._capacity, self._tokens + self._ratio)
 
     def take(self) -> bool:
-        """Take one retry; return False when none is left."""
+        """Take one retry; return False if the budget is exhausted."""
         if self._tokens < 1.0:
             return False
         self._tokens -= 1.0
--- a/libs/placement/src/berylwalk/placement/_stragglers.py
+++ b/libs/placement/src/berylwalk/placement/_stragglers.py
@@ -1,32 +1,32 @@
-"""Setting slow agents aside."""
+"""Exclusion of stragglers from selection."""
 
 from collections.abc import Sequence
 
 from berylwalk.placement._candidates import Candidate
 
 MAX_EXCLUDED_SHARE = 0.34
-"""Largest share of the candidates that is set aside at once."""
+"""Largest share of the candidates that is excluded."""
 
 
 def exclude_stragglers(
     candidates: Sequence[Candidate], *, share: float = MAX_EXCLUDED_SHARE
 ) -> list[Candidate]:
-    """Return the candidates without the worst of the slow ones.
+    """Return the candidates without the slowest of the stragglers.
 
     Parameters
     ----------
     candidates : sequence of Candidate
         All eligible agents.
     share : float
-        Largest share, from 0 to 1, that may be left out.
+        Largest share of the candidates to exclude, from 0 to 1.
 
     Returns
     -------
     list of Candidate
-        Never empty unless the input is, for any share below 1.
+        Not empty for a share below 1, unless the input is empty.
     """
-    room = int(share * len(candidates))
+    max_excluded = int(share * len(candidates))
     slow = [candidate for candidate in candidates if candidate.slow]
-    worst_first = sorted(slow, key=lambda candidate: -candidate.token_gap_s)
-    left_out = {candidate.agent for candidate in worst_first[:room]}
-    return [candidate for candidate in candidates if candidate.agent not in left_out]
+    slowest_first = sorted(slow, key=lambda candidate: -candidate.token_gap_s)
+    excluded = {candidate.agent for candidate in slowest_first[:max_excluded]}
+    return [candidate for candidate in candidates if candidate.agent not in excluded]
--- a/tests/fuzz/faults.py
+++ b/tests/fuzz/faults.py
@@ -228,7 +228,7 @@
                 "while len(self.waiting) > self._max_waiting:\n"
                 "            victim = self.waiting.eviction_candidate()",
                 "if len(self.waiting) > self._max_waiting:\n"
-                "            victim = newcomer",
+                "            victim = newest",
             ),
         ),
         REQUESTS,
