--- a/libs/direct/src/berylwalk/direct/_admission.py
+++ b/libs/direct/src/berylwalk/direct/_admission.py
@@ -6,12 +6,12 @@
 from berylwalk.direct._context import RouterContext
 from berylwalk.dispatch import Account, AllowanceState, Allowed, Denied, Route
 from berylwalk.forwarding import CallerRequest
-from berylwalk.platform import BadHeaders, CallFacts, read_call
-from berylwalk.quarantine import Identity, Standing, request_identity
+from berylwalk.platform import InvalidHeaders, RequestHeaders, parse_request_headers
+from berylwalk.quarantine import Identity, QuarantineStatus, request_identity
 
 TIMEOUT_MARGIN_S = 0.03
 """Time before the end of a caller's limit at which an answer is sent."""
-HELD_BACK = "targets-ended-under-it"
+QUARANTINED = "targets-ended-under-it"
 """Reason, in logs and metrics, for a request that is held back."""
 RETRY_AFTER_UNREADY_S = 1.0
 """When a request should come back that came while no configuration may be used."""
@@ -25,7 +25,7 @@
     ----------
     request : CallerRequest
         As the caller sent it.
-    facts : CallFacts
+    facts : RequestHeaders
         What its headers tell.
     route : Route
         How it is treated.
@@ -43,12 +43,12 @@
         What it has in common with its returns.
     is_trial : bool
         Whether it is held back unless a trial is permitted.
-    spent : Spent or None
+    charge : Charge or None
         The allowance that its cost was taken from; None where there is no limit.
     """
 
     request: CallerRequest
-    facts: CallFacts
+    facts: RequestHeaders
     route: Route
     account: Account | None
     rank: tuple[int, int]
@@ -57,7 +57,7 @@
     ends_at: float
     identity: Identity
     is_trial: bool = False
-    spent: "Spent | None" = None
+    charge: "Charge | None" = None
 
     @property
     def request_id(self) -> bytes:
@@ -84,7 +84,7 @@
         When it may come back, in seconds.
     request_id : bytes
         Empty if the request has none.
-    spent : Spent or None
+    charge : Charge or None
         The allowance that does not suffice, if that is why.
     identity : bytes or None
         Of a request that is held back for the targets that ended under it.
@@ -94,12 +94,12 @@
     reason: str
     retry_after_s: float | None
     request_id: bytes
-    spent: "Spent | None" = None
+    charge: "Charge | None" = None
     identity: Identity | None = None
 
 
 @dataclass(frozen=True, slots=True)
-class Spent:
+class Charge:
     """A request and the allowance that pays for it, or that does not suffice.
 
     Parameters
@@ -122,33 +122,33 @@
 
 def admit(context: RouterContext, request: CallerRequest) -> Admitted | Refusal:
     """Decide whether to take a request; its cost is spent if it is taken."""
-    facts = read_call(request.headers)
-    if isinstance(facts, BadHeaders):
+    facts = parse_request_headers(request.headers)
+    if isinstance(facts, InvalidHeaders):
         return Refusal(400, f"bad-headers: {facts.detail}", None, b"")
     now = context.clock()
     path = request.target.decode("latin-1")
-    access = context.configuration.check(facts.host, path, facts.key, now)
+    access = context.configuration.check(facts.host, path, facts.api_key, now)
     if isinstance(access, Denied):
         retry_after_s = RETRY_AFTER_UNREADY_S if access.status == 503 else None
         return Refusal(access.status, access.reason, retry_after_s, facts.request_id)
     admitted = _admitted(request, facts, access)
-    match context.quarantine.standing(admitted.identity, context.clock()):
-        case Standing.BLAMED:
-            return held_back(context, admitted)
-        case Standing.TRIAL:
+    match context.quarantine.status(admitted.identity, context.clock()):
+        case QuarantineStatus.BLAMED:
+            return quarantine_refusal(context, admitted)
+        case QuarantineStatus.TRIAL:
             admitted = replace(admitted, is_trial=True)
     if admitted.account is None:
         return admitted
     account, route, cost = admitted.account, admitted.route, admitted.cost
     wait_s = context.allowances.take(account, cost, route.priority, now)
     state = context.allowances.state(account, now)
-    spent = Spent(account.name, route, cost, state)
+    charge = Charge(account.name, route, cost, state)
     if wait_s > 0:
-        return Refusal(429, "allowance-spent", wait_s, facts.request_id, spent)
-    return replace(admitted, spent=spent) if account.rate_per_s > 0 else admitted
+        return Refusal(429, "allowance-spent", wait_s, facts.request_id, charge)
+    return replace(admitted, charge=charge) if account.rate_per_s > 0 else admitted
 
 
-def held_back(context: RouterContext, admitted: Admitted) -> Refusal:
+def quarantine_refusal(context: RouterContext, admitted: Admitted) -> Refusal:
     """Return the refusal of a request under which targets ended.
 
     It has not run and never will under this id. A status by which clients don't come
@@ -158,14 +158,16 @@
     retry_after_s = context.quarantine.retry_after_s(admitted.identity, now)
     return Refusal(
         503,
-        HELD_BACK,
+        QUARANTINED,
         retry_after_s,
         admitted.request_id,
         identity=admitted.identity,
     )
 
 
-def _admitted(request: CallerRequest, facts: CallFacts, access: Allowed) -> Admitted:
+def _admitted(
+    request: CallerRequest, facts: RequestHeaders, access: Allowed
+) -> Admitted:
     route = access.route
     limit_s = route.timeout_s
     if facts.time_limit_s is not None:
@@ -188,9 +190,9 @@
     )
 
 
-def _cost(account: Account | None, facts: CallFacts) -> float:
+def _cost(account: Account | None, facts: RequestHeaders) -> float:
     if account is None:
         return 0.0
     if not account.counts_tokens:
         return 1.0
-    return float(facts.tokens or account.plain_cost)
+    return float(facts.total_tokens or account.plain_cost)
--- a/libs/direct/tests/virtual_rollout.py
+++ b/libs/direct/tests/virtual_rollout.py
@@ -16,10 +16,10 @@
 
 from berylwalk.direct._configuration_feed import ConfigurationFeed
 from berylwalk.direct._metrics import RouterMetrics
-from berylwalk.direct._mirrored_prefix import ReadingRole
+from berylwalk.direct._mirrored_prefix import ReadRole
 from berylwalk.direct._peering import Peering
-from berylwalk.direct._rollout_note import RolloutNote
-from berylwalk.direct._store_reach import StoreReach
+from berylwalk.direct._rollout_coordinator import RolloutCoordinator
+from berylwalk.direct._store_health import StoreHealth
 from berylwalk.direct._target_feed import TargetFeed
 from berylwalk.dispatch import (
     AllowanceRules,
@@ -37,7 +37,7 @@
     EventKind,
     KeyValue,
     Listing,
-    Lost,
+    OutcomeUnknown,
     Swapped,
     Unavailable,
     UnavailableReason,
@@ -147,7 +147,11 @@
             answer = await getattr(store, call)(*arguments, **options)
             if self._is_away() or play.random.random() < store.lost_share:
                 await sleep(LOST_CALL_S)
-                return Lost("no answer") if call == "compare_and_swap" else NO_ANSWER
+                return (
+                    OutcomeUnknown("no answer")
+                    if call == "compare_and_swap"
+                    else NO_ANSWER
+                )
             return answer
 
         return make
@@ -269,8 +273,8 @@
         self.targets = TargetTable()
         self.rollouts = play.plants.make_rollouts(f"{name}/{life}")
         peers = PeerTable(name, domain)
-        self.rollouts.routers_known = peers.known
-        self.rollouts.at_other_versions = self.targets.in_flight_elsewhere
+        self.rollouts.router_count = peers.known
+        self.rollouts.in_flight_at_other_versions = self.targets.in_flight_elsewhere
         self.context = SimpleNamespace(
             settings=SimpleNamespace(
                 name=name,
@@ -296,31 +300,32 @@
             note_suspension=lambda: None,
             clock=self.clock,
         )
-        reach = StoreReach(self.context)
+        store_health = StoreHealth(self.context)
         store = StoreOf(play, name)
-        self.peering = Peering(self.context, store, reach)
+        self.peering = Peering(self.context, store, store_health)
         self.peering._transport = SimpleNamespace(sendto=self._send)
-        reading = self.peering.reading
-        role = ReadingRole(
-            leans=reading.leans, reads_for_others=reading.reads_for_others
+        shared_reads = self.peering.shared_reads
+        role = ReadRole(
+            follows_peers=shared_reads.follows_peers,
+            serves_peers=shared_reads.serves_peers,
         )
         self.feeds = [
-            ConfigurationFeed(self.context, store, reach, role),
-            TargetFeed(self.context, store, reach, role),
+            ConfigurationFeed(self.context, store, store_health, role),
+            TargetFeed(self.context, store, store_health, role),
         ]
         for feed in self.feeds:
-            reading.add(feed.mirror)
-        self.note = RolloutNote(
+            shared_reads.add(feed.mirror)
+        self.note = RolloutCoordinator(
             self.context,
             store,
-            reach,
-            reading=reading,
+            store_health,
+            shared_reads=shared_reads,
             role=role,
             wall_clock=self.clock,
         )
-        self.rollouts.on_news = self.peering.tell_soon
-        self.rollouts.on_orders = self.note.wake
-        self.rollouts.on_judged = lambda judged: self.note.wake()
+        self.rollouts.on_urgent_update = self.peering.send_soon
+        self.rollouts.on_orders_changed = self.note.wake
+        self.rollouts.on_rejected = lambda judged: self.note.wake()
 
     def _log(self, event, **fields):
         self.lines.append((round(self.clock(), 3), event, fields))
@@ -340,7 +345,7 @@
                 *(feed.run for feed in self.feeds),
                 self.peering._tell,
                 self.peering._relay,
-                self.peering.reading.run,
+                self.peering.shared_reads.run,
                 self.note.run,
             ):
                 tasks.start_soon(each)
@@ -349,14 +354,14 @@
         """Return the target that a request goes to, and whether it is a trial."""
         now, rollouts = self.clock(), self.rollouts
         targets = self.targets.of_service(SERVICE)
-        if rollouts.is_watched(SERVICE):
-            rollouts.note_sent(SERVICE)
+        if rollouts.is_in_progress(SERVICE):
+            rollouts.count_send(SERVICE)
             if rollouts.take_canary(SERVICE, route, now):
                 version = rollouts.progress(SERVICE).order.version
                 new = [each for each in targets if each.entry.version == version]
                 lives = [each.entry.life_id for each in new]
                 others = len(targets) - len(new)
-                group = rollouts.group(SERVICE, lives, others, now)
+                group = rollouts.canary_targets(SERVICE, lives, others, now)
                 among = [
                     each
                     for each in new
@@ -364,7 +369,7 @@
                 ]
                 if among:
                     return min(among, key=lambda each: each.total_in_flight)
-                rollouts.give_back_canary(SERVICE, route)
+                rollouts.refund_canary(SERVICE, route)
         draw = self.play.random.random()
         allowed = [
             each
@@ -384,7 +389,7 @@
             return None
         rollouts, work, sent_at = self.rollouts, Work(), self.clock()
         version, life_id = target.entry.version, target.entry.life_id
-        row = rollouts.row_of(SERVICE, version, life_id, route, sent_at)
+        row = rollouts.answer_key(SERVICE, version, life_id, route, sent_at)
         target.note_sent(work, sent_at)
         engine = self.play.engines_by_id[target.entry.target_id]
         noted = []
@@ -392,7 +397,7 @@
         def note(kind):
             if row is not None and not noted:
                 noted.append(kind)
-                rollouts.note_answer(SERVICE, row, kind, self.clock())
+                rollouts.record_answer(SERVICE, row, kind, self.clock())
 
         try:
             kind = await engine.run(
@@ -402,10 +407,10 @@
             target.note_left(work, had_first_event=True)
         if not engine.is_up:
             target.note_unreachable(self.clock())
-            rollouts.note_end_of_target(SERVICE, life_id, is_new=version == NEW)
+            rollouts.record_crash(SERVICE, life_id, is_new=version == NEW)
             return kind
         if version != NEW:
-            rollouts.note_taken(SERVICE, self.clock() - sent_at)
+            rollouts.record_duration(SERVICE, self.clock() - sent_at)
         note(kind)
         return kind
 
@@ -558,10 +563,10 @@
             item = self.store.items.get(STATUS_KEY)
             if item is not None and item.value != told:
                 told = item.value
-                self._follow(loads(told))
+                self._run_mirror(loads(told))
             await sleep(0.005)
 
-    def _follow(self, status):
+    def _run_mirror(self, status):
         self.figures.statuses.append((self.since_order_s(), status["state"]))
         if status["state"] == "completed":
             for engine in self._of_version(OLD):
