--- a/libs/admission/src/berylwalk/admission/_admission_queue.py
+++ b/libs/admission/src/berylwalk/admission/_admission_queue.py
@@ -67,7 +67,7 @@
     def add(self, entry: QueueEntry) -> None:
         """Queue a new entry."""
         if entry.key in self._entries_by_key:
-            raise ValueError(f"entry {entry.key} is already in the queue")
+            raise ValueError(f"{entry.key} is already in the queue")
         self._next_sequence += 1
         entry.sequence = self._next_sequence
         self._entries_by_key[entry.key] = entry
@@ -105,7 +105,7 @@
         """Skip a taken entry until it is unparked, and refund its account."""
         entry = self._entries_by_key[key]
         if entry.state is not EntryState.TAKEN:
-            raise ValueError(f"entry {key} cannot be parked: it is not taken")
+            raise ValueError(f"{key} cannot be parked: it is not taken")
         tier = self._tier_of(entry)
         self._refund(entry, tier)
         entry.state = EntryState.PARKED
@@ -115,7 +115,7 @@
         """Queue a parked entry again, in its original order of arrival."""
         entry = self._entries_by_key[key]
         if entry.state is not EntryState.PARKED:
-            raise ValueError(f"entry {key} cannot be unparked: it is not parked")
+            raise ValueError(f"{key} cannot be unparked: it is not parked")
         tier = self._tier_of(entry)
         tier.parked -= 1
         entry.state = EntryState.QUEUED
--- a/libs/admission/src/berylwalk/admission/_concurrency_limit.py
+++ b/libs/admission/src/berylwalk/admission/_concurrency_limit.py
@@ -15,7 +15,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LatencyTargets:
-    """Wanted latency of the target: token gap and time to first token, in seconds."""
+    """Desired latency of the target: token gap and time to first token, in seconds."""
 
     token_gap_s: float = 0.1
     first_token_s: float = 2.0
@@ -31,7 +31,7 @@
     initial, minimum, maximum : int
         Initial limit and its bounds.
     targets : SlotTargets
-        Wanted latency.
+        Desired latency.
     window_s : float
         Length of a window, in seconds.
     """
@@ -82,7 +82,7 @@
     ) -> None:
         """Record a time to first token.
 
-        The wanted time is capped by the least time that indicates queueing inside
+        The desired time is capped by the least time that indicates queueing inside
         the target, where tiers have no effect.
 
         Parameters
@@ -96,8 +96,8 @@
         """
         prefill_s = PREFILL_FACTOR * unloaded_s
         queueing_s = prefill_s + GAPS_TO_FIRST_TOKEN * gap_s + QUEUE_ALLOWANCE_S
-        wanted_s = min(max(self._latency_targets.first_token_s, prefill_s), queueing_s)
-        self._add_first_ratio(elapsed_s / wanted_s)
+        desired_s = min(max(self._latency_targets.first_token_s, prefill_s), queueing_s)
+        self._add_first_ratio(elapsed_s / desired_s)
 
     def observe_response(self, elapsed_s: float) -> None:
         """Record the response time of a service that generates no tokens."""
--- a/libs/admission/src/berylwalk/admission/_limit_rules.py
+++ b/libs/admission/src/berylwalk/admission/_limit_rules.py
@@ -14,7 +14,7 @@
     Parameters
     ----------
     pressure : float
-        Observed latency divided by the wanted one; the larger of the ratios for
+        Observed latency divided by the desired one; the larger of the ratios for
         the token gap and the first token. Above 1 the target is overloaded.
     saturated : bool
         Whether all slots were in use.
@@ -66,7 +66,7 @@
 
 
 def gradient(*, smoothing: float = 0.5, floor: float = 0.5) -> LimitRule:
-    """Return a rule that follows the ratio of wanted to observed latency.
+    """Return a rule that follows the ratio of desired to observed latency.
 
     Parameters
     ----------
--- a/libs/admission/tests/test_admission_limits.py
+++ b/libs/admission/tests/test_admission_limits.py
@@ -1,4 +1,4 @@
-"""Limits, headroom and stragglers under changing load."""
+"""Concurrency limit, headroom, straggler detection and estimates."""
 
 import pytest
 
@@ -24,11 +24,11 @@
 class TestHeadroom:
     @pytest.mark.parametrize(("rank", "expected"), [(0, 10), (1, 8), (2, 7)])
     def test_lower_tiers_leave_slots(self, rank, expected):
-        """Each tier leaves the sum of the shares above it, without rounding up."""
+        """Rounding errors in the sum of higher shares do not reserve an extra slot."""
         assert tier_slot_limit(rank, 10, TIERS, higher_active=True) == expected
 
-    def test_idle_target_serves_the_lowest(self):
-        """A single slot goes to the lowest tier only when nothing higher is there."""
+    def test_single_slot_is_open_to_the_lowest_tier_when_idle(self):
+        """Headroom must not block the lowest tier while no higher one is active."""
         assert tier_slot_limit(2, 1, TIERS, higher_active=False) == 1
         assert tier_slot_limit(2, 1, TIERS, higher_active=True) == 0
 
@@ -36,7 +36,7 @@
 @pytest.mark.parametrize("rule", [aimd(), gradient()], ids=["aimd", "gradient"])
 class TestConcurrencyLimit:
     def settle(self, rule, capacity):
-        """Run windows in which the gap is on target at exactly ``capacity``."""
+        """Run windows whose token gap equals the desired one at ``capacity``."""
         limit = ConcurrencyLimit(
             rule,
             initial=8,
@@ -52,16 +52,16 @@
 
     @pytest.mark.parametrize("capacity", [4, 12, 40])
     def test_settles_near_capacity(self, rule, capacity):
-        """The limit ends where the target still keeps the wanted token gap."""
+        """The limit converges to the load with the desired token gap."""
         assert 0.7 * capacity <= self.settle(rule, capacity) <= 1.3 * capacity + 1
 
     def test_stays_within_bounds(self, rule):
-        """Neither a dead-slow nor an instant target leaves the bounds."""
+        """A very slow or very fast target does not move the limit out of its bounds."""
         assert self.settle(rule, 0.01) == 2
         assert self.settle(rule, 10_000) == 64
 
-    def test_unused_slots_do_not_raise_it(self, rule):
-        """A target that is never full tells nothing about more load."""
+    def test_unused_slots_do_not_raise_the_limit(self, rule):
+        """The limit does not grow while the target is not saturated."""
         limit = ConcurrencyLimit(rule, initial=8)
         for window in range(50):
             limit.observe_gap(0.01 * 10, 10)
@@ -70,8 +70,8 @@
 
 
 class TestQueueInsideTarget:
-    def test_limit_falls_when_first_tokens_wait(self):
-        """First tokens that wait inside the target lower the limit early."""
+    def test_limit_falls_when_requests_queue_in_the_target(self):
+        """Late first tokens lower the limit before the desired time is exceeded."""
         limit = ConcurrencyLimit(
             aimd(), initial=32, latency_targets=LatencyTargets(0.1, 2.0)
         )
@@ -80,8 +80,8 @@
             limit.update(window * 1.0, limit.value())
         assert limit.value() < 8
 
-    def test_what_runs_beyond_it_does_not_lower_it_further(self):
-        """A limit is not lowered again before its last lowering can show."""
+    def test_requests_beyond_the_limit_do_not_lower_it_further(self):
+        """The limit is not lowered again before a decrease can take effect."""
         limit = ConcurrencyLimit(aimd(), initial=32)
         for window in range(20):
             limit.observe_first_token(0.5, 0.02, 0.005)
@@ -90,8 +90,8 @@
 
 
 class TestStraggler:
-    def test_found_and_recovered(self):
-        """A target three times slower than before is slow until it recovers."""
+    def test_detection_and_recovery(self):
+        """A target three times slower than its baseline is slow until it recovers."""
         detector = StragglerDetector()
         for _ in range(200):
             detector.observe(4, 0.01)
@@ -106,7 +106,7 @@
         assert detector.slowdown == 1.0
 
     def test_larger_batch_is_not_slow(self):
-        """Steps of a large batch are compared with steps of a large batch."""
+        """Token gaps are compared with the baseline of their own batch size."""
         detector = StragglerDetector()
         for _ in range(200):
             detector.observe(1, 0.01)
@@ -117,7 +117,7 @@
 
 class TestSpeedModel:
     def test_estimates_follow_observations(self):
-        """Estimates use the observed gap of the nearest batch size."""
+        """Estimates use the token gap observed at the nearest batch size."""
         speed = SpeedModel(prefill_tokens_per_s=1000, token_gap_s=0.02)
         assert speed.service_s(Work(1000, 100), 1) == pytest.approx(3.0)
         for _ in range(100):
--- a/libs/admission/tests/test_admission_waiting.py
+++ b/libs/admission/tests/test_admission_waiting.py
@@ -1,4 +1,4 @@
-"""The waiting list against a naive list that scans everything."""
+"""Admission queue, compared with a simple reference model."""
 
 from dataclasses import dataclass, field
 
@@ -25,8 +25,8 @@
 
 
 @dataclass
-class NaiveTier:
-    """Deficit round robin, one turn at a time."""
+class ReferenceTier:
+    """Deficit round robin, one step at a time."""
 
     ring: list[str] = field(default_factory=list)
     deficits: dict[str, float] = field(default_factory=dict)
@@ -55,8 +55,8 @@
             self.credited = False
 
 
-class NaiveList:
-    """All entries in one list; everything is found by looking at each."""
+class ReferenceQueue:
+    """All entries in one list that is scanned for each operation."""
 
     def __init__(self):
         self.entries = []
@@ -86,10 +86,10 @@
         tier.deficits[account] -= entry.cost
         return entry
 
-    def joined(self, entry):
-        self.tiers.setdefault(entry.rank, NaiveTier()).join(entry.client_account)
+    def add_account(self, entry):
+        self.tiers.setdefault(entry.rank, ReferenceTier()).join(entry.client_account)
 
-    def left(self, entry):
+    def drop_empty(self, entry):
         if not self.queued(entry.rank, entry.client_account):
             self.tiers[entry.rank].leave(entry.client_account)
         if not any(other.rank == entry.rank for other in self.entries):
@@ -104,15 +104,15 @@
 WEIGHTS = {"a": 1.0, "b": 0.25, "c": 4.0}
 
 
-class WaitingListAgainstNaive(RuleBasedStateMachine):
+class QueueAgainstReference(RuleBasedStateMachine):
     def __init__(self):
         super().__init__()
         self.waiting = AdmissionQueue()
-        self.naive = NaiveList()
+        self.reference = ReferenceQueue()
         self.next_key = 0
 
     def choose(self, data, *states):
-        found = [entry for entry in self.naive.entries if entry.state in states]
+        found = [entry for entry in self.reference.entries if entry.state in states]
         return data.draw(st.sampled_from(found)) if found else None
 
     @rule(
@@ -132,30 +132,30 @@
             deadline_at=deadline_at,
         )
         self.waiting.add(entry)
-        self.naive.entries.append(entry)
-        self.naive.joined(entry)
+        self.reference.entries.append(entry)
+        self.reference.add_account(entry)
 
     @precondition(lambda self: self.waiting.highest_rank() is not None)
     @rule()
     def take(self):
-        expected = self.naive.take()
+        expected = self.reference.take()
         assert self.waiting.peek() is expected
         assert self.waiting.take() is expected
-        self.naive.left(expected)
+        self.reference.drop_empty(expected)
 
     @rule(data=st.data())
     def park(self, data):
         entry = self.choose(data, EntryState.TAKEN)
         if entry is not None:
             self.waiting.park(entry.key)
-            self.naive.refund(entry)
+            self.reference.refund(entry)
 
     @rule(data=st.data())
     def unpark(self, data):
         entry = self.choose(data, EntryState.PARKED)
         if entry is not None:
             self.waiting.unpark(entry.key)
-            self.naive.joined(entry)
+            self.reference.add_account(entry)
 
     @rule(data=st.data(), ran=st.booleans())
     def remove(self, data, ran):
@@ -164,39 +164,39 @@
             return
         was = entry.state
         assert self.waiting.remove(entry.key, ran=ran) is entry
-        self.naive.entries.remove(entry)
+        self.reference.entries.remove(entry)
         if was is EntryState.TAKEN and not ran:
-            self.naive.refund(entry)
+            self.reference.refund(entry)
         if was is EntryState.QUEUED:
-            self.naive.left(entry)
-        elif not any(other.rank == entry.rank for other in self.naive.entries):
-            del self.naive.tiers[entry.rank]
+            self.reference.drop_empty(entry)
+        elif not any(other.rank == entry.rank for other in self.reference.entries):
+            del self.reference.tiers[entry.rank]
 
     @invariant()
-    def same_victim(self):
-        """The newest of the lowest tier makes room, parked ones included."""
-        waiting = [e for e in self.naive.entries if e.state is not EntryState.TAKEN]
+    def same_eviction_candidate(self):
+        """The newest queued or parked entry of the lowest tier is evicted first."""
+        waiting = [e for e in self.reference.entries if e.state is not EntryState.TAKEN]
         victim = max(waiting, key=lambda e: (e.rank, e.sequence), default=None)
         assert self.waiting.eviction_candidate() is victim
         assert len(self.waiting) == len(waiting)
 
     @invariant()
     def same_work(self):
-        """The work of a tier and above is that of its queued entries."""
-        ahead = [entry for rank in (0, 1) for entry in self.naive.queued(rank)]
+        """The work ahead is that of the queued entries of the tier and higher ones."""
+        ahead = [entry for rank in (0, 1) for entry in self.reference.queued(rank)]
         work = self.waiting.work_ahead(1)
         assert work.output_tokens == 10 * len(ahead)
 
 
-TestAgainstNaive = WaitingListAgainstNaive.TestCase
-TestAgainstNaive.settings = settings(
+TestAgainstReference = QueueAgainstReference.TestCase
+TestAgainstReference.settings = settings(
     max_examples=150, stateful_step_count=40, derandomize=True, deadline=None
 )
 
 
-class TestShares:
-    def test_by_weight_whatever_the_size(self):
-        """A weight of 3 gives three times the service, even with larger requests."""
+class TestFairShares:
+    def test_service_is_proportional_to_weight(self):
+        """An account of weight 3 gets three times the service, with larger requests."""
         waiting = AdmissionQueue()
         for number in range(200):
             waiting.add(make_entry(("a", number), "a", weight=3.0, cost=4.0))
@@ -209,9 +209,9 @@
         assert 2.5 < served["a"] / served["b"] < 3.5
 
 
-class TestFirstInFirstOut:
+class TestFifo:
     def test_ignores_tier_and_deadline(self):
-        """The baseline for benchmarks takes requests as they come."""
+        """The benchmark baseline serves requests in order of arrival."""
         waiting = AdmissionQueue(scheduling_key=fifo_scheduling_key)
         for number, rank in enumerate((2, 0, 1)):
             waiting.add(make_entry(number, str(number), rank, deadline_at=-number))
--- a/libs/agent/src/berylwalk/agent/_config.py
+++ b/libs/agent/src/berylwalk/agent/_config.py
@@ -37,7 +37,7 @@
     max_waiting : int
         Largest number of queued reservations.
     latency_targets : LatencyTargets
-        Wanted latency of the target.
+        Desired latency of the target.
     prefill_tokens_per_s, token_gap_s : float
         Nominal speed of the target.
     ready_timeout_s : float
--- a/libs/agent/src/berylwalk/agent/_daemon.py
+++ b/libs/agent/src/berylwalk/agent/_daemon.py
@@ -79,7 +79,7 @@
             on_change=self._on_settings_change,
         )
         self._sync_server = self._connections.sync_server(
-            settings, SettingsResponder(self._replica).answer
+            settings, SettingsResponder(self._replica).respond
         )
         self._control = ControlChannel(
             self._connections.endpoint,
@@ -151,11 +151,7 @@
         if not self._health.reachable:
             findings.append(Finding("target", "it does not respond"))
         if not self._puller.is_usable:
-            findings.append(
-                Finding(
-                    "settings", "an announced newer version has not been received yet"
-                )
-            )
+            findings.append(Finding("settings", "a newer version is not pulled yet"))
         return findings
 
     def _new_health(self) -> TargetHealth:
--- a/libs/agent/src/berylwalk/agent/_dispatch.py
+++ b/libs/agent/src/berylwalk/agent/_dispatch.py
@@ -193,18 +193,18 @@
         await send_start(send, stream.status, response_headers(stream.headers))
         sender = chunk_sender(send)
 
-        def try_forward(chunk: bytes) -> bool:
+        def try_forward_chunk(chunk: bytes) -> bool:
             if sender is None or not sender.is_ready():
                 return False
             progress.add(meter.feed(chunk), is_stream=meter.is_stream)
             sender.write(chunk)
             return True
 
-        async def forward(chunk: bytes) -> None:
+        async def forward_chunk(chunk: bytes) -> None:
             progress.add(meter.feed(chunk), is_stream=meter.is_stream)
             await send_chunk(send, chunk)
 
-        await stream.forward(try_forward, forward)
+        await stream.forward(try_forward_chunk, forward_chunk)
         if not meter.is_complete:
             logging.warning("stream of %s has no end marker", call.grant.request_id)
             return DispatchEnd.BROKEN
@@ -216,14 +216,14 @@
             (name.encode("latin-1"), value.encode("latin-1"))
             for name, value in stream.headers.items()
         ]
-        statement = parse_target_headers(stream.status, headers)
-        if statement.problem:
-            logging.warning("invalid signal of the target: %s", statement.problem)
-        if not statement.is_plain or self._shell.machine.has_active_signals:
+        signals = parse_target_headers(stream.status, headers)
+        if signals.problem:
+            logging.warning("invalid signal of the target: %s", signals.problem)
+        if not signals.is_plain or self._shell.machine.has_active_signals:
             was_accepted = (
                 stream.status < SERVER_ERROR and stream.status != TOO_MANY_REQUESTS
             )
-            self._shell.handle(TargetSignalsReceived(statement, sent_at, was_accepted))
+            self._shell.handle(TargetSignalsReceived(signals, sent_at, was_accepted))
 
     def _handle_failure(self, grant: Grant, failure: RequestFailed) -> DispatchEnd:
         logging.warning("request %s failed: %s", grant.request_id, failure.reason)
--- a/libs/agent/src/berylwalk/agent/_events.py
+++ b/libs/agent/src/berylwalk/agent/_events.py
@@ -50,7 +50,7 @@
 
     Parameters
     ----------
-    statement : TargetStatement
+    signals : TargetStatement
         Signals in the headers.
     sent_at : float
         Monotonic time at which the request was sent, in seconds.
@@ -58,7 +58,7 @@
         Whether the target accepted the request.
     """
 
-    statement: TargetStatement
+    signals: TargetStatement
     sent_at: float
     was_accepted: bool
 
--- a/libs/agent/src/berylwalk/agent/_orders.py
+++ b/libs/agent/src/berylwalk/agent/_orders.py
@@ -82,15 +82,15 @@
 
     async def forward(self, order: Order) -> OrderResult:
         """Send an order and return its result."""
-        request = target_order(order)
+        target_request = target_order(order)
         response = await self._client.request(
             "POST",
-            self._target_url + request.path,
+            self._target_url + target_request.path,
             headers=(
                 ("Content-Type", "application/json"),
                 (FENCING_HEADER, str(order.fencing)),
             ),
-            body=msgspec.json.encode(request.body),
+            body=msgspec.json.encode(target_request.body),
             read_timeout_s=ORDER_TIMEOUT_S,
         )
         if isinstance(response, RequestFailed):
--- a/libs/agent/src/berylwalk/agent/_reservations.py
+++ b/libs/agent/src/berylwalk/agent/_reservations.py
@@ -56,11 +56,11 @@
 
     def next_due(self) -> float:
         """Return when `advance` or `refuse_overdue` is needed next, in seconds."""
-        earliest = self._latest_starts.peek()
+        next_start = self._latest_starts.peek()
         return (
             self._offers.next_due
-            if earliest is None
-            else min(earliest[0], self._offers.next_due)
+            if next_start is None
+            else min(next_start[0], self._offers.next_due)
         )
 
     def get(self, request_id: RequestId) -> Reservation | None:
--- a/libs/agent/src/berylwalk/agent/_settings_responder.py
+++ b/libs/agent/src/berylwalk/agent/_settings_responder.py
@@ -21,7 +21,7 @@
     def __init__(self, replica: SettingsReplica) -> None:
         self._replies = SettingsReplies(replica)
 
-    async def answer(self, request: bytes) -> bytes:
+    async def respond(self, request: bytes) -> bytes:
         """Return the encoded reply to an encoded query.
 
         Raises
--- a/libs/agent/src/berylwalk/agent/_slots.py
+++ b/libs/agent/src/berylwalk/agent/_slots.py
@@ -63,7 +63,7 @@
         self.tiers: tuple[TierPolicy, ...] = ()
         self.running_by_id: dict[RequestId, RunningRequest] = {}
         self._now = 0.0
-        self._needs = StatedNeeds()
+        self._flow_control = StatedNeeds()
         self.reset_flow_control()
         self._held = 0
         # Counts running requests and held slots.
@@ -82,22 +82,25 @@
     @property
     def is_throttled(self) -> bool:
         """Whether the target has signaled that it accepts no requests now."""
-        return self._needs.obstacle(self._now) is not None
+        return self._flow_control.obstacle(self._now) is not None
 
     @property
     def is_backing_off(self) -> bool:
         """Whether the target has requested a backoff, also for held slots."""
-        return self._needs.rest.is_on(self._now)
+        return self._flow_control.rest.is_on(self._now)
 
     @property
     def has_active_signals(self) -> bool:
         """Whether a response without signals would end a rate limit or backoff."""
-        needs = self._needs
-        return needs.limit.per_s is not None or needs.rest.sends_left is not None
+        flow_control = self._flow_control
+        return (
+            flow_control.limit.per_s is not None
+            or flow_control.rest.sends_left is not None
+        )
 
     def throttled_for_s(self) -> float:
         """Return the time until the target accepts requests, in seconds, if known."""
-        return max(0.0, self._needs.opens_at(self._now) - self._now)
+        return max(0.0, self._flow_control.opens_at(self._now) - self._now)
 
     def wait_s(self, ahead: Work) -> float:
         """Return the expected wait behind queued work, in seconds."""
@@ -109,24 +112,24 @@
 
     def apply_signals(self, event: TargetSignalsReceived) -> bool:
         """Apply signals; return whether they newly announce a shutdown."""
-        changed = self._needs.note_answer(
-            event.statement, sent_at=event.sent_at, now=self._now
+        changed = self._flow_control.note_answer(
+            event.signals, sent_at=event.sent_at, now=self._now
         )
         if event.was_accepted:
-            self._needs.rest.note_taken(self.limit, sent_at=event.sent_at)
+            self._flow_control.rest.note_taken(self.limit, sent_at=event.sent_at)
         return Need.LEAVING in changed
 
     def reset_flow_control(self) -> None:
         """Discard all signals of the target, as after its restart."""
-        self._needs = StatedNeeds()
+        self._flow_control = StatedNeeds()
         # All requests to the target pass through this agent.
-        self._needs.limit.set_share(1.0, self._now)
+        self._flow_control.limit.set_share(1.0, self._now)
 
     @property
     def limit(self) -> int:
         """Concurrency limit in force."""
-        slowdown = self.straggler.slowdown if self._policy.limit_stragglers else 1.0
-        return self._limit.value(slowdown=slowdown)
+        factor = self.straggler.slowdown if self._policy.limit_stragglers else 1.0
+        return self._limit.value(slowdown=factor)
 
     @property
     def limit_due(self) -> float:
@@ -185,19 +188,19 @@
     def hold(self, rank: int) -> None:
         """Hold a slot for a grant."""
         self._held += 1
-        self._needs.note_sent(self._now)
+        self._flow_control.note_sent(self._now)
         self._in_use_by_rank[rank] += 1
 
     def release(self, rank: int) -> None:
         """Release a held slot."""
         self._held -= 1
-        self._needs.note_not_sent(self._now)
+        self._flow_control.note_not_sent(self._now)
         self._in_use_by_rank[rank] -= 1
 
     def start(self, grant: Grant, now: float) -> None:
         """Record the start of a dispatched request."""
         self.running_by_id[grant.request_id] = RunningRequest(grant, now, now)
-        self._needs.note_sent(now)
+        self._flow_control.note_sent(now)
         self._in_use_by_rank[grant.tier_rank] += 1
 
     def progress(self, event: TargetProgress, now: float) -> None:
--- a/libs/agent/tests/test_agent_stated_needs.py
+++ b/libs/agent/tests/test_agent_stated_needs.py
@@ -16,9 +16,9 @@
 from berylwalk.wire import Queued, Ready, Withdraw
 
 
-def states(driver, *, was_accepted=True, **statement):
+def states(driver, *, was_accepted=True, **signals):
     """Let an answer state something of the target."""
-    stated = TargetStatement(**statement)
+    stated = TargetStatement(**signals)
     driver.handle(TargetSignalsReceived(stated, driver.now - 0.1, was_accepted))
 
 
--- a/libs/placement/tests/test_placement_choosers.py
+++ b/libs/placement/tests/test_placement_choosers.py
@@ -1,4 +1,4 @@
-"""Choosing among eligible agents."""
+"""Selection of one of the eligible agents."""
 
 from collections import Counter
 from dataclasses import replace
@@ -31,8 +31,8 @@
 
 
 class TestEarliestFinish:
-    def test_cached_prefix_wins_until_its_wait_is_longer(self):
-        """Affinity is worth the prefill it saves, and no more."""
+    def test_cached_prefix_wins_unless_its_wait_is_longer(self):
+        """Affinity does not outweigh a wait longer than the saved prefill."""
         history = PlacementHistory()
         history.record(DOCUMENT.prefix, "a3")
         candidates = _candidates(6)
@@ -41,8 +41,8 @@
         candidates[3] = replace(candidates[3], wait_s=60.0, load=9.0)
         assert choose(DOCUMENT, candidates).agent != "a3"
 
-    def test_cached_prefix_is_worth_a_bounded_wait(self):
-        """Prefill stops a whole batch: some wait is better, a long one is not."""
+    def test_cached_prefix_justifies_a_bounded_wait(self):
+        """A short wait is accepted for a cached prefix, a long one is not."""
         history = PlacementHistory()
         history.record(DOCUMENT.prefix, "a3")
         choose = _chooser(history)
@@ -57,14 +57,14 @@
         assert chosen[1.0] == "a3"
         assert chosen[20.0] != "a3"
 
-    def test_prefix_that_nobody_had_goes_to_the_earliest_finish(self):
-        """A long prompt alone is no reason to wait."""
+    def test_unknown_prefix_goes_to_the_earliest_finish(self):
+        """A long prompt without cached prefix does not wait."""
         candidates = _candidates(6, wait_s=0.4, prefill_tokens_per_s=40_000.0)
         candidates[2] = replace(candidates[2], wait_s=0.0)
         assert _chooser()(DOCUMENT, candidates).agent == "a2"
 
-    def test_slow_generation_gets_short_answers_only(self):
-        """Decode time at the agent's own speed counts."""
+    def test_slow_decoding_agent_gets_short_responses_only(self):
+        """The expected finish includes decoding at the agent's own speed."""
         slow_idle = Candidate("slow", token_gap_s=0.05)
         fast_busy = Candidate("fast", token_gap_s=0.01, wait_s=1.0)
         choose = _chooser()
@@ -73,8 +73,8 @@
         assert choose(short, [slow_idle, fast_busy]) is slow_idle
         assert choose(long, [slow_idle, fast_busy]) is fast_busy
 
-    def test_same_domain_first_and_spill_by_wait(self):
-        """Another failure domain costs little."""
+    def test_prefers_its_failure_domain_unless_the_wait_is_longer(self):
+        """The penalty of another failure domain is less than a wait of 0.1 s."""
         near = Candidate("near", failure_domain="x")
         far = Candidate("far", failure_domain="y")
         choose = _chooser(domain="x")
@@ -82,17 +82,17 @@
         waiting = replace(near, wait_s=0.1)
         assert choose(Work(), [far, waiting]) is far
 
-    def test_ties_are_spread(self):
-        """Equal agents share the requests."""
+    def test_ties_are_broken_at_random(self):
+        """Requests are spread over equal agents."""
         choose = _chooser()
         candidates = _candidates(4)
         counts = Counter(choose(Work(), candidates).agent for _ in range(400))
         assert min(counts[candidate.agent] for candidate in candidates) > 50
 
 
-class TestHomeAgent:
+class TestPreferredAgent:
     def test_routers_agree_and_move_few_prefixes(self):
-        """One more agent takes over its own share only."""
+        """A new agent takes over its own share of the prefixes only."""
         candidates = _candidates(10)
         works = [Work(prefix=(n * 7919,)) for n in range(500)]
         before = [preferred_agent(work, candidates) for work in works]
@@ -103,20 +103,20 @@
         assert set(moved) == {"new"}
         assert len(moved) < 100
 
-    def test_overloaded_home_is_passed_over(self):
+    def test_overloaded_agent_is_skipped(self):
         """A popular prefix does not overload one agent."""
         candidates = _candidates(5)
-        home = preferred_agent(DOCUMENT, candidates)
+        preferred = preferred_agent(DOCUMENT, candidates)
         loaded = [
-            replace(candidate, load=3.0 if candidate.agent == home else 0.1)
+            replace(candidate, load=3.0 if candidate.agent == preferred else 0.1)
             for candidate in candidates
         ]
-        assert preferred_agent(DOCUMENT, loaded) not in (home, None)
+        assert preferred_agent(DOCUMENT, loaded) not in (preferred, None)
 
 
 class TestCorrectedWait:
-    def test_own_requests_count_once_the_free_slots_are_used(self):
-        """A stale digest does not attract a whole burst."""
+    def test_own_requests_add_to_the_wait_beyond_free_slots(self):
+        """A stale digest does not attract a burst of requests."""
         waits = [
             corrected_wait_s(
                 reported_wait_s=0.0,
@@ -130,9 +130,9 @@
         assert waits == [0.0, 0.0, 2.0, 4.0, 6.0]
 
 
-class TestSetAside:
-    def test_share_is_bounded_and_the_worst_go_first(self):
-        """Slowness everywhere leaves most agents in use."""
+class TestExcludeStragglers:
+    def test_bounded_share_of_the_slowest_is_excluded(self):
+        """Most agents stay in use when all are slow."""
         slow = [replace(c, slow=True, token_gap_s=n) for n, c in _numbered(6)]
         kept = {candidate.agent for candidate in exclude_stragglers(slow)}
         assert kept == {"a0", "a1", "a2", "a3"}
@@ -140,8 +140,8 @@
 
 
 class TestBaselines:
-    def test_round_robin_survives_changes(self):
-        """Agents that come and go do not reset the turn."""
+    def test_round_robin_continues_after_changes(self):
+        """Added and removed agents do not reset the order."""
         choose = round_robin()
         candidates = _candidates(4)
         assert choose(Work(), candidates).agent == "a0"
@@ -149,8 +149,8 @@
         assert choose(Work(), candidates[:1] + candidates[2:]).agent == "a2"
         assert choose(Work(), candidates[:3]).agent == "a0"
 
-    def test_power_of_two_never_takes_the_worst(self):
-        """The longest wait loses every comparison."""
+    def test_power_of_two_never_chooses_the_longest_wait(self):
+        """The agent with the longest wait loses each comparison."""
         candidates = _candidates(3)
         candidates[1] = replace(candidates[1], wait_s=5.0)
         choose = power_of_two(Random(1))
--- a/libs/placement/tests/test_placement_state.py
+++ b/libs/placement/tests/test_placement_state.py
@@ -1,4 +1,4 @@
-"""Prefix hashes, subsets and retry budget."""
+"""Prefix hashes, agent subsets and the retry budget."""
 
 from berylwalk.placement import (
     RetryBudget,
@@ -8,8 +8,8 @@
 
 
 class TestPrefixHashes:
-    def test_common_blocks_share_hashes_and_the_rest_does_not(self):
-        """A difference changes its own block's hash and all later ones."""
+    def test_only_common_leading_blocks_share_hashes(self):
+        """A difference changes the hash of its block and of all later ones."""
         first = b"x" * 4096
         second = b"x" * 2048 + b"y" * 2048
         one, other = prefix_hashes(first), prefix_hashes(second)
@@ -18,26 +18,26 @@
         assert len(set(one)) == 4
 
     def test_count_is_bounded(self):
-        """A huge prompt costs no more than a long one."""
+        """The number of hashes of a huge prompt is bounded."""
         assert len(prefix_hashes(b"z" * 10_000_000)) == 64
         assert prefix_hashes(b"short") == ()
 
 
 class TestSubset:
-    def test_change_of_one_agent_changes_one_place(self):
-        """Connections survive changes of the fleet."""
+    def test_removed_agent_changes_one_member(self):
+        """The removal of an agent replaces no other member."""
         agents = [f"t{n}" for n in range(100)]
         before = set(subset("r1", agents, 16))
-        gone = sorted(before)[0]
-        after = set(subset("r1", [a for a in agents if a != gone], 16))
-        assert before - after == {gone}
+        removed = sorted(before)[0]
+        after = set(subset("r1", [a for a in agents if a != removed], 16))
+        assert before - after == {removed}
         assert len(after) == 16
         assert set(subset("r2", agents, 16)) != before
 
 
 class TestRetryBudget:
-    def test_retries_follow_successes(self):
-        """An outage spends the saved retries and no more."""
+    def test_retries_are_bounded_by_successes(self):
+        """No retries are allowed beyond the budget, until successes refill it."""
         budget = RetryBudget(0.1, capacity=2.0)
         assert [budget.take() for _ in range(3)] == [True, True, False]
         for _ in range(11):
