--- a/libs/direct/tests/test_direct_peering.py
+++ b/libs/direct/tests/test_direct_peering.py
@@ -251,7 +251,7 @@
             log.request = lambda event, request_id, **fields: told.append(fields)
             reply = await fleet.call("/idempotent/", Prompt_Prefix="a,b")
         assert reply.status == 200
-        assert "not a part of a prompt" in told[-1]["prefix_problem"]
+        assert "malformed part of a prompt" in told[-1]["prefix_problem"]
 
 
 class TestVersionsSideBySide:
