--- a/libs/direct/src/berylwalk/direct/_target_feed.py
+++ b/libs/direct/src/berylwalk/direct/_target_feed.py
@@ -197,11 +197,11 @@
                 in_flight=target.in_flight,
                 revision=revision,
             )
-        self._context.pool.keep_only(self._context.targets.by_life_id)
+        self._context.pool.retain(self._context.targets.by_life_id)
 
     def _on_target_removed(self, target_id: str, detail: str, revision: int) -> None:
         self._unknown_services.clear(target_id)
-        self._context.pool.keep_only(self._context.targets.by_life_id)
+        self._context.pool.retain(self._context.targets.by_life_id)
         self._context.metrics.forget_target(target_id)
         self._context.log.process(
             "target-gone", target=target_id, detail=detail, revision=revision
--- a/libs/forwarding/src/berylwalk/forwarding/__init__.py
+++ b/libs/forwarding/src/berylwalk/forwarding/__init__.py
@@ -1,4 +1,4 @@
-"""HTTP/1.1 connections of callers and targets that relay as bytes arrive."""
+"""HTTP/1.1 connections to callers and targets that stream data as it arrives."""
 
 from berylwalk.forwarding._caller_connection import (
     CallerConnection,
--- a/libs/forwarding/src/berylwalk/forwarding/_caller_connection.py
+++ b/libs/forwarding/src/berylwalk/forwarding/_caller_connection.py
@@ -1,4 +1,4 @@
-"""The server's side of one caller's connection."""
+"""Server side of a connection from a caller."""
 
 from asyncio import Protocol, Transport
 from collections import deque
@@ -11,15 +11,15 @@
 from berylwalk.forwarding._heads import Headers, header_value, response_head
 from berylwalk.quarantine import BodyHash
 
-QUEUED_REQUESTS = 4
-"""Requests sent ahead on one connection from which it isn't read further."""
-CLOSE_FLUSH_S = 5.0
-"""Time that a caller has to read the rest after the connection was closed."""
+MAX_PIPELINED_REQUESTS = 4
+"""Number of pipelined requests from which reading is paused."""
+CLOSE_TIMEOUT_S = 5.0
+"""Time to flush buffered data to the caller before a closing connection is aborted."""
 
 
 @dataclass(frozen=True, slots=True)
 class ConnectionLimits:
-    """What a caller may send, and how long it may take."""
+    """Limits on the size and duration of requests."""
 
     max_header_bytes: int
     max_body_bytes: int
@@ -29,22 +29,22 @@
 
 @dataclass(slots=True)
 class CallerRequest:
-    """One whole request of a caller.
+    """One complete request of a caller.
 
     Attributes
     ----------
     method, target : bytes
-        As sent.
+        From the request line.
     headers : list of (bytes, bytes)
-        As sent, trailers left out.
+        As received, without trailers.
     body : bytes
-        Without its framing.
+        Decoded body.
     body_digest : bytes
-        Its hash.
+        Hash of the body.
     arrived_at : float
-        Time of the loop when its last byte was read.
+        Time of the event loop when the last byte was read.
     keep_alive : bool
-        Whether the caller keeps the connection.
+        Whether the caller keeps the connection open.
     """
 
     method: bytes
@@ -58,8 +58,8 @@
 
 
 @dataclass(slots=True)
-class _Reading:
-    """A request that is being read."""
+class _PartialRequest:
+    """State of a request that is being read."""
 
     started_at: float
     target: bytearray = field(default_factory=bytearray)
@@ -72,7 +72,7 @@
 
 
 class _InvalidRequestError(Exception):
-    """Raised in a callback of the parser; carries the status of the answer."""
+    """Raised in a parser callback; ``status`` is the status of the response."""
 
     def __init__(self, status: int) -> None:
         super().__init__(status)
@@ -80,28 +80,28 @@
 
 
 class CallerConnection(Protocol):
-    """Reads requests one after the other and writes their answers.
+    """Reads requests one at a time and writes their responses.
 
     Parameters
     ----------
     serve : callable
-        Called with the connection and each request; it answers through the
-        connection, once, and need not do so before it returns.
+        Called with the connection and each request. It responds exactly once
+        through the connection, possibly after it has returned.
     on_disconnect : callable
-        Called when the caller left while its request was unanswered.
+        Called if the caller disconnects before its request was answered.
     limits : callable
-        Returns the limits in force.
+        Returns the current limits.
     clock : callable
-        Time of the loop.
+        Clock of the event loop.
     registry : set
-        Holds the connection while it is open.
+        Contains the connection while it is open.
     call_later : callable
-        Schedules a call after seconds.
+        Schedules a callback after a delay in seconds.
 
     Attributes
     ----------
     closing : bool
-        Answers tell the caller that no further request is taken.
+        Whether responses announce that the connection will be closed.
     """
 
     def __init__(
@@ -122,11 +122,11 @@
         self._call_later = call_later
         self._parser = httptools.HttpRequestParser(self)
         self._transport: Transport | None = None
-        self._reading: _Reading | None = None
-        self._bytes_since_start = 0
+        self._partial: _PartialRequest | None = None
+        self._head_bytes = 0
         self._queue: deque[CallerRequest] = deque()
         self._active: CallerRequest | None = None
-        self._broken_status: int | None = None
+        self._error_status: int | None = None
         self._reading_paused = False
         self._streaming = False
         self._idle_since = clock()
@@ -135,43 +135,43 @@
         self.served = 0
         self.on_writable: Callable[[bool], None] | None = None
 
-    # The connection, as the loop sees it.
+    # Callbacks of the event loop.
 
     def connection_made(self, transport: Transport) -> None:  # type: ignore[override]
-        """Take note of the transport."""
+        """Store the transport and register the connection."""
         self._transport = transport
         self._registry.add(self)
 
     def data_received(self, data: bytes) -> None:
-        """Parse what arrived, and begin with the next request."""
-        if self._broken_status is not None:
+        """Parse received data and start to serve the next request."""
+        if self._error_status is not None:
             return
-        if self._reading is None or not self._reading.head_done:
-            self._bytes_since_start += len(data)
+        if self._partial is None or not self._partial.head_done:
+            self._head_bytes += len(data)
         try:
             self._parser.feed_data(data)
             self._check_head_size()
         except httptools.HttpParserUpgrade:
-            self._broken_status = 400
+            self._error_status = 400
         except httptools.HttpParserCallbackError as error:
             cause = error.__context__
             known = isinstance(cause, _InvalidRequestError)
-            self._broken_status = cause.status if known else 400
+            self._error_status = cause.status if known else 400
         except _InvalidRequestError as error:
-            self._broken_status = error.status
+            self._error_status = error.status
         except httptools.HttpParserError:
-            self._broken_status = 400
-        self._begin_next()
-        if len(self._queue) >= QUEUED_REQUESTS and not self._reading_paused:
+            self._error_status = 400
+        self._serve_next()
+        if len(self._queue) >= MAX_PIPELINED_REQUESTS and not self._reading_paused:
             self._reading_paused = True
             self._transport.pause_reading()
 
     def eof_received(self) -> bool:
-        """Take the end of the caller's bytes for its leaving."""
+        """Treat the end of the input as a disconnect."""
         return False
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Tell that the caller has left."""
+        """Report that the caller has disconnected."""
         self._registry.discard(self)
         self._queue.clear()
         transport, self._transport = self._transport, None
@@ -180,117 +180,117 @@
             self._on_disconnect(self)
 
     def pause_writing(self) -> None:
-        """Tell the writer of a stream that the caller does not keep up."""
+        """Report that the write buffer is full because the caller reads too slowly."""
         self._writable = False
         if self.on_writable is not None:
             self.on_writable(False)
 
     def resume_writing(self) -> None:
-        """Tell the writer of a stream that the caller reads on."""
+        """Report that the write buffer has drained."""
         self._writable = True
         if self.on_writable is not None:
             self.on_writable(True)
 
-    # The request, as the parser sees it.
+    # Callbacks of the parser.
 
     def on_message_begin(self) -> None:
-        """Begin a request."""
-        self._reading = _Reading(self._clock())
+        """Start a new request."""
+        self._partial = _PartialRequest(self._clock())
 
     def on_url(self, url: bytes) -> None:
-        """Take a part of the request's target."""
-        self._reading.target += url
+        """Add a part of the request target."""
+        self._partial.target += url
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """Take a header; trailers are not passed on."""
-        if not self._reading.head_done:
-            self._reading.headers.append((name, value))
+        """Store a header; trailers are dropped."""
+        if not self._partial.head_done:
+            self._partial.headers.append((name, value))
 
     def on_headers_complete(self) -> None:
-        """Check the head."""
-        reading = self._reading
-        reading.head_done = True
-        hosts = [1 for name, _ in reading.headers if name.lower() == b"host"]
-        if len(hosts) != 1 or not reading.target.startswith(b"/"):
+        """Validate the head of the request."""
+        partial = self._partial
+        partial.head_done = True
+        hosts = [1 for name, _ in partial.headers if name.lower() == b"host"]
+        if len(hosts) != 1 or not partial.target.startswith(b"/"):
             raise _InvalidRequestError(400)
         self._check_head_size()
-        self._bytes_since_start = 0
-        length = header_value(reading.headers, b"content-length")
+        self._head_bytes = 0
+        length = header_value(partial.headers, b"content-length")
         if length is not None and int(length) > self._limits().max_body_bytes:
             raise _InvalidRequestError(413)
-        if header_value(reading.headers, b"expect") is not None:
+        if header_value(partial.headers, b"expect") is not None:
             self._transport.write(b"HTTP/1.1 100 Continue\r\n\r\n")
 
     def on_body(self, data: bytes) -> None:
-        """Take a part of the body."""
-        reading = self._reading
-        reading.body_bytes += len(data)
-        if reading.body_bytes > self._limits().max_body_bytes:
+        """Add a part of the body."""
+        partial = self._partial
+        partial.body_bytes += len(data)
+        if partial.body_bytes > self._limits().max_body_bytes:
             raise _InvalidRequestError(413)
-        reading.body.append(data)
-        reading.body_hash.add(data)
+        partial.body.append(data)
+        partial.body_hash.add(data)
 
     def on_message_complete(self) -> None:
-        """Queue the whole request."""
-        reading, self._reading = self._reading, None
-        self._bytes_since_start = 0
+        """Queue the complete request."""
+        partial, self._partial = self._partial, None
+        self._head_bytes = 0
         self._queue.append(
             CallerRequest(
                 method=self._parser.get_method(),
-                target=bytes(reading.target),
-                headers=reading.headers,
-                body=b"".join(reading.body),
-                body_digest=reading.body_hash.digest(),
+                target=bytes(partial.target),
+                headers=partial.headers,
+                body=b"".join(partial.body),
+                body_digest=partial.body_hash.digest(),
                 arrived_at=self._clock(),
                 keep_alive=self._parser.should_keep_alive(),
                 http_1_0=self._parser.get_http_version() == "1.0",
             )
         )
 
-    # Answers.
+    # Responses.
 
     @property
     def is_open(self) -> bool:
-        """Whether the caller is still there."""
+        """Whether the connection is open."""
         return self._transport is not None and not self._transport.is_closing()
 
     @property
     def is_busy(self) -> bool:
-        """Whether a request is being read or answered."""
+        """Whether a request is being read, queued or answered."""
         return (
-            self._active is not None or self._reading is not None or bool(self._queue)
+            self._active is not None or self._partial is not None or bool(self._queue)
         )
 
     @property
     def is_writable(self) -> bool:
-        """Whether the caller keeps up with what is written."""
+        """Whether the write buffer has room."""
         return self._writable
 
     def respond(self, status: int, headers: Headers, body: bytes) -> None:
-        """Answer the present request with a whole answer."""
+        """Send a complete response to the current request."""
         if not self.is_open:
             return
-        keep = self._keeps_connection()
+        keep_open = self._keeps_alive()
         framing = [(b"Content-Length", b"%d" % len(body))]
-        if not keep:
+        if not keep_open:
             framing.append((b"Connection", b"close"))
         self._transport.write(response_head(status, headers + framing) + body)
-        self._finish(keep)
+        self._finish(keep_open)
 
     def start_stream(self, status: int, headers: Headers) -> None:
-        """Begin an answer of unknown length."""
+        """Start a response of unknown length."""
         if not self.is_open:
             return
         framing = []
         if not self._active.http_1_0:
             framing.append((b"Transfer-Encoding", b"chunked"))
-        if not self._keeps_connection():
+        if not self._keeps_alive():
             framing.append((b"Connection", b"close"))
         self._streaming = True
         self._transport.write(response_head(status, headers + framing))
 
     def write(self, data: bytes) -> None:
-        """Send a part of a streamed answer at once."""
+        """Send a part of a streamed response without buffering."""
         if not self.is_open or not data:
             return
         if self._active.http_1_0:
@@ -299,83 +299,83 @@
             self._transport.write(b"%x\r\n%s\r\n" % (len(data), data))
 
     def end_stream(self) -> None:
-        """Complete a streamed answer."""
+        """Complete a streamed response."""
         if not self.is_open:
             return
-        keep = self._keeps_connection()
+        keep_open = self._keeps_alive()
         if not self._active.http_1_0:
             self._transport.write(b"0\r\n\r\n")
         self._streaming = False
-        self._finish(keep)
+        self._finish(keep_open)
 
     def truncate_response(self) -> None:
-        """End the connection so that a begun answer shows to be incomplete."""
+        """Close the connection so that the caller detects an incomplete response."""
         self._active = None
         self.close()
 
     def close(self) -> None:
-        """Close the connection after what was written."""
+        """Close the connection once the buffered data is flushed."""
         if self._transport is None:
             return
         transport = self._transport
         transport.close()
-        # A caller that reads nothing must not hold the connection for ever.
-        self._call_later(CLOSE_FLUSH_S, transport.abort)
+        # A caller that does not read must not keep the connection open forever.
+        self._call_later(CLOSE_TIMEOUT_S, transport.abort)
 
     def abort(self) -> None:
-        """Drop the connection at once."""
+        """Close the connection without flushing."""
         if self._transport is not None:
             self._transport.abort()
 
     def close_if_overdue(self, now: float) -> None:
-        """Close the connection if the caller is idle or slow for too long."""
+        """Close the connection if the caller exceeded the idle or header timeout."""
         limits = self._limits()
         if self._active is not None or not self.is_open:
             return
-        if self._reading is not None:
-            if now - self._reading.started_at > limits.header_timeout_s:
-                self._broken_status = 408
-                self._begin_next()
+        if self._partial is not None:
+            if now - self._partial.started_at > limits.header_timeout_s:
+                self._error_status = 408
+                self._serve_next()
             return
         if now - self._idle_since > limits.idle_timeout_s:
             self.close()
 
-    def _keeps_connection(self) -> bool:
+    def _keeps_alive(self) -> bool:
         return self._active.keep_alive and not self.closing
 
-    def _finish(self, keep: bool) -> None:
+    def _finish(self, keep_open: bool) -> None:
         self._active = None
         self.served += 1
         self._idle_since = self._clock()
-        if not keep:
+        if not keep_open:
             self.close()
             return
-        if self._reading_paused and len(self._queue) < QUEUED_REQUESTS:
+        if self._reading_paused and len(self._queue) < MAX_PIPELINED_REQUESTS:
             self._reading_paused = False
             self._transport.resume_reading()
-        self._begin_next()
+        self._serve_next()
 
-    def _begin_next(self) -> None:
+    def _serve_next(self) -> None:
         if self._active is not None or not self.is_open:
             return
         if self._queue:
             self._active = self._queue.popleft()
             self._serve(self, self._active)
             return
-        if self._broken_status is not None:
-            self._refuse(self._broken_status)
+        if self._error_status is not None:
+            self._reject(self._error_status)
 
-    def _refuse(self, status: int) -> None:
+    def _reject(self, status: int) -> None:
         headers = [(b"Content-Length", b"0"), (b"Connection", b"close")]
         self._transport.write(response_head(status, headers))
         self.close()
 
     def _check_head_size(self) -> None:
-        reading = self._reading
-        if reading is not None and reading.head_done:
-            sizes = (len(name) + len(value) + 4 for name, value in reading.headers)
-            size = len(reading.target) + sum(sizes)
+        partial = self._partial
+        if partial is not None and partial.head_done:
+            sizes = (len(name) + len(value) + 4 for name, value in partial.headers)
+            size = len(partial.target) + sum(sizes)
         else:
-            size = self._bytes_since_start if reading is not None else 0
+            size = self._head_bytes if partial is not None else 0
         if size > self._limits().max_header_bytes:
             raise _InvalidRequestError(431)
--- a/libs/forwarding/src/berylwalk/forwarding/_events.py
+++ b/libs/forwarding/src/berylwalk/forwarding/_events.py
@@ -1,21 +1,21 @@
-"""Whole events of a ``text/event-stream``."""
+"""Splitting of a ``text/event-stream`` into events."""
 
 from dataclasses import dataclass
 
 MAX_EVENT_BYTES = 1024 * 1024
-"""An event longer than this is no event of a target."""
+"""Maximum size of one event."""
 
 
 @dataclass(frozen=True, slots=True)
 class Event:
-    """One whole event.
+    """One complete event.
 
     Parameters
     ----------
     event_id : int or None
-        Its id, if it is a number.
+        Value of the ``id`` field, if it is a number.
     data : bytes
-        The event as it came, with the empty line at its end.
+        The event as received, including the empty line at its end.
     """
 
     event_id: int | None
@@ -23,52 +23,51 @@
 
 
 class EventSplitter:
-    """Cuts the body of a stream into whole events.
+    """Splits the body of an event stream into complete events.
 
-    A target may stop in the middle of an event; what was not completed is
-    never passed on.
+    An event that the target does not complete is never returned.
     """
 
     def __init__(self) -> None:
-        self._rest = b""
+        self._buffer = b""
 
     @property
     def has_partial_event(self) -> bool:
-        """Whether a part of an event is left."""
-        return bool(self._rest)
+        """Whether an incomplete event is buffered."""
+        return bool(self._buffer)
 
     def feed(self, data: bytes) -> list[Event]:
-        """Return the events that are complete now.
+        """Add data and return the events that it completes.
 
         Raises
         ------
         ValueError
-            If an event is longer than any that a target sends.
+            If an incomplete event exceeds the maximum size.
         """
-        data = self._rest + data
+        data = self._buffer + data
         events = []
         start = 0
         while True:
             end = _event_end(data, start)
             if end < 0:
                 break
-            whole = data[start:end]
-            events.append(Event(_event_id(whole), whole))
+            event_bytes = data[start:end]
+            events.append(Event(_event_id(event_bytes), event_bytes))
             start = end
-        self._rest = data[start:]
-        if len(self._rest) > MAX_EVENT_BYTES:
-            raise ValueError("an event has no end")
+        self._buffer = data[start:]
+        if len(self._buffer) > MAX_EVENT_BYTES:
+            raise ValueError("event exceeds the maximum size and has no end")
         return events
 
 
 def _event_end(data: bytes, start: int) -> int:
-    plain = data.find(b"\n\n", start)
-    crlf = data.find(b"\r\n\r\n", start)
-    if plain < 0 and crlf < 0:
+    lf_end = data.find(b"\n\n", start)
+    crlf_end = data.find(b"\r\n\r\n", start)
+    if lf_end < 0 and crlf_end < 0:
         return -1
-    if crlf < 0 or 0 <= plain < crlf:
-        return plain + 2
-    return crlf + 4
+    if crlf_end < 0 or 0 <= lf_end < crlf_end:
+        return lf_end + 2
+    return crlf_end + 4
 
 
 def _event_id(event: bytes) -> int | None:
--- a/libs/forwarding/src/berylwalk/forwarding/_heads.py
+++ b/libs/forwarding/src/berylwalk/forwarding/_heads.py
@@ -1,10 +1,10 @@
-"""Heads of requests and answers as bytes."""
+"""Encoding of request and response heads, and helpers for headers."""
 
 from collections.abc import Iterable
 from http import HTTPStatus
 
 Headers = list[tuple[bytes, bytes]]
-"""Names as they came and values, in order."""
+"""Header names and values in order, names with their original case."""
 
 HOP_BY_HOP = frozenset(
     {
@@ -21,13 +21,13 @@
         b"expect",
     }
 )
-"""Headers that concern one connection, and those that framing replaces."""
+"""Hop-by-hop headers, and headers that depend on the framing of the message."""
 
 REASON_BY_STATUS = {status.value: status.phrase.encode() for status in HTTPStatus}
 
 
 def end_to_end(headers: Iterable[tuple[bytes, bytes]]) -> Headers:
-    """Return the headers that are passed on to the next hop."""
+    """Return the headers to forward to the next hop."""
     headers = list(headers)
     named = {
         token.strip().lower()
@@ -35,8 +35,8 @@
         if name.lower() == b"connection"
         for token in value.split(b",")
     }
-    # Only headers of extensions may be named as those of one connection; a
-    # caller must not have others removed that way.
+    # Only extension headers may be declared hop-by-hop: callers must not be able to
+    # remove other headers this way.
     named = {name for name in named if name.startswith(b"x-hop-")}
     return [
         (name, value)
@@ -46,7 +46,7 @@
 
 
 def request_head(method: bytes, target: bytes, headers: Headers) -> bytes:
-    """Return the head of a request."""
+    """Encode the head of a request."""
     lines = [b"%s %s HTTP/1.1\r\n" % (method, target)]
     lines += [b"%s: %s\r\n" % header for header in headers]
     lines.append(b"\r\n")
@@ -54,7 +54,7 @@
 
 
 def response_head(status: int, headers: Headers) -> bytes:
-    """Return the head of an answer."""
+    """Encode the head of a response."""
     reason = REASON_BY_STATUS.get(status, b"")
     lines = [b"HTTP/1.1 %d %s\r\n" % (status, reason)]
     lines += [b"%s: %s\r\n" % header for header in headers]
@@ -63,7 +63,7 @@
 
 
 def header_value(headers: Headers, name: bytes) -> bytes | None:
-    """Return the first value of a header, by its lower-case name."""
+    """Return the first value of the header with a lower-case name, or None."""
     for each, value in headers:
         if each.lower() == name:
             return value
--- a/libs/forwarding/src/berylwalk/forwarding/_target_connection.py
+++ b/libs/forwarding/src/berylwalk/forwarding/_target_connection.py
@@ -1,4 +1,4 @@
-"""The client's side of one connection to a target."""
+"""Client side of a connection to a target."""
 
 from asyncio import Protocol, Transport
 from collections.abc import Callable
@@ -9,59 +9,59 @@
 
 from berylwalk.forwarding._heads import Headers, header_value
 
-DEFAULT_IDLE_S = 1.0
-"""Idle time after which a connection is not used again if the target does not
-say how long it keeps one, in seconds."""
-IDLE_SHARE = 0.6
-"""Part of the time stated by the target for which a connection is used again: a
-request must not meet the target's closing."""
-MAX_ANSWER_BYTES = 8 * 1024 * 1024
+DEFAULT_IDLE_LIMIT_S = 1.0
+"""Idle time up to which a connection is reused if the target sends no keep-alive
+timeout, in seconds."""
+IDLE_TIMEOUT_FRACTION = 0.6
+"""Fraction of the target's keep-alive timeout up to which a connection is reused, so
+that the target does not close it while a request is being sent."""
+MAX_RESPONSE_BYTES = 8 * 1024 * 1024
 
 
 class ResponseEnd(StrEnum):
-    """How an answer ended."""
+    """How a response ended."""
 
     COMPLETE = "complete"
     CLOSED = "closed"
-    """The target, or its VM, ended the connection before the answer did."""
+    """The target or its VM closed the connection before the response was complete."""
     UNREACHABLE = "unreachable"
-    """The network gave the connection up: nothing is known of the target."""
+    """The connection failed in the network; the state of the target is unknown."""
     INVALID = "invalid"
-    """Bytes that are no answer, or none to this request."""
+    """The data is not a valid response to the request."""
 
 
 class ResponseSink(Interface):
-    """Takes an answer as it arrives."""
+    """Receives a response as it arrives."""
 
     def on_head(self, status: int, headers: Headers) -> None:
-        """Take the status and headers."""
+        """Receive the status and headers."""
 
     def on_data(self, data: bytes) -> None:
-        """Take a part of the body."""
+        """Receive a part of the body."""
 
     def on_end(self, end: ResponseEnd, detail: str) -> None:
-        """Take the end; nothing follows."""
+        """Receive the end of the response; no further call follows."""
 
 
 class TargetConnection(Protocol):
-    """Sends one request at a time and passes its answer to a sink.
+    """Sends one request at a time and passes the response to a sink.
 
-    An answer to an earlier request may arrive in place of the one that is due;
-    targets repeat the id of the request in a header, by which it is told.
+    A late response to an earlier request is recognized by the request id, which
+    targets repeat in a header, and discarded.
 
     Parameters
     ----------
     id_header : bytes
-        Lower-case name of the header with the request's id.
+        Lower-case name of the header with the request id.
     on_bytes : callable
-        Called whenever bytes arrive.
+        Called whenever data arrives.
     clock : callable
-        Time of the loop.
+        Clock of the event loop.
 
     Attributes
     ----------
     reusable : bool
-        Whether another request may be sent.
+        Whether another request can be sent.
     """
 
     def __init__(
@@ -80,28 +80,28 @@
         self._request_id = b""
         self._headers: Headers = []
         self._head_done = False
-        self._skipping = False
-        self._until_close = False
-        self._idle_limit_s = DEFAULT_IDLE_S
+        self._discarding = False
+        self._close_delimited = False
+        self._idle_limit_s = DEFAULT_IDLE_LIMIT_S
         self._idle_since = 0.0
         self.reusable = True
         self.uses = 0
 
     @property
     def is_open(self) -> bool:
-        """Whether the connection stands, as far as is known."""
+        """Whether the connection is open, as far as is known."""
         return self._transport is not None and not self._transport.is_closing()
 
     def is_fresh(self, now: float, *, idle_limit_s: float | None = None) -> bool:
-        """Return whether the idle connection may be used again.
+        """Return whether the idle connection can be reused.
 
         Parameters
         ----------
         now : float
-            Time of the loop.
+            Current time of the event loop.
         idle_limit_s : float or None
-            Idle time up to which it may; by default that for which the target
-            surely keeps it.
+            Maximum idle time; by default a time for which the target reliably
+            keeps the connection open.
         """
         if idle_limit_s is None:
             idle_limit_s = self._idle_limit_s
@@ -109,41 +109,41 @@
         return self.is_open and self.reusable and is_recent
 
     def send(self, data: bytes, request_id: bytes, sink: ResponseSink) -> None:
-        """Send a request; its answer goes to the sink."""
+        """Send a request; its response is passed to the sink."""
         self._sink = sink
         self._request_id = request_id
         self.uses += 1
         self._transport.write(data)
 
     def pause(self) -> None:
-        """Stop reading until `resume`."""
+        """Stop reading until `resume` is called."""
         if self.is_open:
             self._transport.pause_reading()
 
     def resume(self) -> None:
-        """Read on."""
+        """Continue reading."""
         if self.is_open:
             self._transport.resume_reading()
 
     def close(self) -> None:
-        """Close at once; a request in progress is given up."""
+        """Close immediately and abandon a request in progress."""
         self._sink = None
         self.reusable = False
         if self._transport is not None:
             self._transport.abort()
 
-    # The connection, as the loop sees it.
+    # Callbacks of the event loop.
 
     def connection_made(self, transport: Transport) -> None:  # type: ignore[override]
-        """Take note of the transport."""
+        """Store the transport."""
         self._transport = transport
         self._idle_since = self._clock()
 
     def data_received(self, data: bytes) -> None:
-        """Parse what arrived."""
+        """Parse received data."""
         self._on_bytes()
         if self._sink is None:
-            # Nothing is due: these bytes belong to no request.
+            # No request is in progress, so the data belongs to none.
             self.close()
             return
         try:
@@ -152,83 +152,83 @@
             self._end(ResponseEnd.INVALID, repr(error))
 
     def eof_received(self) -> bool:
-        """Complete an answer that ends with its connection."""
-        if self._until_close and self._head_done and not self._skipping:
+        """Complete a response that is delimited by the end of the connection."""
+        if self._close_delimited and self._head_done and not self._discarding:
             self._end(ResponseEnd.COMPLETE, "")
         return False
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Tell that an answer won't be completed."""
+        """Report that the response will not be completed."""
         self._transport = None
         by_target = exc is None or isinstance(exc, ConnectionError)
         end = ResponseEnd.CLOSED if by_target else ResponseEnd.UNREACHABLE
         self._end(end, repr(exc) if exc else "closed")
 
-    # The answer, as the parser sees it.
+    # Callbacks of the parser.
 
     def on_message_begin(self) -> None:
-        """Begin an answer."""
+        """Reset the state for a new response."""
         self._headers = []
         self._head_done = False
-        self._skipping = False
-        self._until_close = False
+        self._discarding = False
+        self._close_delimited = False
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """Take a header; trailers are not passed on."""
+        """Store a header; trailers are dropped."""
         if not self._head_done:
             self._headers.append((name, value))
 
     def on_headers_complete(self) -> None:
-        """Pass the head on if it belongs to the request."""
+        """Pass the head to the sink if it belongs to the request."""
         self._head_done = True
         status = self._parser.get_status_code()
         if status < 200 or self._sink is None:
-            self._skipping = True
+            self._discarding = True
             return
         headers = self._headers
-        answered_id = header_value(headers, self._id_header)
-        if answered_id is not None and answered_id != self._request_id:
-            self._skipping = True
+        response_id = header_value(headers, self._id_header)
+        if response_id is not None and response_id != self._request_id:
+            self._discarding = True
             self.reusable = False
             return
-        self._until_close = (
+        self._close_delimited = (
             header_value(headers, b"content-length") is None
             and header_value(headers, b"transfer-encoding") is None
             and status not in (204, 304)
         )
-        self._note_keep_alive(headers)
+        self._apply_keep_alive(headers)
         self._sink.on_head(status, headers)
 
     def on_body(self, data: bytes) -> None:
-        """Pass a part of the body on."""
-        if not self._skipping and self._sink is not None:
+        """Pass a part of the body to the sink."""
+        if not self._discarding and self._sink is not None:
             self._sink.on_data(data)
 
     def on_message_complete(self) -> None:
-        """Complete the answer."""
-        if self._skipping:
-            self._skipping = False
+        """Complete the response."""
+        if self._discarding:
+            self._discarding = False
             return
         if not self._parser.should_keep_alive():
             self.reusable = False
         self._end(ResponseEnd.COMPLETE, "")
 
-    def _note_keep_alive(self, headers: Headers) -> None:
+    def _apply_keep_alive(self, headers: Headers) -> None:
         value = header_value(headers, b"keep-alive")
         if value is None:
             return
         for part in value.split(b","):
             name, _, seconds = part.strip().partition(b"=")
             if name.lower() == b"timeout" and seconds.isdigit():
-                self._idle_limit_s = int(seconds) * IDLE_SHARE
+                self._idle_limit_s = int(seconds) * IDLE_TIMEOUT_FRACTION
 
     def _end(self, end: ResponseEnd, detail: str) -> None:
         if end is not ResponseEnd.COMPLETE:
             self.reusable = False
         transport = self._transport
         if transport is not None and transport.get_write_buffer_size():
-            # The target answered before it read the whole request. What is
-            # left of it must not be mixed with the next one.
+            # The target responded before it read the whole request. The unsent
+            # remainder must not be mixed with the next request.
             self.reusable = False
         self._idle_since = self._clock()
         sink, self._sink = self._sink, None
--- a/libs/forwarding/src/berylwalk/forwarding/_target_pool.py
+++ b/libs/forwarding/src/berylwalk/forwarding/_target_pool.py
@@ -1,4 +1,4 @@
-"""Connections to targets that are used again."""
+"""Pool of idle connections to targets."""
 
 from asyncio import AbstractEventLoop
 from collections.abc import Callable, Container
@@ -11,16 +11,15 @@
 from berylwalk.forwarding._target_connection import TargetConnection
 
 TCP_USER_TIMEOUT = 18
-"""The socket option's number; Python 3.11 names it only on some systems."""
+"""Number of the socket option, which Python 3.11 does not define on all platforms."""
 UNACKNOWLEDGED_MS = 1500
-"""Time after which bytes that a target doesn't acknowledge end the connection."""
+"""Time after which a connection with unacknowledged data is closed by the kernel."""
 CONNECT_TIMEOUT_S = 0.3
-"""A hundred round trips between failure domains; a target that takes longer is
-taken for dark, which proves that the request wasn't sent."""
+"""Timeout of opening a connection; a request that hits it was certainly not sent."""
 
 
 class Address(Protocol):
-    """Where one life of a target listens."""
+    """Address of one incarnation of a target."""
 
     life_id: str
     host: str
@@ -28,20 +27,20 @@
 
 
 class TargetPool:
-    """Idle connections by the life of a target: a new life has none of them.
+    """Idle connections, grouped by the incarnation of the target.
 
     Parameters
     ----------
     loop : AbstractEventLoop
-        Opens connections.
+        Event loop that opens connections.
     clock : callable
-        Time in seconds.
+        Monotonic clock, in seconds.
     id_header : bytes
-        Lower-case name of the header with the request's id.
+        Lower-case name of the header with the request id.
     on_bytes : callable
-        Called with the id of a target's life whenever bytes of it arrive.
+        Called with the id of the incarnation whenever data from it arrives.
     on_opened : callable
-        Called for each connection that is opened.
+        Called for each connection that was opened.
     """
 
     def __init__(
@@ -61,7 +60,7 @@
         self._idle_by_id: dict[str, list[TargetConnection]] = {}
 
     def take_idle(self, life_id: str) -> TargetConnection | None:
-        """Return an idle connection that may be used again, the latest first."""
+        """Return the most recently used idle connection that can be reused, or None."""
         idle = self._idle_by_id.get(life_id)
         now = self._clock()
         while idle:
@@ -72,7 +71,7 @@
         return None
 
     async def open(self, address: Address) -> TargetConnection | None:
-        """Open a connection; None if the target can't be reached in time."""
+        """Open a connection; returns None if that fails or times out."""
 
         def build() -> TargetConnection:
             return TargetConnection(
@@ -96,25 +95,25 @@
         return None
 
     def release(self, life_id: str, connection: TargetConnection) -> None:
-        """Keep a connection whose answer is complete, if it may be used again."""
+        """Return a connection to the pool after a complete response."""
         if connection.reusable and connection.is_open:
             self._idle_by_id.setdefault(life_id, []).append(connection)
         else:
             connection.close()
 
     def close_idle(self, life_id: str) -> None:
-        """Close the idle connections to a target."""
+        """Close the idle connections to one incarnation of a target."""
         for connection in self._idle_by_id.pop(life_id, []):
             connection.close()
 
-    def keep_only(self, life_ids: Container[str]) -> None:
-        """Close the idle connections to all other lives."""
+    def retain(self, life_ids: Container[str]) -> None:
+        """Close the idle connections to all other incarnations."""
         for life_id in list(self._idle_by_id):
             if life_id not in life_ids:
                 self.close_idle(life_id)
 
     def close_stale(self) -> None:
-        """Close idle connections that are too old to be used again."""
+        """Close idle connections that are too old to be reused."""
         now = self._clock()
         for life_id, idle in list(self._idle_by_id.items()):
             fresh = [connection for connection in idle if connection.is_fresh(now)]
