--- a/libs/direct/tests/virtual_feeds.py
+++ b/libs/direct/tests/virtual_feeds.py
@@ -53,7 +53,7 @@
             allowances=Allowances(AllowanceRules(), started_at=self.clock()),
             dispatcher=Dispatcher(self.targets, failure_domain="fd-a"),
             rollouts=Rollouts(ExposureRules()),
-            pool=SimpleNamespace(keep_only=lambda life_ids: None),
+            pool=SimpleNamespace(retain=lambda life_ids: None),
             metrics=RouterMetrics(),
             log=SimpleNamespace(process=self._log),
             clock=self.clock,
--- a/libs/direct/tests/virtual_rollout.py
+++ b/libs/direct/tests/virtual_rollout.py
@@ -294,7 +294,7 @@
             quarantine=Quarantine(),
             rollouts=self.rollouts,
             peers=peers,
-            pool=SimpleNamespace(keep_only=lambda lives: None),
+            pool=SimpleNamespace(retain=lambda lives: None),
             metrics=RouterMetrics(),
             log=SimpleNamespace(process=self._log),
             note_suspension=lambda: None,
