--- a/libs/model/src/berylwalk/model/__init__.py
+++ b/libs/model/src/berylwalk/model/__init__.py
@@ -1,11 +1,5 @@
-"""Shared types: requests, service_policy, outcomes and findings."""
+"""Shared types: requests, service policies, outcomes and findings."""
 
-from berylwalk.model._answers import (
-    CallerDisconnectedError,
-    FinalResponse,
-    ResponseSink,
-    Submitter,
-)
 from berylwalk.model._findings import Finding, FindingsError
 from berylwalk.model._outcomes import Outcome, Refusal, RefusalReason
 from berylwalk.model._requests import (
@@ -16,6 +10,12 @@
     TierPolicy,
     WorkEstimate,
 )
+from berylwalk.model._responses import (
+    CallerDisconnectedError,
+    FinalResponse,
+    ResponseSink,
+    Submitter,
+)
 
 __all__ = [
     "CallerDisconnectedError",
--- a/libs/model/src/berylwalk/model/_findings.py
+++ b/libs/model/src/berylwalk/model/_findings.py
@@ -1,4 +1,4 @@
-"""Errors collected with their place and reported together."""
+"""Validation errors that are collected and reported together."""
 
 from collections.abc import Iterable
 from dataclasses import dataclass
@@ -6,14 +6,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Finding:
-    """One mistake in an input.
+    """One validation error.
 
     Parameters
     ----------
     place : str
-        Where it is: ``file [section] key``, a JSON pointer or a header name.
+        Location: ``file [section] key``, a JSON pointer or a header name.
     problem : str
-        What is wrong, in one sentence.
+        Description of the error, in one sentence.
     """
 
     place: str
@@ -24,7 +24,7 @@
 
 
 class FindingsError(ValueError):
-    """Raised where input is rejected; carries every finding.
+    """Raised if input is invalid; ``findings`` holds all errors.
 
     Parameters
     ----------
--- a/libs/model/src/berylwalk/model/_outcomes.py
+++ b/libs/model/src/berylwalk/model/_outcomes.py
@@ -1,23 +1,23 @@
-"""What a caller is told, and why a request was refused."""
+"""Outcomes of requests and reasons for refusals."""
 
 from dataclasses import dataclass
 from enum import StrEnum
 
 
 class Outcome(StrEnum):
-    """The final answer's kind, sent as the ``Berylwalk-Outcome`` header."""
+    """Outcome of a request, sent in the ``Berylwalk-Outcome`` header."""
 
     COMPLETE = "complete"
-    """The whole answer of the target was delivered."""
+    """The complete response of the target was delivered."""
 
     NOT_RUN = "not-run"
-    """The request never reached a target and never will."""
+    """The request did not reach a target and never will."""
 
     UNKNOWN = "unknown"
-    """A grant was issued and its result could not be learned."""
+    """A grant was issued, but its result could not be determined."""
 
     INVALID = "invalid"
-    """The request was rejected by validation; it was never placed."""
+    """The request failed validation and was never placed."""
 
 
 class RefusalReason(StrEnum):
@@ -27,10 +27,10 @@
     """A conditional grant found no free slot."""
 
     QUEUE_FULL = "queue-full"
-    """The waiting list is full and no lower tier waits in it."""
+    """The admission queue is full and has no request of a lower tier."""
 
     EVICTED = "evicted"
-    """A waiting request made room for one of a higher tier."""
+    """A queued request was evicted in favour of one of a higher tier."""
 
     DEADLINE = "deadline"
     """The request cannot meet its deadline."""
@@ -42,54 +42,54 @@
     """The grant names an earlier incarnation of the agent."""
 
     TOMBSTONE = "tombstone"
-    """The attempt was revoked, withdrawn or refused before."""
+    """The attempt was revoked, withdrawn or refused earlier."""
 
     DUPLICATE = "duplicate"
-    """The request was already dispatched by this agent."""
+    """This agent has already dispatched the request."""
 
     NOT_SERVED = "not-served"
     """The target does not serve the model or service."""
 
     ACCOUNT_LIMIT = "account-limit"
-    """The client account is over a limit of its settings."""
+    """The client account has reached one of its limits."""
 
     NO_TARGET = "no-target"
     """No eligible target is reachable."""
 
     RETRY_BUDGET = "retry-budget"
-    """The retry budget is spent."""
+    """The retry budget is exhausted."""
 
     PLATFORM_DOWN = "platform-down"
-    """The key-value service is needed and does not answer."""
+    """The metadata store is required and unavailable."""
 
     KEY_IN_USE = "key-in-use"
     """Another request holds the same idempotency key and may have run."""
 
     KEY_REUSED = "key-reused"
-    """The idempotency key was used for a different call."""
+    """The idempotency key was used with a different call."""
 
     KEY_SETTLED = "key-settled"
-    """The call with the same idempotency key is complete; its answer is not kept."""
+    """The call with this idempotency key has completed; its response is not stored."""
 
     LOST = "lost"
-    """A grant was issued and its result could not be learned."""
+    """A grant was issued, but its result could not be determined."""
 
     WITHDRAWN = "withdrawn"
-    """The caller went away before the request ran."""
+    """The caller disconnected before the request ran."""
 
 
 @dataclass(frozen=True, slots=True)
 class Refusal:
-    """Sentinel returned in place of a result, with its reason.
+    """Returned instead of a result if a request was refused.
 
     Parameters
     ----------
     reason : RefusalReason
         Why the request did not run.
     retry_after_ms : int
-        When the caller may come back, in milliseconds.
+        Delay after which the caller may retry, in milliseconds.
     detail : str
-        One sentence for logs and callers.
+        Description for logs and callers.
     """
 
     reason: RefusalReason
--- a/libs/model/src/berylwalk/model/_requests.py
+++ b/libs/model/src/berylwalk/model/_requests.py
@@ -1,11 +1,11 @@
-"""Requests as routers and agents see them, and how each is to be treated."""
+"""Requests and the policies that apply to them."""
 
 from dataclasses import dataclass, field
 from typing import NamedTuple
 
 
 class RequestId(NamedTuple):
-    """Name of a request, unique across routers and their restarts.
+    """Identifier of a request, unique across routers and their restarts.
 
     Parameters
     ----------
@@ -14,7 +14,7 @@
     incarnation : int
         Incarnation of that router.
     serial : int
-        Counts up from 1 within the incarnation.
+        Sequence number within the incarnation, starting at 1.
     """
 
     router: str
@@ -27,9 +27,9 @@
 
 @dataclass(frozen=True, slots=True)
 class WorkEstimate:
-    """Expected size of a request, in tokens.
+    """Expected size of a request in tokens.
 
-    Plain services count one output token and no prompt.
+    A request to a plain service counts as one output token without a prompt.
     """
 
     prompt_tokens: int = 0
@@ -38,19 +38,19 @@
 
 @dataclass(frozen=True, slots=True)
 class TierPolicy:
-    """How requests of one tier are treated.
+    """Policy for requests of one tier.
 
     Parameters
     ----------
     name : str
         Name of the tier.
     rank : int
-        Order of the tier; 0 is the highest and is served first.
+        Priority of the tier; 0 is the highest and is served first.
     deadline_s : float
-        Time from arrival to the whole answer when the caller names none.
+        Default deadline, from arrival to the complete response, in seconds.
     headroom : float
-        Share of an agent's slots, from 0 to 1, that only this tier and
-        higher ones may take.
+        Fraction of an agent's slots, from 0 to 1, that is reserved for this tier and
+        higher ones.
     """
 
     name: str
@@ -66,24 +66,24 @@
     Parameters
     ----------
     client_account, service : str
-        Whose settings these are; ``service`` is empty for the account itself.
+        Scope of the settings; ``service`` is empty for the account itself.
     tier : TierPolicy
-        The tier of the work.
+        Tier of the requests.
     weight : float
-        Share of the account among accounts of the same tier.
+        Fair-share weight among the accounts of the same tier.
     deadline_s : float
-        Default time from arrival to the whole answer.
+        Default deadline, from arrival to the complete response, in seconds.
     max_waiting, max_running : int
-        Limits of the account at one router.
+        Limits of the account per router.
     max_output_tokens : int
-        Largest accepted ``max_tokens``; also assumed when the caller names none.
+        Largest accepted ``max_tokens``, and its default.
     models : tuple of str
-        Models the account may use; empty allows all.
+        Models that the account may use; empty allows all.
     idempotent : bool
-        Whether requests may be repeated when the caller does not say.
+        Whether requests may be repeated if the caller does not specify it.
     target_service : str
-        Plain service that the calls of a service node go to; the service that
-        the call names when empty.
+        Plain service that receives the calls of a service node; if empty, the
+        service named in the call.
     """
 
     client_account: str
@@ -101,18 +101,18 @@
 
 @dataclass(frozen=True, slots=True)
 class TargetCall:
-    """The HTTP call that the target receives.
+    """HTTP call as the target receives it.
 
     Parameters
     ----------
     method, path : str
-        As sent to the target.
+        From the request line.
     resource : str
-        ``model:NAME`` or ``service:NAME``: what the target must serve.
+        Resource that the target must serve: ``model:NAME`` or ``service:NAME``.
     headers : tuple of (str, str)
-        Headers passed on to the target.
+        Headers forwarded to the target.
     body : bytes
-        Passed on unchanged.
+        Body, forwarded unchanged.
     """
 
     method: str
@@ -124,28 +124,28 @@
 
 @dataclass(frozen=True, slots=True)
 class Request:
-    """A validated request that waits for placement.
+    """Validated request that is to be placed.
 
     Parameters
     ----------
     request_id : RequestId
-        Its name.
+        Identifier of the request.
     service_policy : ServicePolicy
         Effective settings at arrival.
     call : TargetCall
-        What the target will receive.
+        HTTP call for the target.
     estimate : WorkEstimate
-        Expected size.
+        Expected size of the request.
     arrived_at, deadline_at : float
-        Router's monotonic clock, in seconds.
+        Times on the router's monotonic clock, in seconds.
     idempotent : bool
-        Whether a repeat by the caller is harmless.
+        Whether the request can safely be repeated.
     idempotency_key : str
-        The caller's key, or empty.
+        Idempotency key of the caller, or empty.
     prefix : tuple of int
         Hashes of the leading prompt blocks, longest prefix last.
     traceparent : str
-        W3C trace context of the hop, or empty.
+        W3C trace context, or empty.
     """
 
     request_id: RequestId
--- a/libs/model/src/berylwalk/model/_answers.py
+++ b/libs/model/src/berylwalk/model/_responses.py
@@ -1,4 +1,4 @@
-"""How an answer travels from the router's core to the caller API."""
+"""Interface between the caller API and the router's core."""
 
 from dataclasses import dataclass
 from typing import Protocol
@@ -15,18 +15,18 @@
 
 @dataclass(frozen=True, slots=True)
 class FinalResponse:
-    """How a request ended.
+    """Final result of a request.
 
     Parameters
     ----------
     outcome : Outcome
-        What became of this request.
+        Outcome of this request.
     refusal : Refusal or None
-        Why and when to return; set unless the outcome is ``complete``.
+        Reason and time to retry; set unless the outcome is ``complete``.
     started : bool
-        Whether the target's status and headers already went to the sink.
+        Whether the target's status and headers were already passed to the sink.
     agent : str
-        Node identifier of the agent that dispatched, or empty.
+        Node identifier of the agent that dispatched the request, or empty.
     """
 
     outcome: Outcome
@@ -36,10 +36,10 @@
 
     @property
     def reported_outcome(self) -> Outcome:
-        """What the caller is told.
+        """Outcome that is reported to the caller.
 
-        A request whose idempotency key belongs to another one did not run
-        itself, but its caller means the same work by both.
+        A request with the idempotency key of another request did not run itself,
+        but both stand for the same work, so the outcome of that work is reported.
         """
         if self.outcome is not Outcome.NOT_RUN or self.refusal is None:
             return self.outcome
@@ -47,41 +47,41 @@
 
 
 class ResponseSink(Protocol):
-    """Where the target's answer goes, piece by piece.
+    """Receiver of the target's response, chunk by chunk.
 
-    Either method may raise `CallerDisconnectedError` when the caller went away.
+    All methods may raise `CallerDisconnectedError`.
     """
 
     async def start(
         self, status: int, headers: tuple[tuple[bytes, bytes], ...], agent: str
     ) -> None:
-        """Pass on the target's status and headers; called at most once."""
+        """Forward the target's status and headers; called at most once."""
 
     async def chunk(self, body: bytes) -> None:
-        """Pass on a piece of the body, unchanged."""
+        """Forward a chunk of the body unchanged."""
 
     def try_chunk(self, body: bytes) -> bool:
-        """Pass on a piece of the body if that needs no waiting.
+        """Forward a chunk of the body if that does not block.
 
         Returns
         -------
         bool
-            False, without effect, when `chunk` has to take it.
+            False if nothing was done and `chunk` must be used instead.
         """
 
 
 class CallerDisconnectedError(Exception):
-    """The caller closed its connection before the answer was whole."""
+    """The caller closed its connection before the response was complete."""
 
 
 class Submitter(Protocol):
-    """The router's core as the caller API sees it."""
+    """Interface of the router's core that the caller API uses."""
 
     def new_request_id(self) -> RequestId:
-        """Return the next request identifier."""
+        """Return a new request identifier."""
 
     async def submit(self, request: Request, sink: ResponseSink) -> FinalResponse:
-        """Place a request, stream its answer into the sink, and return its end.
+        """Place a request, stream the response to the sink and return the result.
 
         Cancelling the call withdraws the request.
         """
--- a/libs/wire/src/berylwalk/wire/_codec.py
+++ b/libs/wire/src/berylwalk/wire/_codec.py
@@ -1,7 +1,7 @@
 """Encoding and authentication of messages.
 
-A sealed message is the keyed BLAKE2b digest of its payload followed by the
-payload. Only holders of the fleet's key can make one.
+A sealed message consists of the keyed BLAKE2b digest of the payload and the payload.
+Only holders of the fleet key can create one.
 """
 
 import hmac
@@ -15,7 +15,7 @@
 from berylwalk.wire._sync import SyncQuery, SyncReply
 
 DIGEST_BYTES = 16
-"""Length of the keyed digest in front of each sealed payload."""
+"""Length of the keyed digest that precedes the payload."""
 
 _encoder = msgspec.msgpack.Encoder()
 _datagram_decoder = msgspec.msgpack.Decoder(Datagram)
@@ -25,27 +25,27 @@
 
 
 class FleetKey:
-    """The secret that all nodes of the fleet share.
+    """Authentication key shared by all nodes of the fleet.
 
     Parameters
     ----------
     secret : bytes
-        At least 16 bytes; the caller checks the length.
+        Shared secret of at least 16 bytes; the length is not checked here.
     """
 
     def __init__(self, secret: bytes) -> None:
         self._key = blake2b(secret, digest_size=32).digest()
 
     def digest(self, payload: bytes) -> bytes:
-        """Return the keyed digest of a payload, 16 bytes."""
+        """Return the keyed digest of a payload (16 bytes)."""
         return blake2b(payload, digest_size=DIGEST_BYTES, key=self._key).digest()
 
     def seal(self, payload: bytes) -> bytes:
-        """Return the payload behind its keyed digest."""
+        """Return the keyed digest followed by the payload."""
         return self.digest(payload) + payload
 
     def open(self, sealed: bytes) -> bytes | None:
-        """Return the payload, or None when the digest does not match."""
+        """Return the payload, or None if the digest does not match."""
         payload = sealed[DIGEST_BYTES:]
         if not hmac.compare_digest(sealed[:DIGEST_BYTES], self.digest(payload)):
             return None
@@ -53,12 +53,12 @@
 
 
 def encode_datagram(datagram: Datagram) -> bytes:
-    """Encode a datagram; sealing is up to the caller."""
+    """Encode a datagram without sealing it."""
     return _encoder.encode(datagram)
 
 
 def decode_datagram(payload: bytes) -> Datagram | None:
-    """Decode a datagram, or return None when it is malformed."""
+    """Decode a datagram; returns None if it is malformed."""
     try:
         return _datagram_decoder.decode(payload)
     except msgspec.MsgspecError:
@@ -71,7 +71,7 @@
 
 
 def grant_from_header(value: str, key: FleetKey) -> Grant | None:
-    """Return the grant, or None when it is malformed or not sealed by the key."""
+    """Return the grant, or None if it is malformed or not sealed with the key."""
     try:
         payload = key.open(urlsafe_b64decode(value))
         return None if payload is None else _grant_decoder.decode(payload)
@@ -85,7 +85,7 @@
 
 
 def decode_query(payload: bytes) -> SyncQuery | None:
-    """Decode a peer sync query, or return None when it is malformed."""
+    """Decode a peer sync query; returns None if it is malformed."""
     try:
         return _query_decoder.decode(payload)
     except msgspec.MsgspecError:
@@ -93,7 +93,7 @@
 
 
 def decode_reply(payload: bytes) -> SyncReply | None:
-    """Decode a peer sync reply, or return None when it is malformed."""
+    """Decode a peer sync reply; returns None if it is malformed."""
     try:
         return _reply_decoder.decode(payload)
     except msgspec.MsgspecError:
--- a/libs/wire/src/berylwalk/wire/_grant.py
+++ b/libs/wire/src/berylwalk/wire/_grant.py
@@ -1,4 +1,4 @@
-"""The grant, which a router sends once, over HTTP, with the body of the call."""
+"""Grant that a router sends once over HTTP, together with the body of the call."""
 
 import msgspec
 
@@ -6,34 +6,34 @@
 
 
 class Grant(msgspec.Struct, frozen=True, array_like=True):
-    """Permission to dispatch one request once, sent with its body.
+    """Permission to dispatch a request exactly once.
 
     Parameters
     ----------
     request_id : RequestId
-        Name of the request.
+        Identifier of the request.
     attempt : int
-        Number of the reservation or conditional grant within the request.
+        Sequence number of the reservation or conditional grant of this request.
     router : str
         Node identifier of the router.
     agent : str
         Node identifier of the agent.
     agent_incarnation : int
-        The only incarnation that may use the grant.
+        Incarnation of the agent for which the grant is valid.
     conditional : bool
-        Whether the grant lapses unless a slot is free on arrival; otherwise
-        it answers a `Ready`.
+        Whether the grant is refused unless a slot is free on arrival; otherwise it
+        responds to a `Ready`.
     resource, client_account, tier_rank, weight, prompt_tokens, output_tokens,
     deadline_ms
         As in `Reserve`.
     idempotent : bool
-        Whether the call may be cancelled when the caller goes away.
+        Whether the call may be cancelled if the caller disconnects.
     method, path : str
-        The call that the target receives.
+        Request line of the call.
     headers : tuple of (str, str)
-        Headers passed on to the target.
+        Headers forwarded to the target.
     body_digest : bytes
-        Keyed digest of the body, so that a body cannot be swapped.
+        Keyed digest that binds the body to the grant.
     traceparent : str
         W3C trace context, or empty.
     """
--- a/libs/wire/src/berylwalk/wire/_messages.py
+++ b/libs/wire/src/berylwalk/wire/_messages.py
@@ -1,7 +1,6 @@
 """Control messages between routers and agents.
 
-They travel in datagrams and may be lost, doubled or reordered; every handler is
-idempotent.
+Datagrams may be lost, duplicated or reordered, so every handler is idempotent.
 """
 
 import msgspec
@@ -14,15 +13,15 @@
 
 
 class Hello(Message, frozen=True):
-    """Router to agent: heartbeat; answered by a `Digest`.
+    """Router to agent: heartbeat, answered with a `Digest`.
 
     Parameters
     ----------
     leaving : bool
         Whether the router is draining.
     digest_ms : int
-        Least time between two digests that the agent may send unasked, in
-        milliseconds; 0 when it may send none.
+        Minimum interval between unsolicited digests of the agent, in milliseconds; 0
+        disables them.
     """
 
     leaving: bool = False
@@ -30,32 +29,30 @@
 
 
 class Digest(Message, frozen=True):
-    """Agent to router: state and load at the time of sending.
+    """Agent to router: current state and load.
 
     Parameters
     ----------
     sequence : int
-        Counts up within the incarnation; older digests are dropped.
+        Increases within the incarnation; older digests are dropped.
     resources : tuple of str
-        What the target serves when it is reachable: ``model:NAME`` and
-        ``service:NAME``.
+        Resources that the target serves: ``model:NAME`` and ``service:NAME``.
     failure_domain : str
-        Where the target is.
+        Failure domain of the target.
     leaving : bool
         Whether the agent is draining.
     slow : bool
         Whether the target is slower than its own baseline.
     running, ready, limit : int
-        Dispatched requests, slots held for a grant, and the limit of both.
+        Dispatched requests, slots reserved for grants, and the limit on their sum.
     waiting_by_rank : tuple of int
-        Waiting reservations for each tier rank.
+        Number of waiting reservations per tier rank.
     wait_ms_by_rank : tuple of int
-        Estimated wait of a new reservation for each tier rank.
+        Estimated wait of a new reservation per tier rank.
     prefill_tokens_per_s, token_gap_ms : float
-        Observed speed of the target.
+        Measured speed of the target.
     target_reachable : bool
-        Whether new work can reach the target: it answers, and the agent has
-        settings that are in force.
+        Whether the target responds and the agent has valid settings.
     """
 
     sequence: int
@@ -74,28 +71,28 @@
 
 
 class Reserve(Message, frozen=True):
-    """Router to agent: asks for a place in the waiting list.
+    """Router to agent: request for a place in the admission queue.
 
-    Resent until it is answered by `Queued`, `Ready` or `Refused`.
+    Resent until it is answered with `Queued`, `Ready` or `Refused`.
 
     Parameters
     ----------
     request_id : RequestId
-        Name of the request.
+        Identifier of the request.
     attempt : int
-        Number of the reservation within the request.
+        Sequence number of the reservation of this request.
     resource : str
-        What the target must serve.
+        Resource that the target must serve.
     client_account : str
-        Whose request it is.
+        Account of the request.
     tier_rank : int
-        0 is the highest tier.
+        Rank of the tier; 0 is the highest.
     weight : float
-        Share of the account.
+        Fair-share weight of the account.
     prompt_tokens, output_tokens : int
-        Expected size.
+        Expected size of the request.
     deadline_ms : int
-        Time left until the deadline at sending, in milliseconds.
+        Time left until the deadline when the message is sent, in milliseconds.
     """
 
     request_id: RequestId
@@ -110,7 +107,7 @@
 
 
 class Queued(Message, frozen=True):
-    """Agent to router: the reservation waits.
+    """Agent to router: the reservation is queued.
 
     Parameters
     ----------
@@ -126,9 +123,9 @@
 
 
 class Ready(Message, frozen=True):
-    """Agent to router: a slot is held for the reservation.
+    """Agent to router: a slot is reserved for the grant.
 
-    Resent until the grant or `Withdraw` arrives or the turn is lost.
+    Resent until the grant or `Withdraw` arrives, or the slot offer expires.
     """
 
     request_id: RequestId
@@ -143,9 +140,9 @@
     request_id, attempt
         As in `Reserve`.
     reason : RefusalReason
-        Why.
+        Reason of the refusal.
     retry_after_ms : int
-        When a new attempt may succeed, in milliseconds; 0 when not known.
+        Delay after which a new attempt may succeed, in milliseconds; 0 if unknown.
     """
 
     request_id: RequestId
@@ -155,16 +152,16 @@
 
 
 class Withdraw(Message, frozen=True):
-    """Router to agent: drop the reservation; answers a late `Ready` too."""
+    """Router to agent: cancel the reservation; also the response to a late `Ready`."""
 
     request_id: RequestId
     attempt: int
 
 
 class Revoke(Message, frozen=True):
-    """Router to agent: never run the attempt unless it already ran.
+    """Router to agent: do not run the attempt if it has not run yet.
 
-    Resent until it is answered by `RevokeResult`.
+    Resent until it is answered with `RevokeResult`.
     """
 
     request_id: RequestId
@@ -174,7 +171,7 @@
 class RevokeResult(Message, frozen=True):
     """Agent to router: whether the attempt was dispatched by this incarnation.
 
-    ``ran=False`` is final: the attempt is a tombstone from then on, and never runs.
+    ``ran=False`` is final: the agent keeps a tombstone, and the attempt never runs.
     """
 
     request_id: RequestId
@@ -196,7 +193,7 @@
 
 
 class Datagram(msgspec.Struct, frozen=True, array_like=True):
-    """What one datagram carries.
+    """Contents of one datagram.
 
     Parameters
     ----------
@@ -205,9 +202,9 @@
     incarnation : int
         Incarnation of the sender.
     settings_version : int
-        Highest settings version that the sender has in force.
+        Version of the settings in effect at the sender.
     messages : tuple of ControlMessage
-        In order of handling.
+        Messages, processed in this order.
     """
 
     sender: str
--- a/libs/wire/src/berylwalk/wire/_sync.py
+++ b/libs/wire/src/berylwalk/wire/_sync.py
@@ -1,4 +1,4 @@
-"""Messages of the peer sync channel between nodes."""
+"""Messages for synchronizing settings and VM lists between nodes."""
 
 import msgspec
 
@@ -8,23 +8,23 @@
 
 
 class SettingsQuery(SyncMessage, frozen=True):
-    """Asks for the settings document unless the peer's is not newer."""
+    """Query for the settings document if the peer has a newer version."""
 
     known_version: int
 
 
 class SettingsReply(SyncMessage, frozen=True):
-    """The settings document, or empty bytes when it is not newer.
+    """Settings document; empty if it is not newer than the known version.
 
     Parameters
     ----------
     version : int
-        Version that the sender holds.
+        Settings version of the sender.
     document : bytes
         The encoded document.
     is_settled : bool
-        Whether the sender knows that it has every version it should know of. One
-        that has just started in an outage does not.
+        Whether the sender has confirmed that it has the latest version; False for a
+        node that started while the store was unavailable.
     """
 
     version: int
@@ -33,11 +33,11 @@
 
 
 class MembersQuery(SyncMessage, frozen=True):
-    """Asks for the peer's last VM list."""
+    """Query for the peer's most recent VM list."""
 
 
 class Member(msgspec.Struct, frozen=True):
-    """One VM of the peer's list, as the platform's VM list gives it."""
+    """One VM of the platform's VM list."""
 
     vm_id: str
     address: str
@@ -47,7 +47,7 @@
 
 
 class MembersReply(SyncMessage, frozen=True):
-    """The peer's last VM list."""
+    """Most recent VM list of the peer."""
 
     members: tuple[Member, ...] = ()
 
