--- a/libs/forwarding/tests/test_forwarding_connections.py
+++ b/libs/forwarding/tests/test_forwarding_connections.py
@@ -1,4 +1,4 @@
-"""Connections of callers and targets over a recorded transport."""
+"""Connections of callers and targets over a recording transport."""
 
 import pytest
 
@@ -15,11 +15,11 @@
     max_header_bytes=400, max_body_bytes=50, header_timeout_s=3.0, idle_timeout_s=15.0
 )
 HEAD = b"POST /r/x HTTP/1.1\r\nHost: h\r\n"
-ANSWER = b"HTTP/1.1 200 OK\r\nAttempt-Id: r1\r\n"
+RESPONSE_HEAD = b"HTTP/1.1 200 OK\r\nAttempt-Id: r1\r\n"
 
 
 class RecordedTransport:
-    """Keeps what is written; closes at once."""
+    """Records written data; closes immediately."""
 
     def __init__(self):
         self.written = b""
@@ -51,16 +51,16 @@
 
 
 class Caller:
-    """A caller's connection and what the router sees of it."""
+    """Connection of a caller, with the requests and disconnects it reported."""
 
     def __init__(self):
         self.now = 0.0
         self.requests = []
-        self.gone = 0
+        self.disconnects = 0
         self.transport = RecordedTransport()
         self.connection = CallerConnection(
             serve=lambda _, request: self.requests.append(request),
-            on_disconnect=lambda _: self.leave(),
+            on_disconnect=lambda _: self.disconnect(),
             limits=lambda: LIMITS,
             clock=lambda: self.now,
             registry=set(),
@@ -68,15 +68,15 @@
         )
         self.connection.connection_made(self.transport)
 
-    def leave(self):
-        self.gone += 1
+    def disconnect(self):
+        self.disconnects += 1
 
     def send(self, data):
         self.connection.data_received(data)
 
 
 class Sink:
-    """Takes an answer."""
+    """Records a response."""
 
     def __init__(self):
         self.status = 0
@@ -94,7 +94,7 @@
 
 
 class Target:
-    """A connection to a target with one request sent."""
+    """Connection to a target with a request in progress."""
 
     def __init__(self):
         self.now = 0.0
@@ -115,10 +115,10 @@
 
 
 class TestCallerRequests:
-    """Reading requests."""
+    """Reading of requests."""
 
     def test_request_in_pieces(self):
-        """Bytes may arrive one by one."""
+        """A request must be parsed even if it arrives byte by byte."""
         caller = Caller()
         for byte in HEAD + b"Content-Length: 3\r\n\r\nabc":
             caller.send(bytes([byte]))
@@ -130,7 +130,7 @@
         )
 
     def test_chunked_body_and_dropped_trailers(self):
-        """Trailers can't replace headers."""
+        """Trailers must not add or replace headers."""
         caller = Caller()
         caller.send(
             HEAD
@@ -141,8 +141,8 @@
         assert request.body == b"abc"
         assert b"Tenant" not in dict(request.headers)
 
-    def test_requests_sent_ahead_are_answered_in_turn(self):
-        """The second one waits for the answer to the first."""
+    def test_pipelined_requests_are_served_in_order(self):
+        """The second request must wait for the response to the first."""
         caller = Caller()
         caller.send((HEAD + b"Content-Length: 0\r\n\r\n") * 2)
         assert len(caller.requests) == 1
@@ -167,16 +167,16 @@
             b"Host: other\r\n\r\n",
         ],
     )
-    def test_ambiguous_request_is_refused_and_ends_the_connection(self, rest):
-        """No second request can be hidden inside the first."""
+    def test_ambiguous_request_is_rejected_and_closes_the_connection(self, rest):
+        """Request smuggling must not be possible."""
         caller = Caller()
         caller.send(HEAD + rest + b"GET /hidden HTTP/1.1\r\nHost: h\r\n\r\n")
         assert caller.requests == []
         assert caller.transport.written.startswith(b"HTTP/1.1 400 ")
         assert caller.transport.closed
 
-    def test_upgrade_is_not_taken_up_and_nothing_follows_it(self):
-        """The request is served as it is; bytes behind it are no request."""
+    def test_upgrade_is_ignored_and_data_after_it_dropped(self):
+        """Data after an upgrade request must not be parsed as a request."""
         caller = Caller()
         caller.send(HEAD + b"Upgrade: h2c\r\nConnection: upgrade\r\n\r\n" + HEAD)
         assert len(caller.requests) == 1
@@ -193,15 +193,15 @@
             (b"Transfer-Encoding: chunked\r\n\r\n33\r\n" + b"x" * 51, 413),
         ],
     )
-    def test_limits_of_the_configuration(self, rest, status):
-        """A request that is too large is refused before it is whole."""
+    def test_oversized_request_is_rejected(self, rest, status):
+        """A request above a limit must be rejected before it is complete."""
         caller = Caller()
         caller.send(HEAD + rest)
         assert caller.transport.written.startswith(b"HTTP/1.1 %d " % status)
         assert caller.transport.closed
 
-    def test_error_behind_a_good_request_waits_for_its_answer(self):
-        """The first request is answered before the connection ends."""
+    def test_malformed_request_after_a_valid_one(self):
+        """The valid request must be answered before the connection is closed."""
         caller = Caller()
         caller.send(HEAD + b"Content-Length: 0\r\n\r\nnonsense\r\n\r\n")
         assert caller.transport.written == b""
@@ -210,7 +210,7 @@
         assert caller.transport.written.endswith(b"Connection: close\r\n\r\n")
 
     def test_slow_and_idle_callers(self):
-        """A half-sent request and an idle connection end after their times."""
+        """Incomplete requests and idle connections must time out; busy ones must not."""
         slow, idle, busy = Caller(), Caller(), Caller()
         slow.send(HEAD)
         busy.send(HEAD + b"Content-Length: 0\r\n\r\n")
@@ -222,20 +222,20 @@
         idle.connection.close_if_overdue(15.1)
         assert idle.transport.closed
 
-    def test_leaving_is_told_only_while_an_answer_is_due(self):
-        """A caller that has its answer may go."""
+    def test_disconnect_is_reported_only_during_a_request(self):
+        """A caller without an open request may disconnect unnoticed."""
         caller, idle = Caller(), Caller()
         caller.send(HEAD + b"Content-Length: 0\r\n\r\n")
         for each in (caller, idle):
             each.connection.connection_lost(None)
-        assert (caller.gone, idle.gone) == (1, 0)
+        assert (caller.disconnects, idle.disconnects) == (1, 0)
 
 
-class TestCallerAnswers:
-    """Writing answers."""
+class TestCallerResponses:
+    """Writing of responses."""
 
     def test_stream_is_chunked_and_ends_properly(self):
-        """Only `end_stream` makes a streamed answer complete."""
+        """Only `end_stream` may write the final chunk."""
         caller = Caller()
         caller.send(HEAD + b"Content-Length: 0\r\n\r\n")
         caller.connection.start_stream(200, [(b"A", b"b")])
@@ -245,8 +245,8 @@
         assert caller.transport.written.endswith(b"0\r\n\r\n")
         assert not caller.transport.closed
 
-    def test_cut_stream_shows_to_be_incomplete(self):
-        """The connection ends without the last chunk."""
+    def test_truncated_stream_has_no_final_chunk(self):
+        """A truncated response must not look complete to the caller."""
         caller = Caller()
         caller.send(HEAD + b"Content-Length: 0\r\n\r\n")
         caller.connection.start_stream(200, [])
@@ -255,8 +255,8 @@
         assert not caller.transport.written.endswith(b"0\r\n\r\n")
         assert caller.transport.closed
 
-    def test_stopping_router_says_so(self):
-        """The answer in progress is whole and asks to go elsewhere."""
+    def test_shutdown_is_announced_in_responses(self):
+        """A response during shutdown must be complete and close the connection."""
         caller = Caller()
         caller.send(HEAD + b"Content-Length: 0\r\n\r\n")
         caller.connection.closing = True
@@ -266,50 +266,51 @@
         assert caller.transport.closed
 
 
-class TestTargetAnswers:
-    """Reading answers."""
+class TestTargetResponses:
+    """Reading of responses."""
 
-    def test_whole_answer_and_reuse(self):
-        """A connection is used again after a whole answer."""
+    def test_reuse_after_a_complete_response(self):
+        """A complete response must leave the connection reusable."""
         target = Target()
-        target.receive(ANSWER + b"Content-Length: 2\r\n\r\nok")
+        target.receive(RESPONSE_HEAD + b"Content-Length: 2\r\n\r\nok")
         assert (target.sink.status, target.sink.body) == (200, b"ok")
         assert target.sink.end is ResponseEnd.COMPLETE
         assert target.connection.is_fresh(0.5)
 
-    def test_answer_to_an_earlier_request_is_passed_over(self):
-        """Late second answers belong to nobody."""
+    def test_response_to_an_earlier_request_is_discarded(self):
+        """A late response must not be delivered to another request."""
         target = Target()
         target.receive(
             b"HTTP/1.1 200 OK\r\nAttempt-Id: r0\r\nContent-Length: 3\r\n\r\nold"
-            + ANSWER
+            + RESPONSE_HEAD
             + b"Content-Length: 2\r\n\r\nok"
         )
         assert (target.sink.status, target.sink.body) == (200, b"ok")
         assert not target.connection.is_fresh(0.0)
 
-    def test_bytes_while_idle_end_the_connection(self):
-        """Nothing is due, so they can't belong to the next request."""
+    def test_data_on_an_idle_connection_closes_it(self):
+        """Unexpected data must not be taken as the next response."""
         target = Target()
-        target.receive(ANSWER + b"Content-Length: 2\r\n\r\nok")
-        target.receive(ANSWER + b"Content-Length: 2\r\n\r\nno")
+        target.receive(RESPONSE_HEAD + b"Content-Length: 2\r\n\r\nok")
+        target.receive(RESPONSE_HEAD + b"Content-Length: 2\r\n\r\nno")
         assert target.sink.body == b"ok"
         assert not target.connection.is_fresh(0.0)
 
-    def test_second_answer_in_the_same_bytes(self):
-        """What follows a whole answer is not passed on."""
+    def test_second_response_in_the_same_read(self):
+        """Data after a complete response must not be delivered."""
         target = Target()
-        target.receive((ANSWER + b"Content-Length: 2\r\n\r\nok") * 2)
+        target.receive((RESPONSE_HEAD + b"Content-Length: 2\r\n\r\nok") * 2)
         assert target.sink.body == b"ok"
         assert target.sink.end is ResponseEnd.COMPLETE
         target.receive(b"x")
         assert not target.connection.is_fresh(0.0)
 
     @pytest.mark.parametrize(
-        "received", [b"", ANSWER, ANSWER + b"Content-Length: 9\r\n\r\nhalf"]
+        "received",
+        [b"", RESPONSE_HEAD, RESPONSE_HEAD + b"Content-Length: 9\r\n\r\nhalf"],
     )
     def test_connection_that_ends_early(self, received):
-        """A truncated answer is told from a whole one."""
+        """A truncated response must not count as complete."""
         target = Target()
         if received:
             target.receive(received)
@@ -325,14 +326,14 @@
             (OSError(113, "no route to host"), ResponseEnd.UNREACHABLE),
         ],
     )
-    def test_who_ended_the_connection_is_told_apart(self, error, end):
-        """A cut is no end of the target: nothing is known of it."""
+    def test_network_failure_is_distinguished_from_a_close(self, error, end):
+        """A network failure must not be taken for a crash of the target."""
         target = Target()
         target.connection.connection_lost(error)
         assert target.sink.end is end
 
-    def test_bytes_that_are_no_answer(self):
-        """They end the attempt and the connection."""
+    def test_malformed_response(self):
+        """Malformed data must end the request and the connection."""
         target = Target()
         target.receive(b"\x00\x01garbage\r\n\r\n")
         assert target.sink.end is ResponseEnd.INVALID
@@ -342,20 +343,20 @@
         ("error", "end"),
         [(None, ResponseEnd.COMPLETE), (ConnectionResetError(), ResponseEnd.CLOSED)],
     )
-    def test_answer_without_a_length(self, error, end):
-        """It ends with its connection, unless that was reset."""
+    def test_response_without_a_length(self, error, end):
+        """The end of the connection completes the response, a reset must not."""
         target = Target()
-        target.receive(ANSWER + b"\r\nall")
+        target.receive(RESPONSE_HEAD + b"\r\nall")
         if error is None:
             target.connection.eof_received()
         target.connection.connection_lost(error)
         assert (target.sink.body, target.sink.end) == (b"all", end)
 
-    def test_early_answer_ends_the_connection(self):
-        """The rest of a long request must not be read as the next one."""
+    def test_early_response_closes_the_connection(self):
+        """The unsent rest of a request must not be read as the next request."""
         target = Target()
         target.transport.unsent = 1000
-        target.receive(ANSWER + b"Content-Length: 0\r\n\r\n")
+        target.receive(RESPONSE_HEAD + b"Content-Length: 0\r\n\r\n")
         assert target.sink.end is ResponseEnd.COMPLETE
         assert target.transport.aborted
 
@@ -369,18 +370,18 @@
             (b"Connection: close\r\n", 0.0, False),
         ],
     )
-    def test_idle_time(self, header, idle_s, fresh):
-        """A connection is left alone well before the target closes it."""
+    def test_idle_limit(self, header, idle_s, fresh):
+        """A connection must not be reused shortly before the target closes it."""
         target = Target()
-        target.receive(ANSWER + header + b"Content-Length: 0\r\n\r\n")
+        target.receive(RESPONSE_HEAD + header + b"Content-Length: 0\r\n\r\n")
         assert target.connection.is_fresh(idle_s) is fresh
 
 
 class TestEvents:
-    """Whole events."""
+    """Splitting of event streams."""
 
-    def test_pieces_make_whole_events(self):
-        """An event is given once its empty line is there."""
+    def test_events_split_across_reads(self):
+        """An event must be returned only when it is complete."""
         splitter = EventSplitter()
         data = b"id: 1\ndata: a\n\nid: 2\r\ndata: b\r\n\r\nid: 3\ndata"
         events = [event for byte in data for event in splitter.feed(bytes([byte]))]
@@ -391,16 +392,16 @@
         assert splitter.has_partial_event
 
     def test_event_without_an_end(self):
-        """A target that never ends an event does not fill the memory."""
+        """A target that never ends an event must not exhaust the memory."""
         with pytest.raises(ValueError, match="no end"):
             EventSplitter().feed(b"x" * 1_100_000)
 
 
 class TestHeaders:
-    """Headers of one connection."""
+    """Hop-by-hop headers."""
 
-    def test_hop_by_hop_headers_stay_behind(self):
-        """A caller can't have end-to-end headers removed."""
+    def test_hop_by_hop_headers_are_dropped(self):
+        """Callers must not be able to remove end-to-end headers."""
         headers = [
             (b"Connection", b"close, Model"),
             (b"Keep-Alive", b"timeout=1"),
--- a/tests/platform/test_platform_clients.py
+++ b/tests/platform/test_platform_clients.py
@@ -1,4 +1,4 @@
-"""The clients against the platform stand-in, over HTTP."""
+"""Platform clients over HTTP, tested against a platform stand-in."""
 
 from contextlib import aclosing, asynccontextmanager
 
@@ -27,14 +27,14 @@
 HOST = "127.77.2.1"
 PORT = 2379
 BASE = f"http://{HOST}:{PORT}"
-NOBODY = "http://127.77.2.2:2379"
+REFUSING = "http://127.77.2.2:2379"
 GENEROUS_S = 20.0
 KEY = b"settings/head"
 
 
 @asynccontextmanager
 async def running_platform(standin=None, endpoints=(BASE,)):
-    """Serve a platform stand-in and yield it with a client."""
+    """Serve a platform stand-in; yields it with a client."""
     standin = standin or PlatformStandin()
     store = KeyValueClient.from_config(endpoints, timeout_s=5.0)
     await store.start()
@@ -46,14 +46,14 @@
 
 
 async def until_absent(store, key):
-    """Wait with a generous bound until a key is absent."""
+    """Wait until a key is absent, with a generous timeout."""
     with fail_after(GENEROUS_S):
         while await store.get(key) is not None:
             await sleep(0.02)
 
 
 async def collect(store, count, start_revision, found):
-    """Append so many watched events to a list."""
+    """Append ``count`` watched events to a list."""
     async with aclosing(store.watch(KEY, start_revision)) as events:
         async for event in events:
             found.append(event)
@@ -63,7 +63,7 @@
 
 @pytest.fixture(params=["client", "memory"])
 async def faulty_store(request):
-    """Yield the faults and the store, of the client and of the fake."""
+    """Yield a store and its fault switches: the HTTP client, or the in-memory fake."""
     if request.param == "memory":
         fake = InMemoryKeyValue()
         yield fake, fake
@@ -74,10 +74,10 @@
 
 @pytest.mark.anyio
 class TestStore:
-    """What the client and the fake have in common."""
+    """Behaviour that the HTTP client and the in-memory fake share."""
 
     async def test_create_if_absent_happens_once(self, faulty_store):
-        """A second creation learns of the first."""
+        """Creating an existing key must conflict instead of overwriting it."""
         _, store = faulty_store
         first = await store.compare_and_swap(KEY, b"one", 0)
         second = await store.compare_and_swap(KEY, b"two", 0)
@@ -87,7 +87,7 @@
         assert second.current.mod_revision == first.mod_revision
 
     async def test_old_revision_conflicts(self, faulty_store):
-        """A swap from a revision that was overwritten changes nothing."""
+        """A swap or deletion with a stale revision must not change the key."""
         _, store = faulty_store
         first = await store.compare_and_swap(KEY, b"one", 0)
         second = await store.compare_and_swap(KEY, b"two", first.mod_revision)
@@ -99,8 +99,8 @@
         assert (current.value, current.mod_revision) == (b"two", second.mod_revision)
 
     @pytest.mark.parametrize("fault", ["lose_answers", "lose_writes"])
-    async def test_lost_answer_is_settled(self, faulty_store, fault):
-        """A lost write is in force exactly once after it was settled."""
+    async def test_lost_response_is_resolved(self, faulty_store, fault):
+        """Resolving an unknown outcome must apply the write exactly once."""
         faults, store = faulty_store
         setattr(faults, fault, 1)
         lost = await store.compare_and_swap(KEY, b"id-1", 0)
@@ -112,8 +112,10 @@
         assert settled == Swapped(current.mod_revision)
         assert current.create_revision == current.mod_revision
 
-    async def test_lost_answer_of_a_loser_is_a_conflict(self, faulty_store):
-        """A lost write that another one preceded is settled as a conflict."""
+    async def test_lost_response_of_a_conflicting_write_is_a_conflict(
+        self, faulty_store
+    ):
+        """A write that lost against another one must not be resolved as successful."""
         faults, store = faulty_store
         await store.compare_and_swap(KEY, b"theirs", 0)
         faults.lose_answers = 1
@@ -125,8 +127,8 @@
         assert isinstance(settled, Conflict)
         assert settled.current.value == b"theirs"
 
-    async def test_outage_is_never_taken_for_absence(self, faulty_store):
-        """A key that can't be read is not reported as absent."""
+    async def test_outage_is_not_reported_as_absence(self, faulty_store):
+        """A failed read must not look like a missing key."""
         faults, store = faulty_store
         faults.down = True
         assert isinstance(await store.get(KEY), Unavailable)
@@ -135,8 +137,8 @@
         written = await store.compare_and_swap(KEY, b"one", 0)
         assert isinstance(written, OutcomeUnknown | Unavailable)
 
-    async def test_prefix_is_read_in_order(self, faulty_store):
-        """Only the keys of the prefix are read."""
+    async def test_prefix_listing_is_sorted(self, faulty_store):
+        """Only keys with the prefix are listed, sorted by key."""
         _, store = faulty_store
         for key in (b"a/2", b"a/1", b"b/1", b"a0"):
             await store.compare_and_swap(key, key, 0)
@@ -144,7 +146,7 @@
         assert [kv.key for kv in found] == [b"a/1", b"a/2"]
 
     async def test_watch_yields_later_changes_of_its_keys(self, faulty_store):
-        """Writes and deletions from a revision on are yielded in order."""
+        """Writes and deletions are yielded in order; other keys are ignored."""
         _, store = faulty_store
         first = await store.compare_and_swap(KEY, b"1", 0)
         second = await store.compare_and_swap(KEY, b"2", first.mod_revision)
@@ -163,11 +165,11 @@
 
 @pytest.mark.anyio
 class TestEndpoints:
-    """Choice of an endpoint."""
+    """Failover between endpoints."""
 
-    async def test_refused_connection_is_surely_not_written(self):
-        """Nobody listening is told apart from a lost answer."""
-        store = KeyValueClient.from_config([NOBODY])
+    async def test_refused_connection_is_not_an_unknown_outcome(self):
+        """A call that was never sent must be distinguishable from a lost response."""
+        store = KeyValueClient.from_config([REFUSING])
         await store.start()
         result = await store.compare_and_swap(KEY, b"one", 0)
         await store.close()
@@ -178,10 +180,8 @@
         ("status", "expected"),
         [(500, OutcomeUnknown), (503, Unavailable), (429, Unavailable)],
     )
-    async def test_error_after_the_call_was_taken_up_is_not_a_no(
-        self, status, expected
-    ):
-        """A server's error may follow a write; a refusal of the call can't."""
+    async def test_server_error_is_an_unknown_outcome(self, status, expected):
+        """A 500 may follow a write that took effect; a rejected call has no effect."""
 
         async def handle(exchange):
             await exchange.answer_json(status, {"message": "request timed out"})
@@ -193,9 +193,9 @@
         await store.close()
         assert isinstance(result, expected)
 
-    async def test_next_endpoint_takes_over(self):
-        """A write goes to the next endpoint if the first refuses connections."""
-        async with running_platform(endpoints=(NOBODY, BASE)) as (_, store):
+    async def test_failover_to_the_next_endpoint(self):
+        """A write must succeed if the first endpoint refuses connections."""
+        async with running_platform(endpoints=(REFUSING, BASE)) as (_, store):
             assert isinstance(await store.compare_and_swap(KEY, b"one", 0), Swapped)
 
 
@@ -204,7 +204,7 @@
     """Leases and locks."""
 
     async def test_expired_lease_deletes_its_keys(self):
-        """A key goes with its lease, which then can't be renewed or used."""
+        """An expired lease must delete its keys and reject renewal and use."""
         async with running_platform() as (_, store):
             lease = await store.grant_lease(1.0)
             await store.compare_and_swap(KEY, b"x", 0, lease_id=lease.lease_id)
@@ -213,8 +213,8 @@
             late = await store.compare_and_swap(KEY, b"x", 0, lease_id=lease.lease_id)
         assert late == Unavailable(UnavailableReason.LEASE_NOT_FOUND, late.detail)
 
-    async def test_lock_is_exclusive_and_its_number_grows(self):
-        """A second owner waits for the first, and gets a higher number."""
+    async def test_lock_is_exclusive_and_its_fencing_token_increases(self):
+        """Two owners must not hold the lock at once, nor get tokens out of order."""
         async with running_platform() as (standin, store):
             standin.faults.lose_answers = 1
             first = await LeasedLock.acquire(store, KEY, owner="a", ttl_s=60)
@@ -231,7 +231,7 @@
     """Watches across broken connections."""
 
     async def test_watch_resumes_without_gaps(self):
-        """Changes made while the watch was broken are delivered once, in order."""
+        """Changes made while the server is down must be delivered once and in order."""
         found = []
         standin = PlatformStandin()
         store = KeyValueClient.from_config([BASE])
@@ -256,8 +256,8 @@
         revisions = [event.key_value.mod_revision for event in found[:3]]
         assert revisions == [first.mod_revision, second, third]
 
-    async def test_watch_from_discarded_revision_yields_present_state(self):
-        """A watch that can't be resumed yields what is there, and goes on."""
+    async def test_watch_from_compacted_revision_yields_current_state(self):
+        """A watch that cannot resume must yield the current state and continue."""
         found = []
         async with running_platform() as (standin, store):
             standin.store.put(KEY, b"1")
@@ -274,10 +274,10 @@
 
 @pytest.mark.anyio
 class TestVmList:
-    """The VM list."""
+    """Client of the VM list."""
 
-    async def test_list_is_read_and_its_outage_told(self):
-        """The list has typed entries; an outage is a sentinel."""
+    async def test_list_and_outage(self):
+        """The list has typed entries; an outage is returned, not raised."""
         vms = [
             VmMessage("vm-1", "127.77.2.9", "fd-a", "entry"),
             VmMessage("vm-2", "127.77.2.10", "fd-b", "target", "leaving"),
--- a/tests/platform/test_platform_formats.py
+++ b/tests/platform/test_platform_formats.py
@@ -1,4 +1,4 @@
-"""The platform's formats, decoded once."""
+"""Decoding of the platform's data formats."""
 
 from json import dumps
 
@@ -111,7 +111,7 @@
 
 
 def item(**changes):
-    """Return the item of a target with other fields; None leaves one out."""
+    """Return a target's entry with changed fields; None removes a field."""
     value = {
         name: field
         for name, field in {**TARGET, **changes}.items()
@@ -126,10 +126,10 @@
 
 
 class TestSettings:
-    """The settings file of a VM."""
+    """Settings file of a VM."""
 
-    def test_fields_that_the_router_uses(self):
-        """Unknown fields are ignored."""
+    def test_known_fields_are_decoded(self):
+        """Unknown fields must be ignored."""
         settings = decode_vm_settings(encoded(SETTINGS))
         assert (settings.name, settings.failure_domain) == ("edge-1", "fd-a")
         assert settings.caller_address.port == 8221
@@ -141,17 +141,17 @@
         assert settings.allowances.window_s == 6.0
 
     def test_missing_field_is_named(self):
-        """The error tells the place."""
+        """The error must name the missing field."""
         broken = {key: value for key, value in SETTINGS.items() if key != "platform"}
         with pytest.raises(ValidationError, match="platform"):
             decode_vm_settings(encoded(broken))
 
 
 class TestConfiguration:
-    """The operators' configuration."""
+    """Configuration written by operators."""
 
     def test_whole_configuration(self):
-        """Times are in seconds, keys and routes are indexed."""
+        """Times are converted to seconds; keys and routes are indexed."""
         configuration = decode_configuration(encoded(CONFIGURATION))
         route = configuration.route_for("h.example", "/p/x")
         account = configuration.accounts_by_key["k2"]
@@ -170,7 +170,7 @@
         assert configuration.limits.idle_timeout_s == 15.0
 
     def test_split_route_and_no_keys(self):
-        """A split names several services; without accounts no key is needed."""
+        """A route can be split between services; without accounts no key is checked."""
         split = [{"service": "s1", "weight": 90}, {"service": "s2", "weight": 10}]
         route = {**ROUTE, "split": split}
         del route["service"]
@@ -185,8 +185,8 @@
         assert configuration.accounts_by_key is None
 
     @pytest.mark.parametrize("kind", ["idempotent", "non_idempotent"])
-    def test_kinds(self, kind):
-        """Only idempotent requests are repeated."""
+    def test_only_idempotent_routes_are_repeatable(self, kind):
+        """Requests that are not idempotent must not be repeated."""
         routes = [{**ROUTE, "route-kind": kind}]
         configuration = decode_configuration(
             encoded({**CONFIGURATION, "routes": routes})
@@ -196,18 +196,18 @@
 
 
 class TestTargets:
-    """Entries of targets."""
+    """Entries that targets register."""
 
     @pytest.mark.parametrize("state", ["ready", "draining"])
     def test_entry(self, state):
-        """Fields that the router doesn't use may come."""
+        """Unknown fields must not make an entry unusable."""
         entry = decode_target(item(state=state, models=[]))
         assert (entry.target_id, entry.host, entry.port) == ("i-1", "127.0.0.9", 80)
         assert (entry.state is TargetState.READY) is (state == "ready")
         assert entry.started_ms is None
 
-    def test_life(self):
-        """A later start under the same id is another life."""
+    def test_restart_is_a_new_incarnation(self):
+        """A restarted target must not share state with its previous incarnation."""
         lives = [decode_target(item(born=born)) for born in (None, 1796254082258, 7)]
         assert len({entry.life_id for entry in lives}) == 3
         assert {entry.target_id for entry in lives} == {"i-1"}
@@ -239,8 +239,8 @@
             ({"cold-left-ms": "soon"}, EntryProblem.WRONG_FIELD),
         ],
     )
-    def test_field_that_can_not_be(self, changes, problem):
-        """The entry names no target, and the problem tells the place."""
+    def test_invalid_field_makes_entry_unusable(self, changes, problem):
+        """An invalid entry must not become a target."""
         entry = decode_target(item(**changes))
         assert isinstance(entry, UnusableEntry)
         assert (entry.target_id, entry.problem) == ("i-1", problem)
@@ -248,7 +248,7 @@
 
     @pytest.mark.parametrize("name", ["service", "address", "zone", "slots", "state"])
     def test_missing_field(self, name):
-        """It is named."""
+        """The problem must name the missing field."""
         value = {key: field for key, field in TARGET.items() if key != name}
         entry = decode_target(KeyValue(b"servers/i-1", encoded(value), 1))
         assert entry.problem is EntryProblem.WRONG_FIELD
@@ -257,30 +257,30 @@
     @pytest.mark.parametrize(
         "value", [b"", b"\xff\xfe", b"{", b'"text"', b"[]", b"null", b"[" * 100_000]
     )
-    def test_bytes_that_are_no_entry(self, value):
-        """Whatever another writer has put there."""
+    def test_malformed_value(self, value):
+        """Arbitrary values by other programs must not raise."""
         entry = decode_target(KeyValue(b"servers/i-1", value, 1))
         assert isinstance(entry, UnusableEntry)
 
     @pytest.mark.parametrize(
         "target_id", [b"", b"a/b", b"a b", b"a\r\nHold: 1", b"\xff", b"i" * 129]
     )
-    def test_id_that_can_not_be_sent(self, target_id):
-        """It would stand in a header of each request."""
+    def test_target_id_that_is_no_header_value(self, target_id):
+        """The id is sent as a header, so it must not allow header injection."""
         entry = decode_target(KeyValue(b"servers/" + target_id, encoded(TARGET), 1))
         assert entry.problem is EntryProblem.BAD_ID
 
     @settings(max_examples=300, derandomize=True, database=None, deadline=None)
     @given(st.binary() | JSON.map(encoded), st.binary(max_size=20))
     def test_any_bytes(self, value, target_id):
-        """There is an entry or a problem, never an error."""
+        """Arbitrary bytes must yield an entry or a problem, not an exception."""
         entry = decode_target(KeyValue(b"servers/" + target_id, value, 1))
         assert isinstance(entry, UnusableEntry | TargetEntry)
 
     @settings(max_examples=300, derandomize=True, database=None, deadline=None)
     @given(st.dictionaries(st.sampled_from(sorted(TARGET)), JSON, min_size=1))
     def test_any_fields(self, changes):
-        """What is usable is possible."""
+        """A decoded entry must have fields within their bounds."""
         entry = decode_target(item(**changes))
         if isinstance(entry, TargetEntry):
             assert 0 < entry.slots <= 4096
@@ -290,10 +290,10 @@
 
 
 class TestItems:
-    """Items of the store, of any writer."""
+    """Entries of the store, written by any program."""
 
-    def test_unreadable_item_costs_no_other(self):
-        """In a list and in a watch."""
+    def test_malformed_item_does_not_hide_others(self):
+        """Valid entries must be returned, and malformed ones counted."""
         good = {"key": "servers/i-1", "value": "e30=", "revision": 4}
         bad = [
             {"key": 7, "value": "e30=", "revision": 5},
@@ -311,10 +311,10 @@
 
 
 class TestHeaders:
-    """Headers with a meaning."""
+    """Request and response headers."""
 
-    def test_facts_of_a_call(self):
-        """Sizes, key and time limit."""
+    def test_headers_of_a_request(self):
+        """Request id, key, time limit and sizes are parsed."""
         facts = parse_request_headers(CALL)
         assert (facts.request_id, facts.api_key, facts.time_limit_s) == (
             b"a1",
@@ -334,14 +334,14 @@
             (b"a:1," * 63 + b"own:9", 63),
         ],
     )
-    def test_shared_parts_of_a_prompt(self, value, tokens):
-        """All but the last one, which is the request's own, unless it is alone."""
+    def test_shared_prefix_of_a_prompt(self, value, tokens):
+        """The prefix excludes the last part, unless it is the only one."""
         facts = parse_request_headers([*NO_PARTS, (b"Prompt-Prefix", value)])
         assert facts.work.shared_prefix.tokens == tokens
         assert facts.prefix_problem == ""
 
-    def test_same_parts_have_the_same_hash(self):
-        """Whatever the request's own part is; other parts have another one."""
+    def test_prefix_hash_ignores_the_last_part(self):
+        """Equal prefixes must have equal hashes; different ones must not."""
 
         def prefix_of(value):
             return parse_request_headers(
@@ -364,14 +364,14 @@
             bytes(range(128, 256)) + b",own:9",
         ],
     )
-    def test_parts_that_make_no_sense_are_told_and_passed_over(self, value):
-        """The request is placed without regard to them: its target judges them."""
+    def test_malformed_prompt_prefix_is_reported_and_ignored(self, value):
+        """A malformed prompt prefix must not fail the request."""
         facts = parse_request_headers([*NO_PARTS, (b"Prompt-Prefix", value)])
         assert facts.work == Work(1460, 80)
         assert facts.prefix_problem
 
-    def test_request_without_parts_shares_none(self):
-        """Most plain calls."""
+    def test_request_without_prompt_prefix(self):
+        """Without the header there is neither a shared prefix nor a problem."""
         facts = parse_request_headers(NO_PARTS)
         assert facts.work == Work(1460, 80)
         assert facts.prefix_problem == ""
@@ -386,16 +386,16 @@
             (b"Deadline-Ms", b"-1"),
         ],
     )
-    def test_senseless_headers(self, header):
-        """They are refused rather than guessed at."""
+    def test_malformed_headers(self, header):
+        """Ambiguous or malformed headers must be rejected, not guessed."""
         assert isinstance(parse_request_headers([*CALL, header]), InvalidHeaders)
 
-    def test_two_keys_are_none(self):
-        """It is not for the router to choose one."""
+    def test_conflicting_api_keys_are_ignored(self):
+        """With two different keys, neither may be used."""
         assert parse_request_headers([*CALL, (b"x-api-key", b"k2")]).api_key is None
 
-    def test_callers_cannot_set_what_the_system_sets(self):
-        """Forged headers don't reach a target; the key stays here."""
+    def test_reserved_headers_of_callers_are_dropped(self):
+        """Forged headers and the API key must not reach a target."""
         forged = [
             (name, b"forged")
             for name in (
@@ -418,8 +418,8 @@
         assert values[b"deadline-ms"] == b"250"
         assert values[b"attempt-id"] == b"a1"
 
-    def test_resuming_replaces_the_callers_own_event(self):
-        """A stream goes on after the last event that was passed on."""
+    def test_resuming_replaces_the_last_event_id(self):
+        """A stream must resume after the last forwarded event."""
         resumed = headers_to_resume([(b"last-event-id", b"3")], 12)
         assert resumed == [(b"Last-Event-Id", b"12")]
 
@@ -432,10 +432,10 @@
             (500, [], False),
         ],
     )
-    def test_only_a_statement_counts_as_not_run(self, status, headers, not_run):
-        """Any other answer may follow a run."""
+    def test_only_a_declaration_counts_as_not_executed(self, status, headers, not_run):
+        """Any other error may follow an execution, so it must not allow a repeat."""
         assert is_not_executed(status, headers) is not_run
 
-    def test_refusal_tells_when_to_return(self):
-        """Seconds with fractions."""
+    def test_refusal_has_fractional_retry_after(self):
+        """Delays below a second must not be rounded."""
         assert (b"Retry-After", b"0.250") in refusal_headers(b"a1", 0.25)
--- a/tests/platform/test_platform_held_lease.py
+++ b/tests/platform/test_platform_held_lease.py
@@ -1,4 +1,4 @@
-"""Locks under pauses, with the time passed in."""
+"""Leased locks across suspensions and outages, with a simulated clock."""
 
 import pytest
 
@@ -11,7 +11,7 @@
 
 
 class Clock:
-    """A clock that a test sets."""
+    """Clock that a test advances."""
 
     def __init__(self):
         self.now = 100.0
@@ -22,37 +22,37 @@
 
 
 class SlowGrant(InMemoryKeyValue):
-    """A store whose answer to a grant takes three seconds."""
+    """Store that takes three seconds to respond to a grant."""
 
     def __init__(self, clock):
         super().__init__(clock=clock)
         self._test_clock = clock
 
     async def grant_lease(self, ttl_s):
-        """Grant a lease at the end of the three seconds."""
+        """Grant a lease after three seconds."""
         self._test_clock.now += 3.0
         return await super().grant_lease(ttl_s)
 
 
 async def acquire(store, clock, owner="a"):
-    """Take the lock."""
+    """Acquire the lock."""
     return await LeasedLock.acquire(
         store, KEY, owner=owner, ttl_s=TTL_S, margin_s=MARGIN_S, clock=clock
     )
 
 
 @pytest.mark.anyio
-class TestHeldLease:
-    """What a holder knows of its lock."""
+class TestLeasedLock:
+    """Expiry of a lock as its holder sees it."""
 
     async def test_time_counts_from_before_the_grant_was_sent(self):
-        """A slow answer shortens the time left."""
+        """A slow response must not extend the lock beyond the lease."""
         clock = Clock()
         lease = await acquire(SlowGrant(clock), clock)
         assert lease.remaining_s(clock.now) == TTL_S - 3.0 - MARGIN_S
 
-    async def test_paused_holder_sees_that_it_lapsed(self):
-        """After a pause nothing is left, and a successor has a higher number."""
+    async def test_lock_expires_while_holder_is_suspended(self):
+        """A suspended holder must not believe that it still holds the lock."""
         clock = Clock()
         store = InMemoryKeyValue(clock=clock)
         paused = await acquire(store, clock)
@@ -63,8 +63,8 @@
         assert not await paused.renew()
         assert paused.remaining_s(clock.now) == 0.0
 
-    async def test_renewal_without_an_answer_extends_nothing(self):
-        """The time left falls on while the service is down."""
+    async def test_failed_renewal_does_not_extend_the_lock(self):
+        """The remaining time must keep decreasing during an outage."""
         clock = Clock()
         store = InMemoryKeyValue(clock=clock)
         lease = await acquire(store, clock)
@@ -79,10 +79,10 @@
 
 @pytest.mark.anyio
 class TestResolveSwap:
-    """Settling a lost write in an outage."""
+    """Resolution of an unknown outcome during an outage."""
 
-    async def test_write_stays_lost_while_nobody_answers(self):
-        """Without an answer it is neither claimed nor denied."""
+    async def test_outcome_stays_unknown_during_an_outage(self):
+        """Without a response, the write must count neither as done nor as failed."""
         store = InMemoryKeyValue()
         pauses = []
 
--- a/tests/platform/test_platform_rollouts.py
+++ b/tests/platform/test_platform_rollouts.py
@@ -1,4 +1,4 @@
-"""Orders of roll-outs and their statuses, as the store has them."""
+"""Rollout orders and statuses in the metadata store."""
 
 from json import dumps, loads
 
@@ -14,22 +14,22 @@
 
 
 def decoded(value, key=b"op/rollout/s"):
-    """Decode an order."""
+    """Decode a rollout order from bytes or JSON."""
     encoded = value if isinstance(value, bytes) else dumps(value).encode()
     return decode_rollout_order(KeyValue(key, encoded, 7))
 
 
 def order(**changes):
-    """Return an order as an operator writes it."""
+    """Return a valid order with changed fields; None removes a field."""
     value = {"service": "s", "target": "v2", "period-s": 12, **changes}
     return {key: each for key, each in value.items() if each is not None}
 
 
 class TestOrders:
-    """What can be followed, and what is a finding."""
+    """Decoding of rollout orders."""
 
-    def test_order(self):
-        """A service, a version and a period; fields that aren't known are passed."""
+    def test_valid_order(self):
+        """Unknown fields must be ignored."""
         assert decoded(order(more=1)) == Order(
             service="s", version="v2", period_s=12, revision=7
         )
@@ -48,8 +48,8 @@
             (order(target=""), OrderProblem.OUT_OF_RANGE, "target"),
         ],
     )
-    def test_what_is_wrong_is_told_with_its_place(self, value, problem, place):
-        """Nothing is guessed."""
+    def test_invalid_order_names_the_field(self, value, problem, place):
+        """An invalid order must be rejected, not guessed."""
         found = decoded(value)
         assert isinstance(found, UnusableOrder)
         assert found.problem is problem
@@ -57,7 +57,7 @@
 
 
 class TestStatuses:
-    """What operators are told."""
+    """Encoding of rollout statuses."""
 
     @pytest.mark.parametrize(
         ("phase", "state"),
@@ -70,12 +70,12 @@
         ],
     )
     def test_state_and_version(self, phase, state):
-        """In the platform's words."""
+        """Each phase has the platform's state name."""
         value = encode_rollout_status(phase, "v2")
         assert loads(value) == {"state": state, "target": "v2"}
         assert is_rollout_status(value, phase, "v2")
         assert not is_rollout_status(value, phase, "v3")
 
-    def test_what_others_wrote_is_not_taken_for_it(self):
-        """However it looks."""
+    def test_malformed_status_does_not_match(self):
+        """A status that another program wrote must not count as the router's own."""
         assert not is_rollout_status(b"nonsense", Phase.CANARY, "v2")
