--- a/libs/forwarding/tests/test_forwarding_connections.py
+++ b/libs/forwarding/tests/test_forwarding_connections.py
@@ -117,7 +117,7 @@
 class TestCallerRequests:
     """Reading of requests."""
 
-    def test_request_in_pieces(self):
+    def test_request_byte_by_byte(self):
         """A request must be parsed even if it arrives byte by byte."""
         caller = Caller()
         for byte in HEAD + b"Content-Length: 3\r\n\r\nabc":
@@ -210,7 +210,7 @@
         assert caller.transport.written.endswith(b"Connection: close\r\n\r\n")
 
     def test_slow_and_idle_callers(self):
-        """Incomplete requests and idle connections must time out; busy ones must not."""
+        """Incomplete requests and idle connections time out; busy ones must not."""
         slow, idle, busy = Caller(), Caller(), Caller()
         slow.send(HEAD)
         busy.send(HEAD + b"Content-Length: 0\r\n\r\n")
--- a/tests/platform/test_platform_clients.py
+++ b/tests/platform/test_platform_clients.py
@@ -104,12 +104,12 @@
         faults, store = faulty_store
         setattr(faults, fault, 1)
         lost = await store.compare_and_swap(KEY, b"id-1", 0)
-        settled = await resolve_swap(
+        resolved = await resolve_swap(
             store, KEY, b"id-1", 0, is_own_write=lambda kv: kv.value == b"id-1"
         )
         current = await store.get(KEY)
         assert isinstance(lost, OutcomeUnknown)
-        assert settled == Swapped(current.mod_revision)
+        assert resolved == Swapped(current.mod_revision)
         assert current.create_revision == current.mod_revision
 
     async def test_lost_response_of_a_conflicting_write_is_a_conflict(
@@ -120,12 +120,12 @@
         await store.compare_and_swap(KEY, b"theirs", 0)
         faults.lose_answers = 1
         lost = await store.compare_and_swap(KEY, b"ours", 0)
-        settled = await resolve_swap(
+        resolved = await resolve_swap(
             store, KEY, b"ours", 0, is_own_write=lambda kv: kv.value == b"ours"
         )
         assert isinstance(lost, OutcomeUnknown)
-        assert isinstance(settled, Conflict)
-        assert settled.current.value == b"theirs"
+        assert isinstance(resolved, Conflict)
+        assert resolved.current.value == b"theirs"
 
     async def test_outage_is_not_reported_as_absence(self, faulty_store):
         """A failed read must not look like a missing key."""
--- a/tests/platform/test_platform_formats.py
+++ b/tests/platform/test_platform_formats.py
@@ -315,15 +315,15 @@
 
     def test_headers_of_a_request(self):
         """Request id, key, time limit and sizes are parsed."""
-        facts = parse_request_headers(CALL)
-        assert (facts.request_id, facts.api_key, facts.time_limit_s) == (
+        parsed = parse_request_headers(CALL)
+        assert (parsed.request_id, parsed.api_key, parsed.time_limit_s) == (
             b"a1",
             "k1",
             1.5,
         )
-        assert facts.total_tokens == 1540
-        assert facts.work == Work(1460, 80, SharedPrefix(PARTS_HASH, 1210))
-        assert facts.prefix_problem == ""
+        assert parsed.total_tokens == 1540
+        assert parsed.work == Work(1460, 80, SharedPrefix(PARTS_HASH, 1210))
+        assert parsed.prefix_problem == ""
 
     @pytest.mark.parametrize(
         ("value", "tokens"),
@@ -336,9 +336,9 @@
     )
     def test_shared_prefix_of_a_prompt(self, value, tokens):
         """The prefix excludes the last part, unless it is the only one."""
-        facts = parse_request_headers([*NO_PARTS, (b"Prompt-Prefix", value)])
-        assert facts.work.shared_prefix.tokens == tokens
-        assert facts.prefix_problem == ""
+        parsed = parse_request_headers([*NO_PARTS, (b"Prompt-Prefix", value)])
+        assert parsed.work.shared_prefix.tokens == tokens
+        assert parsed.prefix_problem == ""
 
     def test_prefix_hash_ignores_the_last_part(self):
         """Equal prefixes must have equal hashes; different ones must not."""
@@ -366,15 +366,15 @@
     )
     def test_malformed_prompt_prefix_is_reported_and_ignored(self, value):
         """A malformed prompt prefix must not fail the request."""
-        facts = parse_request_headers([*NO_PARTS, (b"Prompt-Prefix", value)])
-        assert facts.work == Work(1460, 80)
-        assert facts.prefix_problem
+        parsed = parse_request_headers([*NO_PARTS, (b"Prompt-Prefix", value)])
+        assert parsed.work == Work(1460, 80)
+        assert parsed.prefix_problem
 
     def test_request_without_prompt_prefix(self):
         """Without the header there is neither a shared prefix nor a problem."""
-        facts = parse_request_headers(NO_PARTS)
-        assert facts.work == Work(1460, 80)
-        assert facts.prefix_problem == ""
+        parsed = parse_request_headers(NO_PARTS)
+        assert parsed.work == Work(1460, 80)
+        assert parsed.prefix_problem == ""
 
     @pytest.mark.parametrize(
         "header",
--- a/tests/platform/test_platform_held_lease.py
+++ b/tests/platform/test_platform_held_lease.py
@@ -92,10 +92,10 @@
         store.lose_answers = 1
         first = await store.compare_and_swap(KEY, b"ours", 0)
         store.down = True
-        settle = {"is_own_write": lambda kv: kv.value == b"ours", "pause": pause}
-        during = await resolve_swap(store, KEY, b"ours", 0, attempts=3, **settle)
+        arguments = {"is_own_write": lambda kv: kv.value == b"ours", "pause": pause}
+        during = await resolve_swap(store, KEY, b"ours", 0, attempts=3, **arguments)
         store.down = False
-        after = await resolve_swap(store, KEY, b"ours", 0, **settle)
+        after = await resolve_swap(store, KEY, b"ours", 0, **arguments)
         assert isinstance(first, OutcomeUnknown)
         assert isinstance(during, OutcomeUnknown)
         assert len(pauses) == 3
