--- a/libs/agent/src/berylwalk/agent/_dispatch.py
+++ b/libs/agent/src/berylwalk/agent/_dispatch.py
@@ -219,7 +219,7 @@
         statement = parse_target_headers(stream.status, headers)
         if statement.problem:
             logging.warning("the target states: %s", statement.problem)
-        if not statement.is_plain or self._shell.machine.has_active_statement:
+        if not statement.is_empty or self._shell.machine.has_active_statement:
             was_accepted = (
                 stream.status < SERVER_ERROR and stream.status != TOO_MANY_REQUESTS
             )
--- a/libs/direct/src/berylwalk/direct/_attempt_runner.py
+++ b/libs/direct/src/berylwalk/direct/_attempt_runner.py
@@ -17,12 +17,12 @@
 from berylwalk.dispatch import (
     AttemptEnd,
     Attempts,
-    ExpectedStart,
+    FirstEventEstimate,
     RouteKind,
     Target,
+    TargetSignals,
     TargetState,
-    TargetStatement,
-    expected_start,
+    estimate_first_event,
 )
 from berylwalk.forwarding import TargetConnection, end_to_end, request_head
 from berylwalk.platform import headers_for_target, headers_to_resume
@@ -79,7 +79,7 @@
         attempt = self._attempt(target, sent_at)
         connection = None
         try:
-            connection = context.pool.take_idle(target.entry.life_id)
+            connection = context.pool.take_idle(target.entry.incarnation_id)
             if connection is None:
                 connection = await context.pool.open(target.entry)
             if connection is None:
@@ -98,11 +98,11 @@
 
     def _attempt(self, target: Target, sent_at: float) -> Attempt:
         work = self._admitted.facts.work
-        life_id = target.entry.life_id
-        prefix_reads = self._context.dispatcher.prefix_reads
-        held_tokens = prefix_reads.held_tokens(work).get(life_id, 0)
-        start = expected_start(target, work, held_tokens=held_tokens)
-        prefix_reads.note_sent(work, life_id)
+        incarnation_id = target.entry.incarnation_id
+        prefix_cache_index = self._context.dispatcher.prefix_cache_index
+        cached_tokens = prefix_cache_index.cached_tokens(work).get(incarnation_id, 0)
+        start = estimate_first_event(target, work, cached_tokens=cached_tokens)
+        prefix_cache_index.note_sent(work, incarnation_id)
         self._log.log_placed(self._admitted, target, start)
         self._observe_version(target, start)
 
@@ -116,14 +116,14 @@
             tokens = self._tokens_per_event() * events
             target.note_output(tokens, events, elapsed_s)
 
-        def on_statement(statement: TargetStatement, status: int) -> None:
+        def on_statement(statement: TargetSignals, status: int) -> None:
             if status != STATUS_MISDIRECTED_REQUEST:
                 # What another life at this address states is not said of this one.
                 self._log.log_statement(self._admitted, target, statement)
                 apply_statement(self._context, target, statement, sent_at)
                 if status < 500 and status != STATUS_TOO_MANY_REQUESTS:
                     slots = target.entry.slots
-                    target.needs.rest.note_taken(slots, sent_at=sent_at)
+                    target.flow_control.backoff.note_accepted(slots, sent_at=sent_at)
 
         return Attempt(
             self._response_writer,
@@ -135,7 +135,7 @@
             on_statement=on_statement,
         )
 
-    def _observe_version(self, target: Target, start: ExpectedStart) -> None:
+    def _observe_version(self, target: Target, start: FirstEventEstimate) -> None:
         """Note the send for the judgement of versions, while one is not proved."""
         context, admitted = self._context, self._admitted
         self._version_observer = None
@@ -156,8 +156,8 @@
         # While the connection was opened, the target may have said that it leaves, or
         # asked for rest.
         is_known = self._context.targets.by_id.get(target.entry.target_id) is target
-        takes_any = target.needs.takes_any(self._context.clock())
-        return is_known and takes_any and target.entry.state is TargetState.READY
+        accepts_placed = target.flow_control.accepts_placed(self._context.clock())
+        return is_known and accepts_placed and target.entry.state is TargetState.READY
 
     async def _transfer(
         self, target: Target, connection: TargetConnection, attempt: Attempt
@@ -168,18 +168,18 @@
             else:
                 connection.pause()
 
-        def on_life_ended() -> None:
+        def on_incarnation_ended() -> None:
             attempt.abort_target_ended("the target started again")
 
         self._response_writer.set_on_writable(on_writable)
         connection.send(
             self._encode_request(target), self._admitted.request_id, attempt
         )
-        target.on_life_ended.add(on_life_ended)
+        target.on_incarnation_ended.add(on_incarnation_ended)
         try:
             await self._wait_for_end(target, attempt)
         finally:
-            target.on_life_ended.discard(on_life_ended)
+            target.on_incarnation_ended.discard(on_incarnation_ended)
 
     async def _wait_for_end(self, target: Target, attempt: Attempt) -> None:
         clock, ends_at = self._context.clock, self._admitted.ends_at
@@ -235,7 +235,7 @@
     ) -> None:
         self._response_writer.set_on_writable(None)
         if attempt.end in REUSABLE_ENDS:
-            self._context.pool.release(target.entry.life_id, connection)
+            self._context.pool.release(target.entry.incarnation_id, connection)
         else:
             # By this the target stops working on the request.
             connection.close()
@@ -250,10 +250,10 @@
             self._attempts.note(attempt.end)
             context.metrics.attempts.labels(admitted.service, attempt.end).inc()
         self._log.record_attempt(target, attempt, sent_at)
-        target.note_left(
+        target.note_finished(
             admitted.facts.work, had_first_event=attempt.first_event_at is not None
         )
-        context.dispatcher.pump(admitted.service, context.clock())
+        context.dispatcher.dispatch_queued(admitted.service, context.clock())
 
     def _tokens_per_event(self) -> int:
         current = self._context.configuration.current
--- a/libs/direct/src/berylwalk/direct/_daemon.py
+++ b/libs/direct/src/berylwalk/direct/_daemon.py
@@ -27,11 +27,11 @@
 from berylwalk.direct._suspension_detector import SuspensionDetector
 from berylwalk.direct._target_feed import TargetFeed
 from berylwalk.dispatch import (
-    Allowances,
     CallerLimits,
     ConfigurationState,
     Dispatcher,
     PeerTable,
+    QuotaTracker,
     RouterSettings,
     SocketAddress,
     TargetTable,
@@ -131,15 +131,15 @@
         )
         targets = TargetTable()
 
-        def record_bytes(life_id: str) -> None:
-            target = targets.by_life_id.get(life_id)
+        def record_bytes(incarnation_id: str) -> None:
+            target = targets.by_incarnation_id.get(incarnation_id)
             if target is not None:
                 target.note_heard(clock())
 
         peers = PeerTable(settings.name, settings.failure_domain)
         rollouts = Rollouts(settings.exposure, router=uuid4().hex)
-        rollouts.router_count = peers.known
-        rollouts.in_flight_at_other_versions = targets.in_flight_elsewhere
+        rollouts.router_count = peers.known_count
+        rollouts.in_flight_at_other_versions = targets.in_flight_other_versions
         address = settings.store_address
         store = KeyValueClient.from_config(
             [f"http://{address.host}:{address.port}"], timeout_s=CALL_TIMEOUT_S
@@ -153,7 +153,7 @@
                 failure_domain=settings.failure_domain,
                 rollouts=rollouts,
             ),
-            allowances=Allowances(settings.allowances, started_at=clock()),
+            quotas=QuotaTracker(settings.allowances, started_at=clock()),
             retries=WindowedRetryBudget(
                 ratio=settings.retry_ratio,
                 slack=settings.retry_slack,
@@ -337,6 +337,6 @@
             for listener in (self._callers, self._readiness, self._metrics):
                 listener.sweep()
             self._context.pool.close_stale()
-            self._context.dispatcher.pump_all(self._context.clock())
+            self._context.dispatcher.dispatch_all_queued(self._context.clock())
             self._context.quarantine.expire(self._context.clock())
             self._context.log.flush()
--- a/libs/direct/src/berylwalk/direct/_peering.py
+++ b/libs/direct/src/berylwalk/direct/_peering.py
@@ -34,7 +34,13 @@
     update_limit_shares,
 )
 from berylwalk.direct._store_health import StoreHealth
-from berylwalk.dispatch import PEERS_OF_ONE_MESH, Knowledge, Peer, Read, Target
+from berylwalk.dispatch import (
+    MAX_FULL_MESH_PEERS,
+    HistoryCoverage,
+    Peer,
+    PrefixPlacement,
+    Target,
+)
 from berylwalk.platform import KeyValueClient
 from berylwalk.quarantine import QuarantineUpdate
 from berylwalk.reading import StoreSyncReply, StoreSyncRequest
@@ -95,7 +101,9 @@
         self._last_sent: tuple[object, ...] | None = None
         self._last_sent_at = float("-inf")
         self._updates_by_name: dict[str, RouterUpdate] = {}
-        self._prefixes_to_relay: deque[Read] = deque(maxlen=MAX_RELAYED_PREFIXES)
+        self._prefixes_to_relay: deque[PrefixPlacement] = deque(
+            maxlen=MAX_RELAYED_PREFIXES
+        )
         self._statement_aggregate = StatementAggregate()
         self._pending_placements: Loads = {}
         self._send_requested = Event()
@@ -150,12 +158,12 @@
         Load pattern: many routers and few places. Each sees a place that falls free,
         and until it hears of the others' sends it takes it for its own.
         """
-        if not 0 < len(self._context.peers.near()) <= MAX_IMMEDIATE_PEERS:
+        if not 0 < len(self._context.peers.direct_peers()) <= MAX_IMMEDIATE_PEERS:
             return
         if not self._pending_placements:
             get_running_loop().call_later(PLACEMENT_BATCH_S, self._send_placements)
         load = (target.in_flight, target.waiting_tokens)
-        self._pending_placements[target.entry.life_id] = load
+        self._pending_placements[target.entry.incarnation_id] = load
 
     def _send_placements(self) -> None:
         if self._transport is None or self._transport.is_closing():
@@ -166,11 +174,13 @@
             name, self._life, self._sequence, self._pending_placements
         )
         self._pending_placements = {}
-        self._send(msgpack.encode(message), self._context.peers.near())
+        self._send(msgpack.encode(message), self._context.peers.direct_peers())
 
     async def _send_loop(self) -> None:
         while True:
-            with move_on_after(send_interval_s(len(self._context.peers.near()))):
+            with move_on_after(
+                send_interval_s(len(self._context.peers.direct_peers()))
+            ):
                 await self._send_requested.wait()
             self._send_requested = Event()
             self._apply_peer_liveness()
@@ -178,18 +188,18 @@
 
     async def _relay_loop(self) -> None:
         while True:
-            await sleep(relay_interval_s(len(self._context.peers.near())))
+            await sleep(relay_interval_s(len(self._context.peers.direct_peers())))
             peers, now = self._context.peers, self._context.clock()
-            far_domains = peers.far_domains()
-            if far_domains and peers.is_relay(now):
-                self._send_to_domains(far_domains, now)
+            relayed_domains = peers.relayed_domains()
+            if relayed_domains and peers.is_relay(now):
+                self._send_to_domains(relayed_domains, now)
             else:
                 self._prefixes_to_relay.clear()
                 self._context.quarantine.relay_outbox.clear()
 
-    def _send_to_domains(self, far_domains: set[str], now: float) -> None:
+    def _send_to_domains(self, relayed_domains: set[str], now: float) -> None:
         data = msgpack.encode(self._domain_message(now))
-        for failure_domain in sorted(far_domains):
+        for failure_domain in sorted(relayed_domains):
             receiver = self._context.peers.relay_of(failure_domain, now)
             if receiver is not None:
                 self._send(data, [receiver])
@@ -198,34 +208,36 @@
         """Leave silent peers their part of the allowances, and forget their loads."""
         context = self._context
         peers, now = context.peers, context.clock()
-        context.allowances.set_share(peers.heard(now), peers.known())
-        context.dispatcher.set_relayed(bool(peers.far_domains()))
+        context.quotas.set_share(peers.alive_count(now), peers.known_count())
+        context.dispatcher.set_relayed(bool(peers.relayed_domains()))
         update_limit_shares(context)
         counted = self._counted_sources(now)
-        for source in context.targets.sources_of_loads():
+        for source in context.targets.peers_with_loads():
             if source not in counted:
                 # What it had in flight is answered by now or unknown.
-                context.targets.hear_loads(source, {})
+                context.targets.replace_peer_loads(source, {})
 
     def _counted_sources(self, now: float) -> set[str]:
         """Return under which names loads count: near peers and far domains heard."""
         peers = self._context.peers
-        heard = [peer for peer in peers.by_name.values() if peers.is_heard(peer, now)]
-        near = {peer.name for peer in heard if peers.is_near(peer)}
+        alive_peers = [
+            peer for peer in peers.by_name.values() if peers.is_alive(peer, now)
+        ]
+        direct_peers = {peer.name for peer in alive_peers if peers.is_direct(peer)}
         far = {
             DOMAIN_SOURCE + peer.failure_domain
-            for peer in heard
-            if not peers.is_near(peer)
+            for peer in alive_peers
+            if not peers.is_direct(peer)
         }
-        return near | far
+        return direct_peers | far
 
     def _send_if_due(self) -> None:
         context = self._context
         loads = context.targets.own_loads()
-        spent = context.allowances.spent_by_account()
+        spent = context.quotas.spent_by_account()
         now = context.clock()
         history_from = self._peer_to_ask(now)
-        reads = context.dispatcher.prefix_reads.take_news()
+        reads = context.dispatcher.prefix_cache_index.take_updates()
         self._prefixes_to_relay.extend(reads)
         quarantine = context.quarantine.next_update(
             context.quarantine.direct_outbox, context.clock()
@@ -251,14 +263,14 @@
             quarantine=quarantine,
             statements=statements,
         )
-        self._send(msgpack.encode(message), context.peers.near())
+        self._send(msgpack.encode(message), context.peers.direct_peers())
 
     def _own_update(self, now: float) -> RouterUpdate:
         context = self._context
         settings = context.settings
         self._sequence += 1
-        spent = context.allowances.spent_by_account()
-        demand = context.allowances.urgent_demand.totals()
+        spent = context.quotas.spent_by_account()
+        demand = context.quotas.urgent_demand.totals()
         return RouterUpdate(
             settings.name,
             settings.caller_address.host,
@@ -276,16 +288,18 @@
     def _domain_message(self, now: float) -> DomainMessage:
         context = self._context
         peers = context.peers
-        heard = [peer.name for peer in peers.near() if peers.is_heard(peer, now)]
+        alive_peers = [
+            peer.name for peer in peers.direct_peers() if peers.is_alive(peer, now)
+        ]
         news = [
             self._updates_by_name[name]
-            for name in heard
+            for name in alive_peers
             if name in self._updates_by_name
         ]
         return DomainMessage(
             context.settings.failure_domain,
             [self._own_update(now), *news],
-            context.targets.loads_with(heard),
+            context.targets.total_loads(alive_peers),
             reads=self._take_prefixes_to_relay(),
             quarantine=context.quarantine.next_update(
                 context.quarantine.relay_outbox, context.clock()
@@ -293,7 +307,7 @@
             statements=self._statement_aggregate.merged(own_statements(context), now),
         )
 
-    def _take_prefixes_to_relay(self) -> list[Read]:
+    def _take_prefixes_to_relay(self) -> list[PrefixPlacement]:
         reads = list(self._prefixes_to_relay)
         self._prefixes_to_relay.clear()
         return reads
@@ -310,11 +324,13 @@
         Another one each time, since one may not know or its answer be lost.
         """
         context = self._context
-        if context.allowances.knows_window(now):
+        if context.quotas.has_full_window(now):
             return None
         peers = context.peers
-        heard = [peer.name for peer in peers.near() if peers.is_heard(peer, now)]
-        return choice(heard) if heard else None
+        alive_peers = [
+            peer.name for peer in peers.direct_peers() if peers.is_alive(peer, now)
+        ]
+        return choice(alive_peers) if alive_peers else None
 
     def _answer_newcomer(self, newcomer: Peer, now: float) -> None:
         """Tell a router that asks what was spent, if it is known here.
@@ -323,12 +339,12 @@
         the links of small VMs if each told it to all.
         """
         context = self._context
-        if not context.allowances.knows_window(now):
+        if not context.quotas.has_full_window(now):
             return
         message = PeerMessage(
             self._own_update(now),
             context.targets.own_loads(),
-            spending_history=context.allowances.spent_by_bin(now),
+            spending_history=context.quotas.spent_by_bin(now),
         )
         self._send(msgpack.encode(message), [newcomer])
 
@@ -356,31 +372,35 @@
                 self._receive_peer_message(message, now)
             case DomainMessage():
                 self._receive_domain_message(message, now)
-        self._context.dispatcher.pump_all(now)
+        self._context.dispatcher.dispatch_all_queued(now)
 
     def _receive_peer_message(self, message: PeerMessage, now: float) -> None:
         context = self._context
         sender = message.news.to_peer()
         if not self._receive_update(message.news, now):
             return
-        if context.peers.is_near(sender):
-            context.targets.hear_loads(sender.name, message.loads)
-            context.dispatcher.prefix_reads.hear(message.reads)
+        if context.peers.is_direct(sender):
+            context.targets.replace_peer_loads(sender.name, message.loads)
+            context.dispatcher.prefix_cache_index.merge(message.reads)
             self._prefixes_to_relay.extend(message.reads)
-            self._merge_quarantine(message.quarantine, is_near=True)
+            self._merge_quarantine(message.quarantine, is_direct=True)
             merge_statements(context, message.statements, sender.name)
             self._statement_aggregate.note(sender.name, message.statements, now)
         if message.history_from == context.settings.name:
             self._answer_newcomer(sender, now)
         if message.spending_history is not None:
-            context.allowances.learn(message.spending_history, Knowledge.ALL, now)
+            context.quotas.restore(
+                message.spending_history, HistoryCoverage.COMPLETE, now
+            )
 
     def _receive_loads(self, message: LoadMessage, now: float) -> None:
         context, name = self._context, message.name
-        if not context.peers.hear_again(name, message.life, message.sequence, now):
+        if not context.peers.record_heartbeat(
+            name, message.life, message.sequence, now
+        ):
             return
-        if context.peers.is_near(context.peers.by_name[name]):
-            context.targets.hear_some_loads(name, message.loads)
+        if context.peers.is_direct(context.peers.by_name[name]):
+            context.targets.update_peer_loads(name, message.loads)
 
     def _receive_domain_message(self, message: DomainMessage, now: float) -> None:
         context = self._context
@@ -389,41 +409,43 @@
         for news in message.routers:
             if news.name != context.settings.name:
                 self._receive_update(news, now)
-        if message.failure_domain in context.peers.far_domains():
+        if message.failure_domain in context.peers.relayed_domains():
             source = DOMAIN_SOURCE + message.failure_domain
-            context.targets.hear_loads(source, message.loads)
-        context.dispatcher.prefix_reads.hear(message.reads)
-        self._merge_quarantine(message.quarantine, is_near=False)
+            context.targets.replace_peer_loads(source, message.loads)
+        context.dispatcher.prefix_cache_index.merge(message.reads)
+        self._merge_quarantine(message.quarantine, is_direct=False)
         merge_statements(context, message.statements, message.failure_domain)
         if not message.is_forwarded:
             data = msgpack.encode(replace(message, is_forwarded=True))
-            self._send(data, context.peers.near())
+            self._send(data, context.peers.direct_peers())
 
     def _receive_update(self, news: RouterUpdate, now: float) -> bool:
         """Take what is new of a router; False if it is old."""
         peer = news.to_peer()
-        if not self._context.peers.hear(peer, now):
+        if not self._context.peers.record_message(peer, now):
             return False
         self._updates_by_name[news.name] = news
         self._store_health.update_peer_health(news.store_healthy_s)
-        self._context.allowances.hear(
+        self._context.quotas.record_peer_totals(
             life_of(peer),
             news.spent,
             is_new=news.age_s < now - self._started_at,
             now=now,
         )
-        self._context.allowances.urgent_demand.hear(life_of(peer), news.demand, now)
+        self._context.quotas.urgent_demand.record_peer_totals(
+            life_of(peer), news.demand, now
+        )
         self._context.rollouts.merge(life_of(peer), news.rollouts, now)
         return True
 
-    def _merge_quarantine(self, news: QuarantineUpdate, *, is_near: bool) -> None:
+    def _merge_quarantine(self, news: QuarantineUpdate, *, is_direct: bool) -> None:
         context = self._context
-        context.quarantine.merge(news, context.clock(), is_direct=is_near)
+        context.quarantine.merge(news, context.clock(), is_direct=is_direct)
 
     def _forget(self, peer: Peer) -> None:
         """Forget a peer whose life has ended."""
-        self._context.targets.hear_loads(peer.name, {})
-        self._context.allowances.forget(life_of(peer))
+        self._context.targets.replace_peer_loads(peer.name, {})
+        self._context.quotas.forget_peer(life_of(peer))
         self._updates_by_name.pop(peer.name, None)
 
 
@@ -445,9 +467,9 @@
 
 
 def _scaled_interval_s(shortest_s: float, peers: int) -> float:
-    return min(shortest_s * max(1.0, peers / PEERS_OF_ONE_MESH), MAX_SEND_INTERVAL_S)
+    return min(shortest_s * max(1.0, peers / MAX_FULL_MESH_PEERS), MAX_SEND_INTERVAL_S)
 
 
 def life_of(peer: Peer) -> str:
     """Return what identifies one life of a router."""
-    return f"{peer.name}/{peer.life}"
+    return f"{peer.name}/{peer.incarnation}"
--- a/libs/direct/src/berylwalk/direct/_rollout_coordinator.py
+++ b/libs/direct/src/berylwalk/direct/_rollout_coordinator.py
@@ -208,14 +208,14 @@
             number=record.number,
             reason=record.reason,
         )
-        context.dispatcher.pump_all(context.clock())
+        context.dispatcher.dispatch_all_queued(context.clock())
 
     # Writing.
 
     async def _step(self) -> None:
         context = self._context
         now = context.clock()
-        is_first = context.peers.is_first(now)
+        is_first = context.peers.is_leader(now)
         if not is_first and now - self._stepped_at < FALLBACK_STEP_INTERVAL_S:
             return
         self._stepped_at = now
@@ -234,7 +234,7 @@
         key = (f"{progress.order.service}/{progress.order.revision}", step)
         since = self._due_since.setdefault(key, now)
         return (
-            self._context.peers.is_first(now) or now - since >= FALLBACK_WRITE_DELAY_S
+            self._context.peers.is_leader(now) or now - since >= FALLBACK_WRITE_DELAY_S
         )
 
     def _next_record(self, progress: Progress, now: float) -> Record | None:
@@ -251,7 +251,7 @@
         heard = [
             life_of(peer)
             for peer in peers.by_name.values()
-            if peers.is_heard(peer, now)
+            if peers.is_alive(peer, now)
         ]
         all_are_heard = len(heard) == len(peers.by_name)
         step = rollouts.next_phase(
--- a/libs/direct/src/berylwalk/direct/_statement_aggregate.py
+++ b/libs/direct/src/berylwalk/direct/_statement_aggregate.py
@@ -3,7 +3,7 @@
 from msgspec.structs import replace
 
 from berylwalk.direct._statements import MAX_RELAYED_STATEMENTS, StatementUpdate, rotate
-from berylwalk.dispatch import NEWS_KEPT_S
+from berylwalk.dispatch import UPDATE_TTL_S
 
 
 class StatementAggregate:
@@ -21,15 +21,17 @@
 
     def merged(self, own: list[StatementUpdate], now: float) -> list[StatementUpdate]:
         """Return what was said of each target: its limit by the newest, as of now."""
-        merged = {each.life_id: each for each in own}
+        merged = {each.incarnation_id: each for each in own}
         for router, (heard_at, news) in list(self._received_by_router.items()):
-            if now - heard_at > NEWS_KEPT_S:
+            if now - heard_at > UPDATE_TTL_S:
                 del self._received_by_router[router]
                 continue
             for each in news:
                 aged = _with_added_age(each, now - heard_at)
-                known = merged.get(each.life_id)
-                merged[each.life_id] = aged if known is None else _merge(known, aged)
+                known = merged.get(each.incarnation_id)
+                merged[each.incarnation_id] = (
+                    aged if known is None else _merge(known, aged)
+                )
         return rotate(list(merged.values()), MAX_RELAYED_STATEMENTS, now)
 
 
@@ -37,7 +39,7 @@
     if news.limit_age_s is None:
         return news
     age_s = news.limit_age_s + by_s
-    if age_s > NEWS_KEPT_S:
+    if age_s > UPDATE_TTL_S:
         return replace(news, limit_age_s=None, limit_per_s=None)
     return replace(news, limit_age_s=age_s)
 
--- a/libs/direct/src/berylwalk/direct/_target_feed.py
+++ b/libs/direct/src/berylwalk/direct/_target_feed.py
@@ -124,7 +124,7 @@
         for target_id in context.targets.replace(entries, now):
             self._on_target_removed(target_id, "not listed", revision)
         self._process_ended_lives(revision)
-        context.dispatcher.pump_all(now)
+        context.dispatcher.dispatch_all_queued(now)
 
     def _confirm(self, items: list[KeyValue], known_at: float) -> None:
         self._context.targets.note_confirmed(known_at)
@@ -143,7 +143,9 @@
             self._log_change(entry, item.mod_revision)
             self._context.targets.update(entry, self._context.clock())
             self._process_ended_lives(item.mod_revision)
-            self._context.dispatcher.pump(entry.service, self._context.clock())
+            self._context.dispatcher.dispatch_queued(
+                entry.service, self._context.clock()
+            )
 
     def _remove(self, item: KeyValue) -> None:
         self._invalid_items.clear(item.key.decode())
@@ -189,19 +191,19 @@
             )
 
     def _process_ended_lives(self, revision: int) -> None:
-        for target in self._context.targets.pop_ended_lives():
+        for target in self._context.targets.pop_ended_incarnations():
             self._context.log.process(
                 "target-started-again",
                 target=target.entry.target_id,
-                ended_life=target.entry.life_id,
+                ended_life=target.entry.incarnation_id,
                 in_flight=target.in_flight,
                 revision=revision,
             )
-        self._context.pool.retain(self._context.targets.by_life_id)
+        self._context.pool.retain(self._context.targets.by_incarnation_id)
 
     def _on_target_removed(self, target_id: str, detail: str, revision: int) -> None:
         self._unknown_services.clear(target_id)
-        self._context.pool.retain(self._context.targets.by_life_id)
+        self._context.pool.retain(self._context.targets.by_incarnation_id)
         self._context.metrics.forget_target(target_id)
         self._context.log.process(
             "target-gone", target=target_id, detail=detail, revision=revision
--- a/libs/direct/tests/virtual_fleet.py
+++ b/libs/direct/tests/virtual_fleet.py
@@ -130,7 +130,7 @@
 
         def deliver(router):
             peer = Peer(name, name, 1, life, DOMAINS_BY_NAME[name], sequence=sequence)
-            if router.peers.hear(peer, router.clock()):
+            if router.peers.record_message(peer, router.clock()):
                 router.store_health.update_peer_health(healthy_s)
 
         return deliver
--- a/libs/forwarding/src/berylwalk/forwarding/_target_pool.py
+++ b/libs/forwarding/src/berylwalk/forwarding/_target_pool.py
@@ -21,7 +21,7 @@
 class Address(Protocol):
     """Address of one incarnation of a target."""
 
-    life_id: str
+    incarnation_id: str
     host: str
     port: int
 
@@ -59,9 +59,9 @@
         self._on_opened = on_opened
         self._idle_by_id: dict[str, list[TargetConnection]] = {}
 
-    def take_idle(self, life_id: str) -> TargetConnection | None:
+    def take_idle(self, incarnation_id: str) -> TargetConnection | None:
         """Return the most recently used idle connection that can be reused, or None."""
-        idle = self._idle_by_id.get(life_id)
+        idle = self._idle_by_id.get(incarnation_id)
         now = self._clock()
         while idle:
             connection = idle.pop()
@@ -76,7 +76,7 @@
         def build() -> TargetConnection:
             return TargetConnection(
                 id_header=self._id_header,
-                on_bytes=lambda: self._on_bytes(address.life_id),
+                on_bytes=lambda: self._on_bytes(address.incarnation_id),
                 clock=self._clock,
             )
 
@@ -94,38 +94,38 @@
             return connection
         return None
 
-    def release(self, life_id: str, connection: TargetConnection) -> None:
+    def release(self, incarnation_id: str, connection: TargetConnection) -> None:
         """Return a connection to the pool after a complete response."""
         if connection.reusable and connection.is_open:
-            self._idle_by_id.setdefault(life_id, []).append(connection)
+            self._idle_by_id.setdefault(incarnation_id, []).append(connection)
         else:
             connection.close()
 
-    def close_idle(self, life_id: str) -> None:
+    def close_idle(self, incarnation_id: str) -> None:
         """Close the idle connections to one incarnation of a target."""
-        for connection in self._idle_by_id.pop(life_id, []):
+        for connection in self._idle_by_id.pop(incarnation_id, []):
             connection.close()
 
     def retain(self, life_ids: Container[str]) -> None:
         """Close the idle connections to all other incarnations."""
-        for life_id in list(self._idle_by_id):
-            if life_id not in life_ids:
-                self.close_idle(life_id)
+        for incarnation_id in list(self._idle_by_id):
+            if incarnation_id not in life_ids:
+                self.close_idle(incarnation_id)
 
     def close_stale(self) -> None:
         """Close idle connections that are too old to be reused."""
         now = self._clock()
-        for life_id, idle in list(self._idle_by_id.items()):
+        for incarnation_id, idle in list(self._idle_by_id.items()):
             fresh = [connection for connection in idle if connection.is_fresh(now)]
             for connection in idle:
                 if connection not in fresh:
                     connection.close()
             if fresh:
-                self._idle_by_id[life_id] = fresh
+                self._idle_by_id[incarnation_id] = fresh
             else:
-                del self._idle_by_id[life_id]
+                del self._idle_by_id[incarnation_id]
 
     def close(self) -> None:
         """Close all idle connections."""
-        for life_id in list(self._idle_by_id):
-            self.close_idle(life_id)
+        for incarnation_id in list(self._idle_by_id):
+            self.close_idle(incarnation_id)
--- a/libs/quarantine/src/berylwalk/quarantine/_quarantine.py
+++ b/libs/quarantine/src/berylwalk/quarantine/_quarantine.py
@@ -163,9 +163,9 @@
 
     # What is observed here.
 
-    def record_crash(self, identity: Identity, life_id: str, now: float) -> bool:
+    def record_crash(self, identity: Identity, incarnation_id: str, now: float) -> bool:
         """Take that a target ended while it ran a request; True if it is news."""
-        is_new = self._evidence.add(identity, life_id, now)
+        is_new = self._evidence.add(identity, incarnation_id, now)
         if is_new:
             self._tell(identity)
             self._update_attribution(now)
@@ -180,12 +180,12 @@
         self._update_attribution(now)
         return True
 
-    def record_alive(self, life_id: str, sent_at: float, now: float) -> bool:
+    def record_alive(self, incarnation_id: str, sent_at: float, now: float) -> bool:
         """Take that a target answered a request; True if it was taken for ended.
 
         Parameters
         ----------
-        life_id : str
+        incarnation_id : str
             The life of the target.
         sent_at : float
             When that request was sent, in seconds: only an answer to what was sent
@@ -193,12 +193,12 @@
         now : float
             Time in seconds.
         """
-        ended_at = self._evidence.ended_at(life_id)
+        ended_at = self._evidence.ended_at(incarnation_id)
         if ended_at is None or sent_at <= ended_at:
             return False
-        self._evidence.record_alive(life_id, sent_at)
-        self.direct_outbox.add_alive(life_id)
-        self.relay_outbox.add_alive(life_id)
+        self._evidence.record_alive(incarnation_id, sent_at)
+        self.direct_outbox.add_alive(incarnation_id)
+        self.relay_outbox.add_alive(incarnation_id)
         self._update_attribution(now)
         self.on_urgent_update()
         return True
@@ -229,14 +229,14 @@
             Whether other failure domains have to be told of it from here.
         """
         alive = [
-            life_id
-            for life_id, age_s in news.alive_ages_s.items()
-            if self._evidence.record_alive(life_id, now - age_s)
+            incarnation_id
+            for incarnation_id, age_s in news.alive_ages_s.items()
+            if self._evidence.record_alive(incarnation_id, now - age_s)
         ]
         suspects = [each for each in news.suspects if self._merge_suspect(each, now)]
         if is_direct:
-            for life_id in alive:
-                self.relay_outbox.add_alive(life_id)
+            for incarnation_id in alive:
+                self.relay_outbox.add_alive(incarnation_id)
             for suspect in suspects:
                 self.relay_outbox.add(suspect.identity)
         is_new = bool(alive or suspects)
@@ -248,8 +248,8 @@
         self, identity: Identity, ended: Iterable[str], trials: int, now: float
     ) -> None:
         """Take what the store keeps of a request."""
-        for life_id in ended:
-            self._evidence.add(identity, life_id, now)
+        for incarnation_id in ended:
+            self._evidence.add(identity, incarnation_id, now)
         self._update_attribution(now)
         blame = self.blames.get(identity)
         if blame is not None and trials > blame.trials:
@@ -281,8 +281,8 @@
         return QuarantineUpdate(
             [self._update_for(each, now) for each in outbox.take(MOST_TOLD)],
             {
-                life_id: _age_s(self._evidence.alive_at(life_id), now)
-                for life_id in outbox.take_alive(MOST_TOLD)
+                incarnation_id: _age_s(self._evidence.alive_at(incarnation_id), now)
+                for incarnation_id in outbox.take_alive(MOST_TOLD)
             },
         )
 
@@ -297,7 +297,7 @@
         ]
         return SuspectUpdate(
             identity,
-            {life_id: _age_s(at, now) for life_id, at in ended},
+            {incarnation_id: _age_s(at, now) for incarnation_id, at in ended},
             self._evidence.cleared(identity)[-MOST_LIVES_TOLD:],
             self.stored_crashes.get(identity, 0),
         )
@@ -306,8 +306,8 @@
         is_new = False
         if suspect.cleared:
             is_new = self._evidence.clear(suspect.identity, suspect.cleared, now)
-        for life_id, age_s in suspect.ages_s.items():
-            is_new |= self._evidence.add(suspect.identity, life_id, now - age_s)
+        for incarnation_id, age_s in suspect.ages_s.items():
+            is_new |= self._evidence.add(suspect.identity, incarnation_id, now - age_s)
         if suspect.stored_crashes > self.stored_crashes.get(suspect.identity, 0):
             self.stored_crashes[suspect.identity] = suspect.stored_crashes
             is_new = True
--- a/libs/rollout/src/berylwalk/rollout/_rollouts.py
+++ b/libs/rollout/src/berylwalk/rollout/_rollouts.py
@@ -291,7 +291,7 @@
     # What is seen.
 
     def answer_key(
-        self, service: str, version: str, life_id: str, route: str, now: float
+        self, service: str, version: str, incarnation_id: str, route: str, now: float
     ) -> NewVersionKey | OldVersionKey | None:
         """Return what an answer is told apart by; asked when its request is sent.
 
@@ -299,7 +299,7 @@
 
         Parameters
         ----------
-        service, version, life_id : str
+        service, version, incarnation_id : str
             Of the target.
         route : str
             Name of the route.
@@ -311,7 +311,7 @@
             return None
         epoch = progress.epoch(now)
         if version == progress.order.version:
-            return NewVersionKey(epoch, life_id, route)
+            return NewVersionKey(epoch, incarnation_id, route)
         return OldVersionKey(epoch, route)
 
     def record_answer(
@@ -348,11 +348,11 @@
             self.on_urgent_update()
             self._evaluate(progress)
 
-    def record_crash(self, service: str, life_id: str, *, is_new: bool) -> None:
+    def record_crash(self, service: str, incarnation_id: str, *, is_new: bool) -> None:
         """Take that a target ended while it ran a request."""
         progress = self._progress_by_service.get(service)
         if progress is not None and progress.is_active:
-            progress.evidence.record_crash(self._router, life_id, is_new=is_new)
+            progress.evidence.record_crash(self._router, incarnation_id, is_new=is_new)
             self._evaluate(progress)
 
     def record_duration(self, service: str, taken_s: float) -> None:
