--- a/libs/direct/tests/virtual_feeds.py
+++ b/libs/direct/tests/virtual_feeds.py
@@ -53,7 +53,7 @@
             quotas=QuotaTracker(QuotaRules(), started_at=self.clock()),
             dispatcher=Dispatcher(self.targets, failure_domain="fd-a"),
             rollouts=Rollouts(ExposureRules()),
-            pool=SimpleNamespace(retain=lambda life_ids: None),
+            pool=SimpleNamespace(retain=lambda incarnation_ids: None),
             metrics=RouterMetrics(),
             log=SimpleNamespace(process=self._log),
             clock=self.clock,
--- a/libs/direct/tests/virtual_rollout.py
+++ b/libs/direct/tests/virtual_rollout.py
@@ -296,7 +296,7 @@
             quarantine=Quarantine(),
             rollouts=self.rollouts,
             peers=peers,
-            pool=SimpleNamespace(retain=lambda lives: None),
+            pool=SimpleNamespace(retain=lambda incarnation_ids: None),
             metrics=RouterMetrics(),
             log=SimpleNamespace(process=self._log),
             note_suspension=lambda: None,
--- a/libs/forwarding/src/berylwalk/forwarding/_target_pool.py
+++ b/libs/forwarding/src/berylwalk/forwarding/_target_pool.py
@@ -106,10 +106,10 @@
         for connection in self._idle_by_id.pop(incarnation_id, []):
             connection.close()
 
-    def retain(self, life_ids: Container[str]) -> None:
+    def retain(self, incarnation_ids: Container[str]) -> None:
         """Close the idle connections to all other incarnations."""
         for incarnation_id in list(self._idle_by_id):
-            if incarnation_id not in life_ids:
+            if incarnation_id not in incarnation_ids:
                 self.close_idle(incarnation_id)
 
     def close_stale(self) -> None:
--- a/tests/platform/test_platform_target_statements.py
+++ b/tests/platform/test_platform_target_statements.py
@@ -8,7 +8,7 @@
 DATE_S = 1796284800.0
 
 
-def read(*headers, status=200):
+def parse(*headers, status=200):
     """Parse the headers of a response."""
     encoded = [(name.encode(), value.encode()) for name, value in headers]
     return parse_target_headers(status, encoded, wall_clock=lambda: DATE_S)
@@ -19,9 +19,9 @@
 
     def test_unrelated_headers(self):
         """A response without flow control headers has no signals and no problem."""
-        statement = read(("Content-Type", "text/plain"))
-        assert statement.is_empty
-        assert statement.limit_is_readable
+        signals = parse(("Content-Type", "text/plain"))
+        assert signals.is_empty
+        assert signals.limit_is_readable
 
     @pytest.mark.parametrize(
         ("value", "limit_per_s"),
@@ -29,7 +29,7 @@
     )
     def test_valid_limit(self, value, limit_per_s):
         """Header names are case-insensitive."""
-        assert read(("SERVER-LIMIT", value)).limit_per_s == limit_per_s
+        assert parse(("SERVER-LIMIT", value)).limit_per_s == limit_per_s
 
     @pytest.mark.parametrize(
         "value",
@@ -37,16 +37,16 @@
     )
     def test_malformed_limit(self, value):
         """A malformed limit must be reported, and must not count as no limit."""
-        statement = read(("Server-Limit", value))
-        assert statement.limit_per_s is None
-        assert not statement.limit_is_readable
-        assert "server-limit" in statement.problem
-        assert len(statement.problem) < 100
+        signals = parse(("Server-Limit", value))
+        assert signals.limit_per_s is None
+        assert not signals.limit_is_readable
+        assert "server-limit" in signals.problem
+        assert len(signals.problem) < 100
 
     def test_lowest_of_several_limits(self):
         """The lowest limit applies, in one header or in several."""
-        assert read(("Server-Limit", "3"), ("Server-Limit", "2")).limit_per_s == 2.0
-        assert read(("Server-Limit", "2, 3")).limit_per_s == 2.0
+        assert parse(("Server-Limit", "3"), ("Server-Limit", "2")).limit_per_s == 2.0
+        assert parse(("Server-Limit", "2, 3")).limit_per_s == 2.0
 
 
 class TestLeaving:
@@ -57,36 +57,36 @@
     )
     def test_value(self, value, is_leaving):
         """Any value except an empty one, 0 and false counts."""
-        assert read(("Server-Leaving", value)).is_leaving is is_leaving
+        assert parse(("Server-Leaving", value)).is_leaving is is_leaving
 
 
-class TestRest:
+class TestRetryAfter:
     """Backoff that the target requests with ``Retry-After``."""
 
     @pytest.mark.parametrize("status", [429, 503])
     def test_seconds(self, status):
         """Fractional seconds must be kept."""
-        assert read(("Retry-After", "2.5"), status=status).retry_after_s == 2.5
+        assert parse(("Retry-After", "2.5"), status=status).retry_after_s == 2.5
 
     def test_date(self):
         """A date is relative to the ``Date`` header, so clock skew must not matter."""
         later = "Thu, 03 Dec 2026 08:00:07 GMT"
-        assert read(("Retry-After", later), status=503).retry_after_s == 7.0
+        assert parse(("Retry-After", later), status=503).retry_after_s == 7.0
         skewed = [("Date", "Thu, 03 Dec 2026 08:00:04 GMT"), ("Retry-After", later)]
-        assert read(*skewed, status=503).retry_after_s == 3.0
+        assert parse(*skewed, status=503).retry_after_s == 3.0
 
     def test_other_statuses(self):
         """``Retry-After`` of a success or a redirect must not cause a backoff."""
-        assert read(("Retry-After", "3"), status=200).retry_after_s is None
-        assert read(("Retry-After", "3"), status=302).retry_after_s is None
+        assert parse(("Retry-After", "3"), status=200).retry_after_s is None
+        assert parse(("Retry-After", "3"), status=302).retry_after_s is None
 
     def test_longest_of_several_delays(self):
         """The longest delay applies."""
-        rests = [("Retry-After", "1"), ("Retry-After", "3")]
-        assert read(*rests, status=503).retry_after_s == 3.0
+        delays = [("Retry-After", "1"), ("Retry-After", "3")]
+        assert parse(*delays, status=503).retry_after_s == 3.0
 
     def test_malformed_delay(self):
         """A malformed delay must be reported."""
-        statement = read(("Retry-After", "soon"), status=503)
-        assert statement.retry_after_s is None
-        assert "retry-after" in statement.problem
+        signals = parse(("Retry-After", "soon"), status=503)
+        assert signals.retry_after_s is None
+        assert "retry-after" in signals.problem
