--- a/libs/agent/src/berylwalk/agent/__init__.py
+++ b/libs/agent/src/berylwalk/agent/__init__.py
@@ -1,4 +1,4 @@
-"""The process beside each target: admission, dispatch and drain."""
+"""Agent: the sidecar process of a target that admits and dispatches its requests."""
 
 from berylwalk.agent._config import IDLE_TICK_S, PEER_TIMEOUT_S, TICK_S, AgentConfig
 from berylwalk.agent._daemon import AgentDaemon, run_agent
@@ -16,7 +16,7 @@
     StartDispatch,
     TargetChanged,
     TargetProgress,
-    TargetStatementReceived,
+    TargetSignalsReceived,
     Tick,
     TiersChanged,
 )
@@ -42,7 +42,7 @@
     "StartDispatch",
     "TargetChanged",
     "TargetProgress",
-    "TargetStatementReceived",
+    "TargetSignalsReceived",
     "Tick",
     "TiersChanged",
     "run_agent",
--- a/libs/direct/src/berylwalk/direct/_exchange_log.py
+++ b/libs/direct/src/berylwalk/direct/_exchange_log.py
@@ -1,28 +1,28 @@
-"""What is told of one request in logs and metrics."""
+"""Logs and metrics of one request."""
 
 from dataclasses import dataclass, field
 
 from berylwalk.direct._admission import Admitted, Charge, Refusal
 from berylwalk.direct._attempt import Attempt
 from berylwalk.direct._context import RouterContext
-from berylwalk.dispatch import ExpectedStart, Target, TargetStatement, Ticket
+from berylwalk.dispatch import FirstEventEstimate, PendingRequest, Target, TargetSignals
 from berylwalk.quarantine import Identity
 
 UNKNOWN_ROUTE_KIND = "unknown"
-"""Kind of a request that no route was found for."""
+"""Route kind, in metrics, of a request without a route."""
 MAX_AGE_S = 1e6
 NO_RANK = -1
-"""Rank, in metrics, of a request that was not taken."""
+"""Rank, in metrics, of a request that was rejected."""
 
 
 @dataclass(slots=True)
 class ExchangeLog:
-    """Collects what happens to a request and tells it.
+    """Collects and logs the events of a request.
 
     Parameters
     ----------
     context : RouterContext
-        Where it is told.
+        Shared state of the router, with its log and metrics.
     arrived_at : float
         When the request arrived.
     """
@@ -34,12 +34,12 @@
     first_event_at: float | None = None
 
     def record_wait(self, admitted: Admitted, waited_s: float) -> None:
-        """Note that it waited for a place."""
+        """Record how long the request was queued."""
         self.waited_s += waited_s
         self.context.metrics.waited_s.labels(admitted.service).observe(waited_s)
 
-    def log_not_placed(self, admitted: Admitted, ticket: Ticket) -> None:
-        """Tell why it found no place."""
+    def log_not_placed(self, admitted: Admitted, pending: PendingRequest) -> None:
+        """Log why no target was available."""
         context = self.context
         now = context.clock()
         context.log.request(
@@ -47,36 +47,36 @@
             admitted.request_id,
             service=admitted.service,
             rank=admitted.rank,
-            waiting=context.dispatcher.waiting(admitted.service),
+            waiting=context.dispatcher.queue_length(admitted.service),
             targets=len(context.targets.of_service(admitted.service)),
-            obstacles=context.dispatcher.obstacles(ticket, now),
-            routers_heard=context.peers.heard(now),
+            obstacles=context.dispatcher.ineligibility_reasons(pending, now),
+            routers_heard=context.peers.alive_count(now),
         )
 
     def log_placed(
-        self, admitted: Admitted, target: Target, start: ExpectedStart
+        self, admitted: Admitted, target: Target, estimate: FirstEventEstimate
     ) -> None:
-        """Tell where it goes, and what decided that."""
+        """Log the selected target and the estimate behind the decision."""
         self.context.log.request(
             "request-placed",
             admitted.request_id,
             target=target.entry.target_id,
-            prompt_tokens=admitted.facts.work.prompt_tokens,
-            output_tokens=admitted.facts.work.output_tokens,
-            ahead_tokens=start.ahead_tokens,
-            own_tokens=start.own_tokens,
-            expected_ms=_ms(start.total_s),
-            reading_ms=_ms(start.reading_s),
-            slot_wait_ms=_ms(start.slot_wait_s),
+            prompt_tokens=admitted.parsed_headers.work.prompt_tokens,
+            output_tokens=admitted.parsed_headers.work.output_tokens,
+            ahead_tokens=estimate.ahead_tokens,
+            own_tokens=estimate.own_tokens,
+            expected_ms=_ms(estimate.total_s),
+            reading_ms=_ms(estimate.reading_s),
+            slot_wait_ms=_ms(estimate.slot_wait_s),
             in_flight=target.in_flight,
             peer_in_flight=target.peer_in_flight,
             token_ms=_known_ms(target.output_token_s),
             paused_share=round(target.paused_share, 3),
-            error_share=round(target.errors, 3),
+            error_share=round(target.error_rate, 3),
         )
 
     def record_attempt(self, target: Target, attempt: Attempt, sent_at: float) -> None:
-        """Note how an attempt ended."""
+        """Record how an attempt ended."""
         if self.first_event_at is None:
             self.first_event_at = attempt.first_event_at
         first_event_ms = None
@@ -92,29 +92,29 @@
                 "longest_pause_ms": _ms(attempt.longest_pause_s),
                 "events": attempt.events,
                 "took_ms": _ms(self.context.clock() - sent_at),
-                **_statement_fields(attempt.statement),
+                **_signal_fields(attempt.signals),
             }
         )
 
-    def log_statement(
-        self, admitted: Admitted, target: Target, statement: TargetStatement
+    def log_signals(
+        self, admitted: Admitted, target: Target, signals: TargetSignals
     ) -> None:
-        """Tell what a target states of itself, where that has changed."""
-        if statement == target.stated:
+        """Log the signals of a target if they have changed."""
+        if signals == target.last_signals:
             return
-        target.stated = statement
-        self.context.metrics.target_statements.labels(admitted.service).inc()
+        target.last_signals = signals
+        self.context.metrics.target_signals.labels(admitted.service).inc()
         self.context.log.request(
             "target-statement",
             admitted.request_id,
             target=target.entry.target_id,
-            **_statement_fields(statement),
+            **_signal_fields(signals),
         )
 
     def log_retried(
         self, admitted: Admitted, target: Target, attempt: Attempt, last_event_id: int
     ) -> None:
-        """Tell that another target is tried."""
+        """Log a retry on another target."""
         self.context.log.request(
             "request-repeated",
             admitted.request_id,
@@ -125,7 +125,7 @@
         )
 
     def log_refused(self, refusal: Refusal) -> None:
-        """Tell that it was not taken."""
+        """Log that the request was rejected."""
         reason = refusal.reason.partition(":")[0]
         self.context.metrics.requests.labels(
             UNKNOWN_ROUTE_KIND, NO_RANK, refusal.status, reason
@@ -139,7 +139,7 @@
         )
 
     def log_target_ended(self, admitted: Admitted, target: Target) -> None:
-        """Tell that a target seems to have ended while it ran the request."""
+        """Log that a target appears to have terminated while running the request."""
         self.context.metrics.ends_under_requests.labels(admitted.service).inc()
         self.context.log.request(
             "target-ended-under-request",
@@ -150,7 +150,7 @@
         )
 
     def log_cleared(self, admitted: Admitted, target: Target) -> None:
-        """Tell that the request has run, and that its target goes on."""
+        """Log that the request completed without terminating its target."""
         self.context.log.request(
             "request-cleared",
             admitted.request_id,
@@ -159,7 +159,7 @@
         )
 
     def _quarantine_fields(self, identity: Identity | None) -> dict[str, object]:
-        """Return why a request is held back: the targets that ended under it."""
+        """Return the evidence for which a request is quarantined."""
         if identity is None:
             return {}
         blame = self.context.quarantine.blames.get(identity)
@@ -173,7 +173,7 @@
         return fields
 
     def log_ended(self, admitted: Admitted, status: int, reason: str) -> None:
-        """Tell how it ended; status 0 if the caller got no whole answer."""
+        """Log the end of the request; status 0 marks an incomplete response."""
         metrics = self.context.metrics
         kind, rank = admitted.route.kind, admitted.rank[-1]
         metrics.requests.labels(kind, rank, status, reason).inc()
@@ -192,13 +192,13 @@
             account=admitted.account_name,
             identity=admitted.identity.hex(),
             service=admitted.service,
-            prompt_tokens=admitted.facts.work.prompt_tokens,
-            output_tokens=admitted.facts.work.output_tokens,
+            prompt_tokens=admitted.parsed_headers.work.prompt_tokens,
+            output_tokens=admitted.parsed_headers.work.output_tokens,
             **_prefix_fields(admitted),
             **_charge_fields(admitted.charge),
             objective_ms=_ms(admitted.route.objective_s),
             longest_pause_allowed_ms=_ms(admitted.route.longest_pause_s),
-            limit_ms=_ms(admitted.ends_at - admitted.request.arrived_at),
+            limit_ms=_ms(admitted.deadline - admitted.request.arrived_at),
             waited_ms=_ms(self.waited_s),
             first_event_ms=first_event_ms,
             attempts=self.attempts,
@@ -219,17 +219,17 @@
 
 
 def _prefix_fields(admitted: Admitted) -> dict[str, object]:
-    """Return what is known of the parts of the prompt that others have too."""
-    if admitted.facts.prefix_problem:
-        return {"prefix_problem": admitted.facts.prefix_problem}
-    prefix = admitted.facts.work.shared_prefix
+    """Return the fields about the shared prefix of the prompt."""
+    if admitted.parsed_headers.prefix_problem:
+        return {"prefix_problem": admitted.parsed_headers.prefix_problem}
+    prefix = admitted.parsed_headers.work.shared_prefix
     if prefix is None:
         return {}
     return {"shared_prefix": f"{prefix.key:08x}", "shared_tokens": prefix.tokens}
 
 
 def _refused_charge_fields(charge: Charge | None) -> dict[str, object]:
-    """Return who could not pay for a request that was refused, and why."""
+    """Return the fields about a request that was rejected for its quota."""
     if charge is None:
         return {}
     return {
@@ -242,7 +242,7 @@
 
 
 def _charge_fields(charge: Charge | None) -> dict[str, object]:
-    """Return what a request costs and what was counted of its account."""
+    """Return the fields about the cost of a request and its account's quota."""
     if charge is None:
         return {}
     return {
@@ -254,17 +254,17 @@
     }
 
 
-def _statement_fields(statement: TargetStatement) -> dict[str, object]:
-    """Return what a target states of itself; nothing for most answers."""
-    if statement.is_plain:
+def _signal_fields(signals: TargetSignals) -> dict[str, object]:
+    """Return the fields about a target's signals; empty for most responses."""
+    if signals.is_empty:
         return {}
     fields: dict[str, object] = {
-        "limit_per_s": statement.limit_per_s,
-        "is_leaving": statement.is_leaving,
-        "rest_ms": _known_ms(statement.rest_s),
+        "limit_per_s": signals.limit_per_s,
+        "is_leaving": signals.is_leaving,
+        "rest_ms": _known_ms(signals.retry_after_s),
     }
-    if statement.problem:
-        fields["statement_problem"] = statement.problem
+    if signals.problem:
+        fields["statement_problem"] = signals.problem
     return fields
 
 
--- a/libs/direct/src/berylwalk/direct/_gauges.py
+++ b/libs/direct/src/berylwalk/direct/_gauges.py
@@ -1,53 +1,59 @@
-"""What is believed, written into the gauges when they are asked for."""
+"""Updates the gauges from the state of the router before each scrape."""
 
 from berylwalk.direct._context import RouterContext
 from berylwalk.dispatch import Target
 
 MAX_AGE_S = 1e6
-"""Shown for what was never heard."""
+"""Reported for values that were never received."""
 NO_LIMIT = -1.0
-"""Shown for a target that names none: a limit of 0 is one."""
+"""Reported for a target without a limit, because 0 is a valid limit."""
 
 
 def refresh_gauges(context: RouterContext) -> None:
-    """Write the present beliefs of a router into its gauges."""
+    """Update all gauges from the current state of a router."""
     metrics = context.metrics
     now = context.clock()
     age_s = min(context.configuration.age_s(now), MAX_AGE_S)
     metrics.configuration_age_s.set(age_s)
     targets_age_s = min(now - context.targets.confirmed_at, MAX_AGE_S)
     metrics.targets_age_s.set(targets_age_s)
-    for service, length in context.dispatcher.lengths().items():
+    for service, length in context.dispatcher.queue_lengths().items():
         metrics.waiting.labels(service).set(length)
         metrics.retries_left.labels(service).set(context.retries.left(service, now))
     for target_id, target in context.targets.by_id.items():
         metrics.in_flight.labels(target_id).set(target.in_flight)
         metrics.peer_in_flight.labels(target_id).set(target.peer_in_flight)
         metrics.target_token_s.labels(target_id).set(target.output_token_s or 0.0)
-        metrics.target_errors.labels(target_id).set(target.errors)
-        heard_s = min(now - target.heard_at, MAX_AGE_S)
-        metrics.target_heard_age_s.labels(target_id).set(heard_s)
-        _refresh_needs(context, target, now)
-    for name, spent in context.allowances.spent_in_window(now).items():
+        metrics.target_errors.labels(target_id).set(target.error_rate)
+        silent_s = min(now - target.last_heard_at, MAX_AGE_S)
+        metrics.target_heard_age_s.labels(target_id).set(silent_s)
+        _refresh_flow_control(context, target, now)
+    for name, spent in context.quotas.spent_in_window(now).items():
         metrics.allowance_spent.labels(name).set(spent)
     quarantine = context.quarantine
     metrics.quarantine.labels("known").set(len(quarantine))
     metrics.quarantine.labels("suspected").set(len(set(quarantine.suspected)))
     metrics.quarantine.labels("blamed").set(len(quarantine.blames))
     _refresh_rollouts(context)
-    metrics.peers_heard.set(context.peers.heard(now))
-    metrics.peers_known.set(context.peers.known())
+    metrics.peers_heard.set(context.peers.alive_count(now))
+    metrics.peers_known.set(context.peers.known_count())
     metrics.log_lines_dropped.set(context.log.dropped)
 
 
-def _refresh_needs(context: RouterContext, target: Target, now: float) -> None:
-    metrics, needs, target_id = context.metrics, target.needs, target.entry.target_id
-    limit = needs.limit
+def _refresh_flow_control(context: RouterContext, target: Target, now: float) -> None:
+    metrics, flow_control, target_id = (
+        context.metrics,
+        target.flow_control,
+        target.entry.target_id,
+    )
+    limit = flow_control.limit
     limit_per_s = NO_LIMIT if limit.per_s is None else limit.per_s
     metrics.target_limit_per_s.labels(target_id).set(limit_per_s)
     metrics.target_limit_share.labels(target_id).set(limit.share)
-    metrics.target_rest_s.labels(target_id).set(max(0.0, needs.rest.until - now))
-    metrics.target_leaving.labels(target_id).set(needs.is_leaving)
+    metrics.target_rest_s.labels(target_id).set(
+        max(0.0, flow_control.backoff.until - now)
+    )
+    metrics.target_leaving.labels(target_id).set(flow_control.is_leaving)
 
 
 def _refresh_rollouts(context: RouterContext) -> None:
--- a/libs/direct/src/berylwalk/direct/_metrics.py
+++ b/libs/direct/src/berylwalk/direct/_metrics.py
@@ -15,10 +15,10 @@
 
 
 class RouterMetrics:
-    """Metrics with bounded labels; served as text.
+    """Metrics with bounded labels, exported in the text format.
 
-    Labels are route kinds, ranks, outcomes, reasons, services and targets:
-    sets that the configuration bounds. No label holds a request's id.
+    Labels are route kinds, ranks, outcomes, reasons, services and targets, whose
+    number the configuration bounds. Request ids are never used as labels.
     """
 
     def __init__(self) -> None:
@@ -56,7 +56,7 @@
             ("service",),
             registry=registry,
         )
-        self.target_statements = Counter(
+        self.target_signals = Counter(
             "berylwalk_target_statements",
             "Times that a target stated something else of itself than before.",
             ("service",),
@@ -83,7 +83,7 @@
             ("purpose", "outcome"),
             registry=registry,
         )
-        self.words = Counter(
+        self.store_deltas = Counter(
             "berylwalk_store_words",
             "What other routers told of the store, by items and outcome.",
             ("items", "outcome"),
@@ -175,7 +175,7 @@
         )
 
     def forget_target(self, target_id: str) -> None:
-        """Drop the labels of a target that is gone."""
+        """Remove the labels of a target that was removed."""
         for gauge in (
             self.in_flight,
             self.peer_in_flight,
--- a/libs/direct/tests/virtual_statements.py
+++ b/libs/direct/tests/virtual_statements.py
@@ -23,11 +23,11 @@
 from berylwalk.direct._store_health import StoreHealth
 from berylwalk.direct._suspension_detector import SuspensionDetector
 from berylwalk.dispatch import (
-    Allowances,
     ConfigurationState,
     Dispatcher,
     Peer,
     PeerTable,
+    QuotaTracker,
     Route,
     RouteKind,
     RouterSettings,
@@ -107,7 +107,7 @@
                 draw=play.random.random,
                 rollouts=rollouts,
             ),
-            allowances=Allowances(
+            quotas=QuotaTracker(
                 RouterSettings.__dataclass_fields__["allowances"].default_factory(),
                 started_at=clock(),
             ),
@@ -123,7 +123,7 @@
             ),
             log=DecisionLog(name, write=self._write, clock=clock, wall_clock=clock),
             metrics=RouterMetrics(),
-            suspension=SuspensionDetector(clock, steady=clock),
+            suspension=SuspensionDetector(clock, monotonic=clock),
             clock=clock,
         )
         store = SimpleNamespace()
@@ -132,11 +132,11 @@
             sendto=self._send, is_closing=lambda: False
         )
         self.context.on_placed = self.peering.announce_placement
-        if hasattr(self.context, "on_statement_news"):
-            self.context.on_statement_change = self.peering.send_soon
+        if hasattr(self.context, "on_signals_changed"):
+            self.context.on_signals_changed = self.peering.send_soon
 
-    def _note_bytes(self, life_id):
-        target = self.context.targets.by_life_id.get(life_id)
+    def _note_bytes(self, incarnation_id):
+        target = self.context.targets.by_incarnation_id.get(incarnation_id)
         if target is not None:
             target.note_heard(self.clock())
 
@@ -158,13 +158,17 @@
         entries = [target.entry() for target in self.play.targets]
         self.context.targets.replace(entries, self.clock())
         async with create_task_group() as tasks:
-            for each in (self.peering._tell, self.peering._relay, self._sweep):
+            for each in (
+                self.peering._send_loop,
+                self.peering._relay_loop,
+                self._sweep,
+            ):
                 tasks.start_soon(each)
 
     async def _sweep(self):
         while True:
             await sleep(SWEEP_INTERVAL_S)
-            self.context.dispatcher.pump_all(self.clock())
+            self.context.dispatcher.dispatch_all_queued(self.clock())
 
     async def serve(self, request_id, *, on_done):
         """Run a request to its end."""
@@ -172,7 +176,7 @@
         headers = [(b"Attempt-Id", request_id), (b"X-Router", self.name.encode())]
         admitted = Admitted(
             request=CallerRequest(b"GET", b"/", headers, b"", b"", now, True),
-            facts=parse_request_headers(headers),
+            parsed_headers=parse_request_headers(headers),
             route=self.play.route,
             account=None,
             rank=(0, 0),
--- a/libs/quarantine/tests/test_quarantine_state.py
+++ b/libs/quarantine/tests/test_quarantine_state.py
@@ -22,8 +22,8 @@
     quarantine = Quarantine()
     quarantine.changes = []
     quarantine.on_change = quarantine.changes.append
-    for life_id in "abc":
-        quarantine.record_crash(REQUEST, life_id, 0.0)
+    for incarnation_id in "abc":
+        quarantine.record_crash(REQUEST, incarnation_id, 0.0)
     return quarantine
 
 
@@ -40,8 +40,8 @@
         """A crash that is reported twice must count once."""
         quarantine = Quarantine()
         seen = []
-        for life_id in "aabbcc":
-            quarantine.record_crash(REQUEST, life_id, 0.0)
+        for incarnation_id in "aabbcc":
+            quarantine.record_crash(REQUEST, incarnation_id, 0.0)
             seen.append(quarantine.status(REQUEST, 0.0))
         assert seen == ["free", "free", "suspected", "suspected", "blamed", "blamed"]
 
@@ -72,9 +72,9 @@
     def test_contested_requests_get_an_early_trial(self):
         """A harmless request must not wait for the regular trial delay."""
         quarantine = Quarantine()
-        for life_id in "abc":
-            quarantine.record_crash(REQUEST, life_id, 0.0)
-            quarantine.record_crash(OTHER, life_id, 0.0)
+        for incarnation_id in "abc":
+            quarantine.record_crash(REQUEST, incarnation_id, 0.0)
+            quarantine.record_crash(OTHER, incarnation_id, 0.0)
         assert quarantine.status(OTHER, 1.0) is QuarantineStatus.TRIAL
 
 
