--- a/libs/rollout/src/berylwalk/rollout/_phases.py
+++ b/libs/rollout/src/berylwalk/rollout/_phases.py
@@ -75,20 +75,20 @@
     if inputs.verdict.is_bad:
         return Phase.REVERTED, str(inputs.verdict)
     if inputs.is_rejected:
-        return Phase.REVERTED, "rejected by another router"
+        return Phase.REVERTED, "judged bad by another router"
     if inputs.phase is Phase.CANARY:
         return _after_canary(inputs)
     if inputs.phase is Phase.RAMP:
         return _after_ramp(inputs)
     is_late = inputs.age_s >= inputs.period_s - COMPLETION_MARGIN_S
     if inputs.all_drained and (inputs.all_peers_alive or is_late):
-        return Phase.COMPLETED, "all routers have drained the old version"
+        return Phase.COMPLETED, "all routers have left the old version"
     return None
 
 
 def _after_canary(inputs: PhaseInputs) -> tuple[Phase, str] | None:
     if inputs.age_s >= inputs.period_s:
-        return Phase.REVERTED, f"period elapsed: {inputs.verdict}"
+        return Phase.REVERTED, f"out of time: {inputs.verdict}"
     start_s = ramp_start_s(inputs.period_s, inputs.longest_answer_s)
     if inputs.age_s >= start_s and inputs.verdict.has_enough_answers:
         return Phase.RAMP, str(inputs.verdict)
@@ -97,7 +97,7 @@
 
 def _after_ramp(inputs: PhaseInputs) -> tuple[Phase, str] | None:
     if inputs.age_s >= inputs.period_s:
-        return Phase.REVERTED, f"period elapsed: {inputs.verdict}"
+        return Phase.REVERTED, f"out of time: {inputs.verdict}"
     if inputs.phase_for_s >= MIN_RAMP_S and inputs.verdict.is_clearly_good:
         return Phase.SHIFTING, str(inputs.verdict)
     return None
--- a/libs/rollout/src/berylwalk/rollout/_rollouts.py
+++ b/libs/rollout/src/berylwalk/rollout/_rollouts.py
@@ -173,7 +173,7 @@
 
     @property
     def progresses(self) -> list[Progress]:
-        """All orders."""
+        """States of all orders."""
         return list(self._progress_by_service.values())
 
     def is_in_progress(self, service: str) -> bool:
--- a/libs/rollout/tests/test_rollout_judgement.py
+++ b/libs/rollout/tests/test_rollout_judgement.py
@@ -9,7 +9,7 @@
 MAX_FALSE_REJECTIONS = 0.01
 """Share of good versions that may be rejected."""
 MAX_MISSED = 0.01
-"""Share of bad versions that may not be rejected."""
+"""Share of bad versions that may be missed."""
 
 
 def tally(random, answers, share):
@@ -22,11 +22,11 @@
     new, old = {}, {}
     for number in range(ANSWERS):
         epoch = number // 30
-        row = NewVersionKey(epoch, f"t{epoch}{number % 3}", f"r{number % 2}")
-        share = new_share if route in ("", row.route) else old_share
-        new[row] = new.get(row, Tally()).plus(tally(random, 1, share))
-        old_row = OldVersionKey(epoch, row.route)
-        old[old_row] = old.get(old_row, Tally()).plus(tally(random, 10, old_share))
+        key = NewVersionKey(epoch, f"t{epoch}{number % 3}", f"r{number % 2}")
+        share = new_share if route in ("", key.route) else old_share
+        new[key] = new.get(key, Tally()).plus(tally(random, 1, share))
+        old_key = OldVersionKey(epoch, key.route)
+        old[old_key] = old.get(old_key, Tally()).plus(tally(random, 10, old_share))
         yield new, old
 
 
