--- a/tests/platform/test_platform_formats.py
+++ b/tests/platform/test_platform_formats.py
@@ -208,9 +208,11 @@
 
     def test_restart_is_a_new_incarnation(self):
         """A restarted target must not share state with its previous incarnation."""
-        entries = [decode_target(item(born=born)) for born in (None, 1796254082258, 7)]
-        assert len({entry.incarnation_id for entry in entries}) == 3
-        assert {entry.target_id for entry in entries} == {"i-1"}
+        incarnations = [
+            decode_target(item(born=born)) for born in (None, 1796254082258, 7)
+        ]
+        assert len({entry.incarnation_id for entry in incarnations}) == 3
+        assert {entry.target_id for entry in incarnations} == {"i-1"}
 
     @pytest.mark.parametrize(
         ("changes", "problem"),
