--- a/libs/direct/src/berylwalk/direct/_admission.py
+++ b/libs/direct/src/berylwalk/direct/_admission.py
@@ -1,4 +1,4 @@
-"""Whether a request is taken, and what is known of it from then on."""
+"""Admission of requests: headers, access, quarantine and quota."""
 
 from dataclasses import dataclass, replace
 from random import random
@@ -10,84 +10,84 @@
 from berylwalk.quarantine import Identity, QuarantineStatus, request_identity
 
 TIMEOUT_MARGIN_S = 0.03
-"""Time before the end of a caller's limit at which an answer is sent."""
+"""How long before a caller's own deadline the response is due."""
 QUARANTINED = "targets-ended-under-it"
-"""Reason, in logs and metrics, for a request that is held back."""
+"""Reason, in logs and metrics, for rejecting a quarantined request."""
 RETRY_AFTER_UNREADY_S = 1.0
-"""When a request should come back that came while no configuration may be used."""
+"""``Retry-After`` of requests that arrive while no configuration is in force."""
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Admitted:
-    """A request that is taken.
+    """A request that was admitted.
 
     Parameters
     ----------
     request : CallerRequest
-        As the caller sent it.
-    facts : RequestHeaders
-        What its headers tell.
+        The request as the caller sent it.
+    parsed_headers : RequestHeaders
+        Its parsed headers.
     route : Route
-        How it is treated.
+        The route that it matched.
     account : Account or None
-        Who pays; None where no key is needed.
+        The client account charged for it; None if the route needs no key.
     rank : tuple of int
-        Rank among all requests, lowest first.
+        Scheduling rank; lower ranks are served first.
     service : str
-        Where it goes.
+        The service that it is sent to.
     cost : float
-        Units of the account's allowance.
-    ends_at : float
-        When it has to be answered.
+        Its cost in quota units of the account.
+    deadline : float
+        Deadline of the response, on the router's clock.
     identity : bytes
-        What it has in common with its returns.
+        Digest that the request shares with its repetitions.
     is_trial : bool
-        Whether it is held back unless a trial is permitted.
+        Whether the request is quarantined and needs a trial permit.
     charge : Charge or None
-        The allowance that its cost was taken from; None where there is no limit.
+        The charge to the account's quota; None if it has no limit.
     """
 
     request: CallerRequest
-    facts: RequestHeaders
+    parsed_headers: RequestHeaders
     route: Route
     account: Account | None
     rank: tuple[int, int]
     service: str
     cost: float
-    ends_at: float
+    deadline: float
     identity: Identity
     is_trial: bool = False
     charge: "Charge | None" = None
 
     @property
     def request_id(self) -> bytes:
-        """Identifies this attempt of the caller."""
-        return self.facts.request_id
+        """Id that the caller gave this request."""
+        return self.parsed_headers.request_id
 
     @property
     def account_name(self) -> str | None:
-        """Name of the account."""
+        """Name of the account, or None."""
         return None if self.account is None else self.account.name
 
 
 @dataclass(frozen=True, slots=True)
 class Refusal:
-    """A request that is not taken.
+    """A request that was rejected.
 
     Parameters
     ----------
     status : int
-        Status of the answer.
+        Status code of the response.
     reason : str
-        Why, for logs.
+        Reason for logs and metrics.
     retry_after_s : float or None
-        When it may come back, in seconds.
+        Value of ``Retry-After`` in seconds; None to send none.
     request_id : bytes
-        Empty if the request has none.
+        Id of the request; empty if it has none.
     charge : Charge or None
-        The allowance that does not suffice, if that is why.
+        The charge that exceeded the account's quota.
     identity : bytes or None
-        Of a request that is held back for the targets that ended under it.
+        Identity of the request, if it is quarantined.
     """
 
     status: int
@@ -100,18 +100,18 @@
 
 @dataclass(frozen=True, slots=True)
 class Charge:
-    """A request and the allowance that pays for it, or that does not suffice.
+    """A charge, accepted or not, to the quota of a client account.
 
     Parameters
     ----------
     account_name : str
-        Who pays.
+        Name of the account.
     route : Route
-        Where the request goes, or would go.
+        Route of the request.
     cost : float
-        Its units.
+        Cost in quota units.
     state : QuotaState
-        What was counted; the cost included if the request was taken.
+        State of the quota; includes the cost if the request was admitted.
     """
 
     account_name: str
@@ -121,17 +121,21 @@
 
 
 def admit(context: RouterContext, request: CallerRequest) -> Admitted | Refusal:
-    """Decide whether to take a request; its cost is spent if it is taken."""
-    facts = parse_request_headers(request.headers)
-    if isinstance(facts, InvalidHeaders):
-        return Refusal(400, f"bad-headers: {facts.detail}", None, b"")
+    """Admit or reject a request; an admitted one is charged to its account."""
+    parsed_headers = parse_request_headers(request.headers)
+    if isinstance(parsed_headers, InvalidHeaders):
+        return Refusal(400, f"bad-headers: {parsed_headers.detail}", None, b"")
     now = context.clock()
     path = request.target.decode("latin-1")
-    access = context.configuration.check(facts.host, path, facts.api_key, now)
+    access = context.configuration.check(
+        parsed_headers.host, path, parsed_headers.api_key, now
+    )
     if isinstance(access, Denied):
         retry_after_s = RETRY_AFTER_UNREADY_S if access.status == 503 else None
-        return Refusal(access.status, access.reason, retry_after_s, facts.request_id)
-    admitted = _admitted(request, facts, access)
+        return Refusal(
+            access.status, access.reason, retry_after_s, parsed_headers.request_id
+        )
+    admitted = _admitted(request, parsed_headers, access)
     match context.quarantine.status(admitted.identity, context.clock()):
         case QuarantineStatus.BLAMED:
             return quarantine_refusal(context, admitted)
@@ -144,15 +148,17 @@
     state = context.quotas.state(account, now)
     charge = Charge(account.name, route, cost, state)
     if wait_s > 0:
-        return Refusal(429, "allowance-spent", wait_s, facts.request_id, charge)
+        return Refusal(
+            429, "allowance-spent", wait_s, parsed_headers.request_id, charge
+        )
     return replace(admitted, charge=charge) if account.rate_per_s > 0 else admitted
 
 
 def quarantine_refusal(context: RouterContext, admitted: Admitted) -> Refusal:
-    """Return the refusal of a request under which targets ended.
+    """Return the rejection of a quarantined request.
 
-    It has not run and never will under this id. A status by which clients don't come
-    back would say that the request is not proper, which a router can't tell.
+    It uses 503 because clients treat a 4xx status as permanent, and the router can't
+    tell whether the request itself is invalid.
     """
     now = context.clock()
     retry_after_s = context.quarantine.retry_after_s(admitted.identity, now)
@@ -166,21 +172,21 @@
 
 
 def _admitted(
-    request: CallerRequest, facts: RequestHeaders, access: Allowed
+    request: CallerRequest, parsed_headers: RequestHeaders, access: Allowed
 ) -> Admitted:
     route = access.route
     limit_s = route.timeout_s
-    if facts.time_limit_s is not None:
-        limit_s = min(limit_s, facts.time_limit_s - TIMEOUT_MARGIN_S)
+    if parsed_headers.time_limit_s is not None:
+        limit_s = min(limit_s, parsed_headers.time_limit_s - TIMEOUT_MARGIN_S)
     return Admitted(
         request=request,
-        facts=facts,
+        parsed_headers=parsed_headers,
         route=route,
         account=access.account,
         rank=access.rank,
         service=route.service_for(random()),
-        cost=_cost(access.account, facts),
-        ends_at=request.arrived_at + limit_s,
+        cost=_cost(access.account, parsed_headers),
+        deadline=request.arrived_at + limit_s,
         identity=request_identity(
             None if access.account is None else access.account.name,
             request.method,
@@ -190,9 +196,9 @@
     )
 
 
-def _cost(account: Account | None, facts: RequestHeaders) -> float:
+def _cost(account: Account | None, parsed_headers: RequestHeaders) -> float:
     if account is None:
         return 0.0
     if not account.counts_tokens:
         return 1.0
-    return float(facts.total_tokens or account.plain_cost)
+    return float(parsed_headers.total_tokens or account.plain_cost)
--- a/libs/direct/src/berylwalk/direct/_attempt_runner.py
+++ b/libs/direct/src/berylwalk/direct/_attempt_runner.py
@@ -1,4 +1,4 @@
-"""Sends a request to one target."""
+"""Attempts of a request at targets."""
 
 from anyio import move_on_after
 
@@ -11,8 +11,8 @@
 )
 from berylwalk.direct._context import RouterContext
 from berylwalk.direct._exchange_log import ExchangeLog
+from berylwalk.direct._flow_control import apply_signals
 from berylwalk.direct._response_writer import ResponseWriter
-from berylwalk.direct._statements import apply_statement
 from berylwalk.direct._version_observer import VersionObserver
 from berylwalk.dispatch import (
     AttemptEnd,
@@ -28,29 +28,29 @@
 from berylwalk.platform import headers_for_target, headers_to_resume
 
 PROGRESS_CHECK_INTERVAL_S = 0.25
-"""Time between two looks at an attempt that brings nothing."""
+"""How often an attempt without progress is checked."""
 SILENT_PAUSE_FACTOR = 2.0
-"""Pauses of a stream, as a multiple of the longest one on time, after which a
-target that is silent to all is taken for dark."""
+"""Multiple of the longest allowed pause after which a stream counts as stalled, if its
+target is silent on all connections."""
 REUSABLE_ENDS = (AttemptEnd.ANSWERED, AttemptEnd.REFUSED, AttemptEnd.FAILED)
-"""Ends after which the connection to the target may be used again."""
+"""Ends of an attempt after which the connection can be reused."""
 
 
 class AttemptRunner:
-    """Makes the attempts of one request.
+    """Runs the attempts of one request.
 
     Parameters
     ----------
     context : RouterContext
-        The router's state.
+        Shared state of the router.
     admitted : Admitted
         The request.
-    relay : Relay
-        The caller's side.
+    response_writer : ResponseWriter
+        Writes the response to the caller.
     attempts : Attempts
-        What has become of it so far; each end is counted there.
+        Counts how the attempts of the request ended.
     log : ExchangeLog
-        Tells of it.
+        Logs the events of the request.
     """
 
     def __init__(
@@ -58,25 +58,25 @@
         context: RouterContext,
         admitted: Admitted,
         *,
-        relay: ResponseWriter,
+        response_writer: ResponseWriter,
         attempts: Attempts,
         log: ExchangeLog,
     ) -> None:
         self._context = context
         self._admitted = admitted
-        self._response_writer = relay
+        self._response_writer = response_writer
         self._attempts = attempts
         self._log = log
         self._attempt_feedback = AttemptFeedback(context, admitted, log)
         self._version_observer: VersionObserver | None = None
 
     async def send(self, target: Target) -> Attempt:
-        """Send it to a target at which it is counted, until the attempt ends."""
+        """Send the request to a target that it already counts against."""
         context = self._context
         context.on_placed(target)
         sent_at = context.clock()
         self._attempt_feedback = AttemptFeedback(context, self._admitted, self._log)
-        attempt = self._attempt(target, sent_at)
+        attempt = self._new_attempt(target, sent_at)
         connection = None
         try:
             connection = context.pool.take_idle(target.entry.incarnation_id)
@@ -84,10 +84,10 @@
                 connection = await context.pool.open(target.entry)
             if connection is None:
                 attempt.abandon(
-                    AttemptEnd.NOT_SENT, "no connection", target_unreachable=True
+                    AttemptEnd.NOT_SENT, "connection failed", target_unreachable=True
                 )
             elif not self._is_still_allowed(target):
-                attempt.abandon(AttemptEnd.NOT_SENT, "no longer allowed")
+                attempt.abandon(AttemptEnd.NOT_SENT, "sending no longer allowed")
             else:
                 await self._transfer(target, connection, attempt)
         finally:
@@ -96,19 +96,19 @@
             self._record_end(target, attempt, sent_at)
         return attempt
 
-    def _attempt(self, target: Target, sent_at: float) -> Attempt:
-        work = self._admitted.facts.work
+    def _new_attempt(self, target: Target, sent_at: float) -> Attempt:
+        work = self._admitted.parsed_headers.work
         incarnation_id = target.entry.incarnation_id
         prefix_cache_index = self._context.dispatcher.prefix_cache_index
         cached_tokens = prefix_cache_index.cached_tokens(work).get(incarnation_id, 0)
-        start = estimate_first_event(target, work, cached_tokens=cached_tokens)
+        estimate = estimate_first_event(target, work, cached_tokens=cached_tokens)
         prefix_cache_index.note_sent(work, incarnation_id)
-        self._log.log_placed(self._admitted, target, start)
-        self._observe_version(target, start)
+        self._log.log_placed(self._admitted, target, estimate)
+        self._observe_version(target, estimate)
 
         def on_first_event() -> None:
             target.note_first_event(
-                work, start, self._attempt_feedback.elapsed_s(sent_at)
+                work, estimate, self._attempt_feedback.elapsed_s(sent_at)
             )
             self._attempt_feedback.record_alive(target)
 
@@ -116,11 +116,11 @@
             tokens = self._tokens_per_event() * events
             target.note_output(tokens, events, elapsed_s)
 
-        def on_statement(statement: TargetSignals, status: int) -> None:
+        def on_signals(signals: TargetSignals, status: int) -> None:
             if status != STATUS_MISDIRECTED_REQUEST:
-                # What another life at this address states is not said of this one.
-                self._log.log_statement(self._admitted, target, statement)
-                apply_statement(self._context, target, statement, sent_at)
+                # Status 421 comes from another target process at the same address.
+                self._log.log_signals(self._admitted, target, signals)
+                apply_signals(self._context, target, signals, sent_at)
                 if status < 500 and status != STATUS_TOO_MANY_REQUESTS:
                     slots = target.entry.slots
                     target.flow_control.backoff.note_accepted(slots, sent_at=sent_at)
@@ -132,29 +132,31 @@
             clock=self._context.clock,
             on_first_event=on_first_event,
             on_output=on_output,
-            on_statement=on_statement,
+            on_signals=on_signals,
         )
 
-    def _observe_version(self, target: Target, start: FirstEventEstimate) -> None:
-        """Note the send for the judgement of versions, while one is not proved."""
+    def _observe_version(self, target: Target, estimate: FirstEventEstimate) -> None:
+        """Observe the attempt if a version of the service is being rolled out."""
         context, admitted = self._context, self._admitted
         self._version_observer = None
         if context.rollouts.is_in_progress(admitted.service):
-            self._version_observer = VersionObserver(context, admitted, target, start)
+            self._version_observer = VersionObserver(
+                context, admitted, target, estimate
+            )
 
     def _is_still_allowed(self, target: Target) -> bool:
-        """Return whether the wait has not made the request's sending wrong."""
+        """Return whether sending is still allowed once the connection is open."""
         configuration = self._context.configuration
-        is_keyed = self._admitted.account is not None
-        if is_keyed and not configuration.trusts_keys(self._context.clock()):
+        requires_key = self._admitted.account is not None
+        if requires_key and not configuration.trusts_keys(self._context.clock()):
             return False
-        # While it waited, others may have ended under it.
+        # The request may have been quarantined in the meantime.
         quarantine, now = self._context.quarantine, self._context.clock()
-        standing = quarantine.status(self._admitted.identity, now)
-        if standing.is_blocked and not self._admitted.is_trial:
+        quarantine_status = quarantine.status(self._admitted.identity, now)
+        if quarantine_status.is_blocked and not self._admitted.is_trial:
             return False
-        # While the connection was opened, the target may have said that it leaves, or
-        # asked for rest.
+        # The target may have announced in the meantime that it is leaving or wants no
+        # requests for a while.
         is_known = self._context.targets.by_id.get(target.entry.target_id) is target
         accepts_placed = target.flow_control.accepts_placed(self._context.clock())
         return is_known and accepts_placed and target.entry.state is TargetState.READY
@@ -169,7 +171,7 @@
                 connection.pause()
 
         def on_incarnation_ended() -> None:
-            attempt.abort_target_ended("the target started again")
+            attempt.abort_target_ended("target restarted")
 
         self._response_writer.set_on_writable(on_writable)
         connection.send(
@@ -182,42 +184,45 @@
             target.on_incarnation_ended.discard(on_incarnation_ended)
 
     async def _wait_for_end(self, target: Target, attempt: Attempt) -> None:
-        clock, ends_at = self._context.clock, self._admitted.ends_at
+        clock, deadline = self._context.clock, self._admitted.deadline
         sent_at = clock()
         while attempt.end is None:
             self._context.note_suspension()
             now = clock()
-            if now >= ends_at:
+            if now >= deadline:
                 attempt.abandon(AttemptEnd.SILENT, "timeout")
             elif self._seems_unreachable(target, attempt, now):
                 attempt.abandon(
-                    AttemptEnd.SILENT, "target is silent", target_unreachable=True
+                    AttemptEnd.SILENT, "target silent", target_unreachable=True
                 )
             else:
                 if self._version_observer is not None:
                     self._version_observer.check_progress(
                         attempt, self._attempt_feedback.elapsed_s(sent_at)
                     )
-                with move_on_after(min(PROGRESS_CHECK_INTERVAL_S, ends_at - now)):
+                with move_on_after(min(PROGRESS_CHECK_INTERVAL_S, deadline - now)):
                     await attempt.done.wait()
 
     def _encode_request(self, target: Target) -> bytes:
         request = self._admitted.request
         headers = end_to_end(request.headers)
-        if self._response_writer.last_event_id > self._admitted.facts.last_event_id:
+        if (
+            self._response_writer.last_event_id
+            > self._admitted.parsed_headers.last_event_id
+        ):
             headers = headers_to_resume(headers, self._response_writer.last_event_id)
         headers = headers_for_target(
             headers,
             target_id=target.entry.target_id,
             account=self._admitted.account_name,
-            remaining_s=self._admitted.ends_at - self._context.clock(),
+            remaining_s=self._admitted.deadline - self._context.clock(),
         )
         if request.body or request.method not in (b"GET", b"HEAD"):
             headers.append((b"Content-Length", b"%d" % len(request.body)))
         return request_head(request.method, request.target, headers) + request.body
 
     def _seems_unreachable(self, target: Target, attempt: Attempt, now: float) -> bool:
-        """Return whether to go on elsewhere; only where that is allowed."""
+        """Return whether to give the attempt up and retry on another target."""
         route = self._admitted.route
         if not route.repeatable or not target.is_silent(now):
             return False
@@ -237,7 +242,7 @@
         if attempt.end in REUSABLE_ENDS:
             self._context.pool.release(target.entry.incarnation_id, connection)
         else:
-            # By this the target stops working on the request.
+            # Closing the connection makes the target stop processing the request.
             connection.close()
 
     def _record_end(self, target: Target, attempt: Attempt, sent_at: float) -> None:
@@ -251,7 +256,8 @@
             context.metrics.attempts.labels(admitted.service, attempt.end).inc()
         self._log.record_attempt(target, attempt, sent_at)
         target.note_finished(
-            admitted.facts.work, had_first_event=attempt.first_event_at is not None
+            admitted.parsed_headers.work,
+            had_first_event=attempt.first_event_at is not None,
         )
         context.dispatcher.dispatch_queued(admitted.service, context.clock())
 
--- a/libs/direct/src/berylwalk/direct/_exchange.py
+++ b/libs/direct/src/berylwalk/direct/_exchange.py
@@ -1,4 +1,4 @@
-"""The life of one request: check, place, send, relay, repeat, answer."""
+"""Lifecycle of one request: admission, placement, attempts and response."""
 
 from asyncio import get_running_loop
 from collections.abc import Awaitable, Callable
@@ -27,28 +27,27 @@
 from berylwalk.quarantine import Identity, QuarantineStatus
 
 AcquireTrialPermit = Callable[[Identity], Awaitable[bool]]
-"""Asks for the permit to send a request once under which targets ended."""
+"""Acquires the permit to send a quarantined request once."""
 PLACEMENT_CHECK_INTERVAL_S = 0.1
-"""Time between two looks at whether a request may still find a place."""
 TIMER_MARGIN_S = 0.001
-"""Timers of the loop may be early by its resolution."""
+"""Event loop timers may fire early by up to the clock's resolution."""
 NO_STATUS = 0
-"""Logged in place of a status where the caller got no whole answer."""
+"""Logged instead of a status if the caller got no complete response."""
 
 
 class Exchange:
-    """Runs one request to its end.
+    """Handles one request of a caller.
 
     Parameters
     ----------
     context : RouterContext
-        The router's state.
+        Shared state of the router.
     connection : CallerConnection
-        Where the answer goes.
+        Connection that the response is written to.
     request : CallerRequest
-        The whole request.
+        The complete request.
     acquire_trial_permit : callable
-        Asks for the permit of a trial.
+        Acquires the permit for the trial of a quarantined request.
     """
 
     def __init__(
@@ -67,11 +66,11 @@
         self._log = ExchangeLog(context, request.arrived_at)
 
     def cancel(self) -> None:
-        """Stop, for the caller has left."""
+        """Cancel the request because the caller has disconnected."""
         self._scope.cancel()
 
     async def run(self) -> None:
-        """Answer the request."""
+        """Admit the request and respond to it."""
         self._context.note_suspension()
         admitted = admit(self._context, self._request)
         if isinstance(admitted, Refusal):
@@ -93,20 +92,20 @@
 
 
 class RequestLifecycle:
-    """What becomes of a request that was taken.
+    """Drives an admitted request to its final response.
 
     Parameters
     ----------
     context : RouterContext
-        The router's state.
+        Shared state of the router.
     connection : CallerConnection
-        Where the answer goes.
+        Connection that the response is written to.
     admitted : Admitted
         The request.
     log : ExchangeLog
-        Tells of it.
+        Logs the events of the request.
     acquire_trial_permit : callable
-        Asks for the permit of a trial.
+        Acquires the permit for the trial of a quarantined request.
     """
 
     def __init__(
@@ -126,20 +125,20 @@
         self._attempts = Attempts()
         self._excluded: set[str] = set()
         self._response_writer = ResponseWriter(
-            connection, last_event_id=admitted.facts.last_event_id
+            connection, last_event_id=admitted.parsed_headers.last_event_id
         )
         self._attempt_runner = AttemptRunner(
             context,
             admitted,
-            relay=self._response_writer,
+            response_writer=self._response_writer,
             attempts=self._attempts,
             log=log,
         )
-        self._opens_at = float("-inf")
+        self._available_at = float("-inf")
         self.is_finished = False
 
     async def run(self) -> None:
-        """Try targets until one answers or none may be tried any more."""
+        """Attempt targets until one responds or no further attempt is allowed."""
         context, admitted = self._context, self._admitted
         if admitted.is_trial and not await self._acquire_trial_permit(
             admitted.identity
@@ -148,7 +147,7 @@
             return
         context.retries.record_request(admitted.service, context.clock())
         deadlines = deadlines_at_arrival(
-            admitted.request.arrived_at, admitted.route.objective_s, admitted.ends_at
+            admitted.request.arrived_at, admitted.route.objective_s, admitted.deadline
         )
         while True:
             target = await self._acquire_target(deadlines)
@@ -164,15 +163,15 @@
                 self._respond_failure(attempt, reason)
                 return
             self._excluded.add(target.entry.incarnation_id)
-            deadlines = deadlines_after_failure(context.clock(), admitted.ends_at)
+            deadlines = deadlines_after_failure(context.clock(), admitted.deadline)
             self._log.log_retried(
                 admitted, target, attempt, self._response_writer.last_event_id
             )
 
     def _reason_not_to_retry(self, attempt: Attempt) -> str:
-        """Return why no other target is tried, or an empty text."""
+        """Return the reason not to retry on another target; empty to retry."""
         now = self._context.clock()
-        if now >= self._admitted.ends_at:
+        if now >= self._admitted.deadline:
             return "timeout"
         if not self._attempts.may_repeat(self._admitted.route, attempt.end):
             return f"attempt-{attempt.end}"
@@ -186,39 +185,41 @@
         return ""
 
     def _is_quarantined(self) -> bool:
-        """Return whether it is known by now to end the targets that run it."""
-        return self._standing().is_blocked
+        """Return whether the request is quarantined by now."""
+        return self._quarantine_status().is_blocked
 
-    def _standing(self) -> QuarantineStatus:
+    def _quarantine_status(self) -> QuarantineStatus:
         context = self._context
         return context.quarantine.status(self._admitted.identity, context.clock())
 
     async def _acquire_target(self, deadlines: RequestDeadlines) -> Target | None:
-        """Return a target at which the request is counted, or None."""
+        """Return a target that the request already counts against, or None."""
         context, admitted = self._context, self._admitted
         placed = Event()
         granted: list[Target] = []
 
         def on_placed(target: Target) -> None:
-            # Counted at once: the next decision has to see it.
-            target.note_sent(admitted.facts.work, context.clock())
+            # Counted immediately so that the next placement decision includes it.
+            target.note_sent(admitted.parsed_headers.work, context.clock())
             granted.append(target)
             placed.set()
 
-        pending = self._ticket(deadlines, on_placed)
+        pending = self._pending_request(deadlines, on_placed)
         started_at = context.clock()
         target = self._canary_target(pending, started_at)
         if target is None:
             target = context.dispatcher.submit(pending, started_at)
         if target is not None:
-            target.note_sent(admitted.facts.work, started_at)
+            target.note_sent(admitted.parsed_headers.work, started_at)
             self._log.record_wait(admitted, 0.0)
             return target
         try:
             await self._wait_for_placement(placed, pending, deadlines)
         except BaseException:
             if not context.dispatcher.cancel(pending) and granted:
-                granted[0].note_finished(admitted.facts.work, had_first_event=False)
+                granted[0].note_finished(
+                    admitted.parsed_headers.work, had_first_event=False
+                )
                 context.dispatcher.dispatch_queued(admitted.service, context.clock())
             raise
         self._log.record_wait(admitted, context.clock() - started_at)
@@ -231,7 +232,7 @@
     async def _wait_for_placement(
         self, placed: Event, pending: PendingRequest, deadlines: RequestDeadlines
     ) -> None:
-        """Wait for a place; no longer than there may be one in time."""
+        """Wait for a placement for as long as one may arrive in time."""
         clock = self._context.clock
         while not placed.is_set():
             now = clock()
@@ -244,14 +245,15 @@
     def _wait_deadline(
         self, pending: PendingRequest, deadlines: RequestDeadlines, now: float
     ) -> float:
-        """Return until when to wait for a place; no longer than it can help.
+        """Return until when to wait for a placement.
 
-        Where all targets have said from when on they take requests, the first of them
-        is asked at that moment, or the request gets its answer now.
+        If every target has announced when it becomes available again, dispatch is
+        triggered at the earliest of these times. If that is too late for the request,
+        the wait ends immediately.
         """
         context, service = self._context, self._admitted.service
         dispatcher = context.dispatcher
-        self._opens_at = available_at = dispatcher.available_at(pending, now)
+        self._available_at = available_at = dispatcher.available_at(pending, now)
         if available_at > deadlines.wait_until or not dispatcher.has_candidate(
             pending, now
         ):
@@ -264,9 +266,9 @@
         return deadlines.wait_until
 
     def _canary_target(self, pending: PendingRequest, now: float) -> Target | None:
-        """Return a target of a version that is to be tried; seldom there is one.
+        """Return a canary target if this request is selected for one, else None.
 
-        What is sent again goes to versions that are proved.
+        Retries are never sent to a canary.
         """
         rollouts, service = self._context.rollouts, self._admitted.service
         if self._excluded or not rollouts.is_in_progress(service):
@@ -277,28 +279,28 @@
             return None
         version = rollouts.progress(service).order.version
         targets = self._context.targets.of_service(service)
-        life_ids = [
+        incarnation_ids = [
             each.entry.incarnation_id
             for each in targets
             if each.entry.version == version
         ]
-        group = rollouts.canary_targets(
-            service, life_ids, len(targets) - len(life_ids), now
+        candidates = rollouts.canary_targets(
+            service, incarnation_ids, len(targets) - len(incarnation_ids), now
         )
-        target = self._context.dispatcher.choose_among(pending, group, now)
+        target = self._context.dispatcher.choose_among(pending, candidates, now)
         if target is None:
             rollouts.refund_canary(service, route)
         return target
 
-    def _ticket(
+    def _pending_request(
         self, deadlines: RequestDeadlines, on_placed: Callable[[Target], None]
     ) -> PendingRequest:
         admitted = self._admitted
         return PendingRequest(
             service=admitted.service,
             rank=admitted.rank,
-            work=admitted.facts.work,
-            deadline=admitted.ends_at,
+            work=admitted.parsed_headers.work,
+            deadline=admitted.deadline,
             start_by=deadlines.start_by,
             longest_pause_s=admitted.route.longest_pause_s,
             on_placed=on_placed,
@@ -309,8 +311,11 @@
         )
 
     def _must_run_isolated(self) -> bool:
-        """Return whether its target may end under it, with all others there."""
-        return self._admitted.is_trial or self._standing() is QuarantineStatus.SUSPECTED
+        """Return whether the request may terminate its target."""
+        return (
+            self._admitted.is_trial
+            or self._quarantine_status() is QuarantineStatus.SUSPECTED
+        )
 
     def _complete(self, attempt: Attempt) -> None:
         if attempt.is_stream:
@@ -323,7 +328,7 @@
 
     def _respond_failure(self, attempt: Attempt, reason: str) -> None:
         if attempt.end is AttemptEnd.FAILED and not self._response_writer.started:
-            # The target's own answer says most; it has run there.
+            # The target's own error response is the most informative one.
             self._response_writer.write_response(
                 attempt.status, attempt.headers, attempt.body
             )
@@ -345,7 +350,7 @@
         self._finish(status, reason)
 
     def _refund(self, reason: str) -> float:
-        """Give the cost back; returns when the caller should come back, in seconds."""
+        """Refund the cost and return the ``Retry-After`` time in seconds."""
         admitted, now = self._admitted, self._context.clock()
         if admitted.account is not None:
             self._context.quotas.refund(admitted.account, admitted.cost, now)
@@ -354,7 +359,7 @@
                 admitted.identity, self._context.clock()
             )
         return retry_after_s(
-            admitted.ends_at - now, available_in_s=self._opens_at - now
+            admitted.deadline - now, available_in_s=self._available_at - now
         )
 
     def _finish(self, status: int, reason: str) -> None:
--- a/libs/direct/src/berylwalk/direct/_statements.py
+++ b/libs/direct/src/berylwalk/direct/_flow_control.py
@@ -1,7 +1,7 @@
-"""What targets state of themselves: taken from answers, shared between routers.
+"""Flow control signals of targets: taken from responses and shared between routers.
 
-Each router tells what its own answers said and how long ago. What it heard of others it
-doesn't tell on: an observation that goes round would never grow old.
+Each router sends only the signals of its own responses, with their age. Forwarding
+those of other routers would keep outdated signals circulating.
 """
 
 from collections.abc import Iterable
@@ -18,28 +18,29 @@
     max_senders,
 )
 
-MAX_STATEMENTS = 64
-"""Statements in one message at most, a few kilobytes; of more, others in each turn."""
-MAX_RELAYED_STATEMENTS = 256
-"""The same in a message of a relay."""
+MAX_SIGNALS_PER_MESSAGE = 64
+"""Largest number of signals in one message; further ones follow in turn."""
+MAX_SIGNALS_PER_RELAY_MESSAGE = 256
+"""Largest number of signals in a message of a relay."""
 ROTATION_INTERVAL_S = 0.25
-"""Time after which others are told where there are too many for one message."""
+"""Interval after which the next signals are sent if there are too many for one
+message."""
 
 
-class StatementUpdate(Struct, array_like=True):
-    """What the answers of one target said to one router.
+class SignalsUpdate(Struct, array_like=True):
+    """Signals of one target in the responses that one router received.
 
     Parameters
     ----------
-    life_id : str
-        The life of the target.
+    incarnation_id : str
+        Incarnation id of the target.
     limit_age_s : float or None
-        How long ago they said something of a limit, in seconds; None if they never did.
+        Age of the last signal about a rate limit, in seconds; None if there was none.
     limit_per_s : float or None
-        Requests a second that it takes of all routers; None if it names no limit
-        any more.
+        Rate limit over all routers, in requests per second; None if the target no
+        longer advertises one.
     is_leaving : bool
-        Whether it leaves.
+        Whether the target is leaving.
     """
 
     incarnation_id: Annotated[str, Meta(max_length=200)]
@@ -49,69 +50,69 @@
 
     @property
     def content(self) -> tuple[str, float | None, bool]:
-        """What it says, its age left out."""
+        """The signals without their age, for comparison."""
         return self.incarnation_id, self.limit_per_s, self.is_leaving
 
 
-def apply_statement(
-    context: RouterContext, target: Target, statement: TargetSignals, sent_at: float
+def apply_signals(
+    context: RouterContext, target: Target, signals: TargetSignals, sent_at: float
 ) -> None:
-    """Take what an answer states of a target; the other routers are told soon."""
+    """Apply the signals of a response; other routers are notified of changes."""
     now = context.clock()
-    changed = target.flow_control.note_answer(statement, sent_at=sent_at, now=now)
-    _on_needs_changed(context, target, changed, source="target")
+    changed = target.flow_control.note_answer(signals, sent_at=sent_at, now=now)
+    _on_signals_changed(context, target, changed, source="target")
     if FlowControlSignal.LIMIT in changed or FlowControlSignal.LEAVING in changed:
-        context.on_statement_change()
+        context.on_signals_changed()
 
 
-def merge_statements(
-    context: RouterContext, updates: Iterable[StatementUpdate], source: str
+def merge_signals(
+    context: RouterContext, updates: Iterable[SignalsUpdate], source: str
 ) -> None:
-    """Take what another router told of targets."""
+    """Apply the signals that another router received."""
     now = context.clock()
     for each in updates:
         target = context.targets.by_incarnation_id.get(each.incarnation_id)
         if target is None:
             continue
-        heard = FlowControlUpdate(
+        update = FlowControlUpdate(
             limit_per_s=each.limit_per_s,
             limit_age_s=each.limit_age_s,
             is_leaving=each.is_leaving,
         )
-        changed = target.flow_control.apply_update(heard, now)
-        _on_needs_changed(context, target, changed, source=source)
+        changed = target.flow_control.apply_update(update, now)
+        _on_signals_changed(context, target, changed, source=source)
 
 
-def own_statements(context: RouterContext) -> list[StatementUpdate]:
-    """Return what own answers said lately, to be told."""
+def own_signals(context: RouterContext) -> list[SignalsUpdate]:
+    """Return the recent signals of own responses, to be sent to other routers."""
     now = context.clock()
-    told = []
+    updates = []
     for target in context.targets.flow_controlled():
         update = target.flow_control.pending_update(now)
         if update is not None:
-            told.append(
-                StatementUpdate(
+            updates.append(
+                SignalsUpdate(
                     target.entry.incarnation_id,
                     update.limit_age_s,
                     update.limit_per_s,
                     update.is_leaving,
                 )
             )
-    return rotate(told, MAX_STATEMENTS, now)
+    return rotate(updates, MAX_SIGNALS_PER_MESSAGE, now)
 
 
 def rotate(
-    updates: list[StatementUpdate], most: int, now: float
-) -> list[StatementUpdate]:
-    """Return as many as go into one message, others each time."""
-    if len(updates) <= most:
+    updates: list[SignalsUpdate], max_count: int, now: float
+) -> list[SignalsUpdate]:
+    """Return the part of the updates that goes into the next message."""
+    if len(updates) <= max_count:
         return updates
-    begin = int(now / ROTATION_INTERVAL_S) * most % len(updates)
-    return (updates[begin:] + updates[:begin])[:most]
+    begin = int(now / ROTATION_INTERVAL_S) * max_count % len(updates)
+    return (updates[begin:] + updates[:begin])[:max_count]
 
 
 def update_limit_shares(context: RouterContext) -> None:
-    """Give each limit the part of it that is for this router."""
+    """Update this router's share of each advertised rate limit."""
     now = context.clock()
     for target in context.targets.flow_controlled():
         _update_limit_share(context, target, now)
@@ -125,7 +126,7 @@
         limit.set_share(share, now)
 
 
-def _on_needs_changed(
+def _on_signals_changed(
     context: RouterContext,
     target: Target,
     changed: list[FlowControlSignal],
@@ -137,7 +138,7 @@
     context.targets.note_flow_controlled(target)
     flow_control, now = target.flow_control, context.clock()
     _update_limit_share(context, target, now)
-    rest_s = (
+    backoff_s = (
         flow_control.backoff.until - now if flow_control.backoff.is_on(now) else 0.0
     )
     context.log.process(
@@ -147,6 +148,6 @@
         told_by=source,
         limit_per_s=flow_control.limit.per_s,
         limit_share=round(flow_control.limit.share, 3),
-        rest_ms=max(0, round(rest_s * 1000)),
+        rest_ms=max(0, round(backoff_s * 1000)),
         is_leaving=flow_control.is_leaving,
     )
--- a/libs/direct/src/berylwalk/direct/_membership.py
+++ b/libs/direct/src/berylwalk/direct/_membership.py
@@ -1,4 +1,4 @@
-"""The list of routers in the store: own entry and those of the others."""
+"""Registers the router in the store and lists the other routers."""
 
 from collections.abc import Callable
 from ipaddress import ip_address
@@ -16,30 +16,29 @@
 
 MEMBERS_PREFIX = b"berylwalk/routers/"
 LEASE_S = 6.0
-"""Time after which a router that is gone is no longer counted."""
+"""Time after which a terminated router is removed from the list."""
 RENEW_INTERVAL_S = 2.0
 LIST_INTERVAL_S = 4.0
 FIRST_LIST_INTERVAL_S = 1.0
-"""Time to the second list of a router that found no other one: routers that start at
-the same moment enter the list within less, and until it knows them it reads all of the
-store itself."""
+"""Delay of the second list if the first one found no other router: routers that start
+simultaneously have registered by then."""
 
 
 class Membership:
-    """Keeps the own entry alive and the table of peers in step with the list.
+    """Keeps the own entry alive and updates the peer table.
 
     Parameters
     ----------
     context : RouterContext
-        The router's state.
+        Shared state of the router.
     store : KeyValueClient
-        The platform's store.
-    store_health : StoreReach
-        Paces calls of it that failed.
-    life : str
-        Identifies this life of the process.
+        Client of the platform's store.
+    store_health : StoreHealth
+        Tracks the results of store calls.
+    incarnation : str
+        Id of this process lifetime.
     on_ended : callable
-        Called with each peer whose life has ended.
+        Called with each peer whose process has ended.
     """
 
     def __init__(
@@ -48,25 +47,25 @@
         store: KeyValueClient,
         store_health: StoreHealth,
         *,
-        life: str,
+        incarnation: str,
         on_ended: Callable[[Peer], None],
     ) -> None:
         self._context = context
         self._store = store
         self._store_health = store_health
-        self._life = life
+        self._incarnation = incarnation
         self._on_ended = on_ended
         self._lease_id: int | None = None
-        self._ordered = PrefixState()
+        self._state = PrefixState()
         self._invalid_items = InvalidItemLog(context, "member-invalid")
 
     async def leave(self) -> None:
-        """Leave the list of routers."""
+        """Remove this router from the list of routers."""
         if self._lease_id is not None:
             await self._store.revoke(self._lease_id)
 
     async def run(self) -> None:
-        """Register and list for ever."""
+        """Register and list forever."""
         async with create_task_group() as tasks:
             tasks.start_soon(self._register)
             tasks.start_soon(self._list)
@@ -83,12 +82,12 @@
 
     async def _renew_or_register(self) -> bool:
         if self._lease_id is not None:
-            left_s = await self._store_health.track(
+            remaining_s = await self._store_health.track(
                 "renew-membership", self._store.keep_alive(self._lease_id)
             )
-            if isinstance(left_s, Unavailable):
+            if isinstance(remaining_s, Unavailable):
                 return False
-            if left_s > 0:
+            if remaining_s > 0:
                 return True
             self._context.log.process("membership-lapsed", lease=self._lease_id)
         self._lease_id = None
@@ -102,7 +101,7 @@
         entry = MemberEntry(
             settings.caller_address.host,
             settings.peer_port,
-            self._life,
+            self._incarnation,
             settings.failure_domain,
         )
         key = MEMBERS_PREFIX + settings.name.encode()
@@ -117,25 +116,27 @@
         return True
 
     async def _list(self) -> None:
-        is_first = True
+        is_first_list = True
         failures = 0
         while True:
             listing = await self._store_health.track(
                 "list-members",
-                self._store.list_prefix(MEMBERS_PREFIX, stale_ok=not is_first),
+                self._store.list_prefix(MEMBERS_PREFIX, stale_ok=not is_first_list),
             )
             if isinstance(listing, Unavailable):
                 failures += 1
                 await self._store_health.back_off(failures)
                 continue
             failures = 0
-            # A cheap list may be older than the one before.
-            if self._ordered.apply_listing(listing):
-                self._apply(self._ordered.items)
+            # A stale list may be older than the previous one.
+            if self._state.apply_listing(listing):
+                self._apply(self._state.items)
             is_alone = self._context.peers.known_count() == 1
-            gap_s = FIRST_LIST_INTERVAL_S if is_first and is_alone else LIST_INTERVAL_S
-            is_first = is_alone
-            await sleep(gap_s)
+            interval_s = (
+                FIRST_LIST_INTERVAL_S if is_first_list and is_alone else LIST_INTERVAL_S
+            )
+            is_first_list = is_alone
+            await sleep(interval_s)
 
     def _apply(self, items: list[KeyValue]) -> None:
         listed = []
--- a/libs/direct/src/berylwalk/direct/_peering.py
+++ b/libs/direct/src/berylwalk/direct/_peering.py
@@ -1,9 +1,8 @@
-"""What routers tell each other.
+"""Exchanges state with the other routers.
 
-Routers near each other tell loads and spending directly and often. In a fleet of
-several failure domains that is too large for this, one router of each domain, its
-relay, tells those of the others what is new of all in its domain, and passes on what
-it is told by them.
+Routers send loads and spending directly to each other. In a large fleet they do so only
+within a failure domain; one router of each domain, the relay, exchanges aggregated
+updates with the relays of the other domains and forwards what it receives.
 """
 
 from asyncio import DatagramTransport, get_running_loop
@@ -17,6 +16,11 @@
 from msgspec.structs import replace
 
 from berylwalk.direct._context import RouterContext
+from berylwalk.direct._flow_control import (
+    merge_signals,
+    own_signals,
+    update_limit_shares,
+)
 from berylwalk.direct._membership import Membership
 from berylwalk.direct._peer_messages import (
     DomainMessage,
@@ -27,12 +31,7 @@
     RouterUpdate,
 )
 from berylwalk.direct._shared_reads import SharedReads
-from berylwalk.direct._statement_aggregate import StatementAggregate
-from berylwalk.direct._statements import (
-    merge_statements,
-    own_statements,
-    update_limit_shares,
-)
+from berylwalk.direct._signals_aggregate import SignalsAggregate
 from berylwalk.direct._store_health import StoreHealth
 from berylwalk.dispatch import (
     MAX_FULL_MESH_PEERS,
@@ -46,25 +45,24 @@
 from berylwalk.reading import StoreSyncReply, StoreSyncRequest
 
 SEND_INTERVAL_S = 0.05
-"""Time between two messages: half of a typical time to a first event."""
+"""Interval between two messages to direct peers."""
 MAX_SEND_INTERVAL_S = 0.3
-"""Bound of the time between messages; two may be lost before a peer is taken for
+"""Upper bound of that interval: two messages may be lost before a peer counts as
 silent."""
 UNCHANGED_SEND_INTERVAL_S = 0.25
-"""The same while nothing has changed; a third of the time after which a peer is
-taken for silent."""
+"""Interval between messages while nothing has changed."""
 RELAY_INTERVAL_S = 0.1
-"""Time between two messages of a relay to those of the other failure domains, where few
-routers are near it: with older loads fewer of the most urgent requests are in time."""
+"""Interval between two messages of a relay to the relays of other failure domains."""
 MAX_IMMEDIATE_PEERS = 12
-"""Peers nearby up to which each send is told to them at once: by the next regular
-message all of them would have sent to the same free place."""
+"""Largest number of direct peers that are notified of each placement immediately: with
+the regular message only, all of them would select the same free target."""
 PLACEMENT_BATCH_S = 0.002
-"""Time for which sends gather before they are told."""
+"""How long placements are batched before they are sent."""
 MAX_RELAYED_PREFIXES = 512
-"""Bound of the sent prefixes that a relay has not told yet; the oldest are dropped."""
+"""Bound of the queue of prefix placements to be relayed; the oldest are dropped."""
 DOMAIN_SOURCE = "failure-domain "
-"""Start of the name under which the loads of a whole failure domain are counted."""
+"""Prefix of the source name under which the loads of a whole failure domain are
+stored."""
 
 
 class Peering:
@@ -73,16 +71,16 @@
     Parameters
     ----------
     context : RouterContext
-        The router's state.
+        Shared state of the router.
     store : KeyValueClient
-        The platform's store.
-    store_health : StoreReach
-        Paces calls of it that failed.
+        Client of the platform's store.
+    store_health : StoreHealth
+        Tracks the results of store calls.
 
     Attributes
     ----------
-    shared_reads : SharedReading
-        What the routers ask each other about the store.
+    shared_reads : SharedReads
+        Shares reads of the store between routers.
     """
 
     def __init__(
@@ -91,9 +89,13 @@
         self._context = context
         self._store_health = store_health
         self.shared_reads = SharedReads(context, store_health, self._send)
-        self._life = uuid4().hex[:8]
+        self._incarnation = uuid4().hex[:8]
         self._membership = Membership(
-            context, store, store_health, life=self._life, on_ended=self._forget
+            context,
+            store,
+            store_health,
+            incarnation=self._incarnation,
+            on_ended=self._forget,
         )
         self._started_at = context.clock()
         self._sequence = 0
@@ -104,7 +106,7 @@
         self._prefixes_to_relay: deque[PrefixPlacement] = deque(
             maxlen=MAX_RELAYED_PREFIXES
         )
-        self._statement_aggregate = StatementAggregate()
+        self._signals_aggregate = SignalsAggregate()
         self._pending_placements: Loads = {}
         self._send_requested = Event()
         self._decoder = msgpack.Decoder(
@@ -130,7 +132,7 @@
         )
 
     async def leave(self) -> None:
-        """Leave the list of routers."""
+        """Remove this router from the list of routers."""
         await self._membership.leave()
 
     def close(self) -> None:
@@ -139,24 +141,24 @@
             self._transport.close()
 
     async def run(self) -> None:
-        """Register, list and tell for ever."""
+        """Register, list peers and send messages forever."""
         async with create_task_group() as tasks:
             tasks.start_soon(self._membership.run)
             tasks.start_soon(self._send_loop)
             tasks.start_soon(self._relay_loop)
             tasks.start_soon(self.shared_reads.run)
 
-    # Telling.
+    # Sending
 
     def send_soon(self) -> None:
-        """Tell the peers nearby at once, and not when it is due."""
+        """Send the next message to direct peers immediately."""
         self._send_requested.set()
 
     def announce_placement(self, target: Target) -> None:
-        """Tell the peers nearby soon that a request is sent to a target.
+        """Announce a placement to the direct peers without delay.
 
-        Load pattern: many routers and few places. Each sees a place that falls free,
-        and until it hears of the others' sends it takes it for its own.
+        With many routers and few free slots, each router would otherwise claim a freed
+        slot before it learns of the placements of the others.
         """
         if not 0 < len(self._context.peers.direct_peers()) <= MAX_IMMEDIATE_PEERS:
             return
@@ -171,7 +173,7 @@
         self._sequence += 1
         name = self._context.settings.name
         message = LoadMessage(
-            name, self._life, self._sequence, self._pending_placements
+            name, self._incarnation, self._sequence, self._pending_placements
         )
         self._pending_placements = {}
         self._send(msgpack.encode(message), self._context.peers.direct_peers())
@@ -205,7 +207,7 @@
                 self._send(data, [receiver])
 
     def _apply_peer_liveness(self) -> None:
-        """Leave silent peers their part of the allowances, and forget their loads."""
+        """Redistribute the quota of silent peers and drop their loads."""
         context = self._context
         peers, now = context.peers, context.clock()
         context.quotas.set_share(peers.alive_count(now), peers.known_count())
@@ -214,39 +216,41 @@
         counted = self._counted_sources(now)
         for source in context.targets.peers_with_loads():
             if source not in counted:
-                # What it had in flight is answered by now or unknown.
+                # Their requests in flight have finished by now or are unknown.
                 context.targets.replace_peer_loads(source, {})
 
     def _counted_sources(self, now: float) -> set[str]:
-        """Return under which names loads count: near peers and far domains heard."""
+        """Return the sources whose loads count: direct peers and remote domains."""
         peers = self._context.peers
         alive_peers = [
             peer for peer in peers.by_name.values() if peers.is_alive(peer, now)
         ]
         direct_peers = {peer.name for peer in alive_peers if peers.is_direct(peer)}
-        far = {
+        remote_domains = {
             DOMAIN_SOURCE + peer.failure_domain
             for peer in alive_peers
             if not peers.is_direct(peer)
         }
-        return direct_peers | far
+        return direct_peers | remote_domains
 
     def _send_if_due(self) -> None:
         context = self._context
         loads = context.targets.own_loads()
         spent = context.quotas.spent_by_account()
         now = context.clock()
-        history_from = self._peer_to_ask(now)
-        reads = context.dispatcher.prefix_cache_index.take_updates()
-        self._prefixes_to_relay.extend(reads)
+        history_from = self._history_source(now)
+        placements = context.dispatcher.prefix_cache_index.take_updates()
+        self._prefixes_to_relay.extend(placements)
         quarantine = context.quarantine.next_update(
             context.quarantine.direct_outbox, context.clock()
         )
         rollouts = [replace(each, age_s=0.0) for each in context.rollouts.updates(now)]
-        statements = own_statements(context)
-        statement_contents = [each.content for each in statements]
-        current = (loads, spent, rollouts, statement_contents)
-        is_unchanged = self._last_sent == current and history_from is None and not reads
+        signals = own_signals(context)
+        signal_contents = [each.content for each in signals]
+        current = (loads, spent, rollouts, signal_contents)
+        is_unchanged = (
+            self._last_sent == current and history_from is None and not placements
+        )
         if (
             is_unchanged
             and not quarantine
@@ -259,9 +263,9 @@
             self._own_update(now),
             loads,
             history_from,
-            reads=reads,
+            placements=placements,
             quarantine=quarantine,
-            statements=statements,
+            signals=signals,
         )
         self._send(msgpack.encode(message), context.peers.direct_peers())
 
@@ -275,7 +279,7 @@
             settings.name,
             settings.caller_address.host,
             settings.peer_port,
-            self._life,
+            self._incarnation,
             settings.failure_domain,
             now - self._started_at,
             self._sequence,
@@ -291,37 +295,38 @@
         alive_peers = [
             peer.name for peer in peers.direct_peers() if peers.is_alive(peer, now)
         ]
-        news = [
+        updates = [
             self._updates_by_name[name]
             for name in alive_peers
             if name in self._updates_by_name
         ]
         return DomainMessage(
             context.settings.failure_domain,
-            [self._own_update(now), *news],
+            [self._own_update(now), *updates],
             context.targets.total_loads(alive_peers),
-            reads=self._take_prefixes_to_relay(),
+            placements=self._take_prefixes_to_relay(),
             quarantine=context.quarantine.next_update(
                 context.quarantine.relay_outbox, context.clock()
             ),
-            statements=self._statement_aggregate.merged(own_statements(context), now),
+            signals=self._signals_aggregate.merge(own_signals(context), now),
         )
 
     def _take_prefixes_to_relay(self) -> list[PrefixPlacement]:
-        reads = list(self._prefixes_to_relay)
+        placements = list(self._prefixes_to_relay)
         self._prefixes_to_relay.clear()
-        return reads
+        return placements
 
     def _send(self, data: bytes, peers: Iterable[Peer]) -> None:
         for peer in peers:
             self._transport.sendto(data, (peer.host, peer.port))
 
-    # What newcomers need to know.
+    # Spending history for routers that have just started
 
-    def _peer_to_ask(self, now: float) -> str | None:
-        """Return the peer that is asked what was spent before the start.
+    def _history_source(self, now: float) -> str | None:
+        """Return the peer to request the spending history from; None if it is complete.
 
-        Another one each time, since one may not know or its answer be lost.
+        A random one each time, because a peer may not have it or its response may be
+        lost.
         """
         context = self._context
         if context.quotas.has_full_window(now):
@@ -332,11 +337,10 @@
         ]
         return choice(alive_peers) if alive_peers else None
 
-    def _answer_newcomer(self, newcomer: Peer, now: float) -> None:
-        """Tell a router that asks what was spent, if it is known here.
+    def _send_history(self, receiver: Peer, now: float) -> None:
+        """Send the spending history to a router that asked for it, if complete here.
 
-        Only that one: what all routers spent takes kilobytes, which would fill
-        the links of small VMs if each told it to all.
+        It takes kilobytes, so it is sent to that router only.
         """
         context = self._context
         if not context.quotas.has_full_window(now):
@@ -346,9 +350,9 @@
             context.targets.own_loads(),
             spending_history=context.quotas.spent_by_bin(now),
         )
-        self._send(msgpack.encode(message), [newcomer])
+        self._send(msgpack.encode(message), [receiver])
 
-    # Hearing.
+    # Receiving
 
     def _receive(self, data: bytes) -> None:
         try:
@@ -376,18 +380,18 @@
 
     def _receive_peer_message(self, message: PeerMessage, now: float) -> None:
         context = self._context
-        sender = message.news.to_peer()
-        if not self._receive_update(message.news, now):
+        sender = message.update.to_peer()
+        if not self._receive_update(message.update, now):
             return
         if context.peers.is_direct(sender):
             context.targets.replace_peer_loads(sender.name, message.loads)
-            context.dispatcher.prefix_cache_index.merge(message.reads)
-            self._prefixes_to_relay.extend(message.reads)
+            context.dispatcher.prefix_cache_index.merge(message.placements)
+            self._prefixes_to_relay.extend(message.placements)
             self._merge_quarantine(message.quarantine, is_direct=True)
-            merge_statements(context, message.statements, sender.name)
-            self._statement_aggregate.note(sender.name, message.statements, now)
+            merge_signals(context, message.signals, sender.name)
+            self._signals_aggregate.record(sender.name, message.signals, now)
         if message.history_from == context.settings.name:
-            self._answer_newcomer(sender, now)
+            self._send_history(sender, now)
         if message.spending_history is not None:
             context.quotas.restore(
                 message.spending_history, HistoryCoverage.COMPLETE, now
@@ -396,7 +400,7 @@
     def _receive_loads(self, message: LoadMessage, now: float) -> None:
         context, name = self._context, message.name
         if not context.peers.record_heartbeat(
-            name, message.life, message.sequence, now
+            name, message.incarnation, message.sequence, now
         ):
             return
         if context.peers.is_direct(context.peers.by_name[name]):
@@ -406,62 +410,62 @@
         context = self._context
         if message.failure_domain == context.settings.failure_domain:
             return
-        for news in message.routers:
-            if news.name != context.settings.name:
-                self._receive_update(news, now)
+        for update in message.routers:
+            if update.name != context.settings.name:
+                self._receive_update(update, now)
         if message.failure_domain in context.peers.relayed_domains():
             source = DOMAIN_SOURCE + message.failure_domain
             context.targets.replace_peer_loads(source, message.loads)
-        context.dispatcher.prefix_cache_index.merge(message.reads)
+        context.dispatcher.prefix_cache_index.merge(message.placements)
         self._merge_quarantine(message.quarantine, is_direct=False)
-        merge_statements(context, message.statements, message.failure_domain)
+        merge_signals(context, message.signals, message.failure_domain)
         if not message.is_forwarded:
             data = msgpack.encode(replace(message, is_forwarded=True))
             self._send(data, context.peers.direct_peers())
 
-    def _receive_update(self, news: RouterUpdate, now: float) -> bool:
-        """Take what is new of a router; False if it is old."""
-        peer = news.to_peer()
+    def _receive_update(self, update: RouterUpdate, now: float) -> bool:
+        """Apply an update about a router; return False if it is outdated."""
+        peer = update.to_peer()
         if not self._context.peers.record_message(peer, now):
             return False
-        self._updates_by_name[news.name] = news
-        self._store_health.update_peer_health(news.store_healthy_s)
+        self._updates_by_name[update.name] = update
+        self._store_health.update_peer_health(update.store_healthy_s)
         self._context.quotas.record_peer_totals(
-            life_of(peer),
-            news.spent,
-            is_new=news.age_s < now - self._started_at,
+            incarnation_of(peer),
+            update.spent,
+            is_new=update.age_s < now - self._started_at,
             now=now,
         )
         self._context.quotas.urgent_demand.record_peer_totals(
-            life_of(peer), news.demand, now
+            incarnation_of(peer), update.demand, now
         )
-        self._context.rollouts.merge(life_of(peer), news.rollouts, now)
+        self._context.rollouts.merge(incarnation_of(peer), update.rollouts, now)
         return True
 
-    def _merge_quarantine(self, news: QuarantineUpdate, *, is_direct: bool) -> None:
+    def _merge_quarantine(self, update: QuarantineUpdate, *, is_direct: bool) -> None:
         context = self._context
-        context.quarantine.merge(news, context.clock(), is_direct=is_direct)
+        context.quarantine.merge(update, context.clock(), is_direct=is_direct)
 
     def _forget(self, peer: Peer) -> None:
-        """Forget a peer whose life has ended."""
+        """Remove the state of a peer process that has ended."""
         self._context.targets.replace_peer_loads(peer.name, {})
-        self._context.quotas.forget_peer(life_of(peer))
+        self._context.quotas.forget_peer(incarnation_of(peer))
         self._updates_by_name.pop(peer.name, None)
 
 
 def send_interval_s(peers: int) -> float:
-    """Return the time between two messages, which grows with the peers told.
+    """Return the interval between messages for a number of direct peers.
 
-    Each router tells every other near one, so that the messages that one router
-    receives would otherwise grow with their number, and the sum with its square.
+    The interval grows with the number of peers, which bounds the rate of messages that
+    each router receives.
     """
     return _scaled_interval_s(SEND_INTERVAL_S, peers)
 
 
 def relay_interval_s(peers: int) -> float:
-    """Return the time between two messages of a relay.
+    """Return the interval between messages of a relay.
 
-    Each of them is passed on to all routers near the one that gets it.
+    Each message is forwarded to all direct peers of its receiver.
     """
     return _scaled_interval_s(RELAY_INTERVAL_S, peers)
 
@@ -470,6 +474,6 @@
     return min(shortest_s * max(1.0, peers / MAX_FULL_MESH_PEERS), MAX_SEND_INTERVAL_S)
 
 
-def life_of(peer: Peer) -> str:
-    """Return what identifies one life of a router."""
+def incarnation_of(peer: Peer) -> str:
+    """Return the id of one process lifetime of a router."""
     return f"{peer.name}/{peer.incarnation}"
