--- a/libs/direct/tests/test_direct_lives.py
+++ b/libs/direct/tests/test_direct_lives.py
@@ -111,7 +111,7 @@
             reader, writer = await sent_to_first(fleet, "/idempotent/")
             started(fleet, fleet.targets[0], 1_796_254_000_000)
             revision = fleet.platform.store.revision
-            ordered = fleet.router._target_feed.mirror._ordered
+            ordered = fleet.router._target_feed.mirror._state
             await fleet.until(lambda: ordered.revision >= revision)
             fleet.late_entry_taken = True
             reply = await read_reply(reader)
--- a/libs/direct/tests/test_direct_shared_reading.py
+++ b/libs/direct/tests/test_direct_shared_reading.py
@@ -184,7 +184,7 @@
 
     def _look_at_ages(self, router):
         """What is known was so at the moment at which it says, or later."""
-        ordered = router.mirrors_by_name["targets"]._ordered
+        ordered = router.mirrors_by_name["targets"]._state
         if not ordered.revision:
             return
         known = {item.key.decode()[8:]: item for item in ordered.items}
