--- a/libs/direct/tests/conftest.py
+++ b/libs/direct/tests/conftest.py
@@ -1,4 +1,4 @@
-"""A direct router on loopback, with the platform and scripted targets."""
+"""Fixtures that run a direct router on loopback with scripted targets."""
 
 from contextlib import asynccontextmanager
 
@@ -19,7 +19,7 @@
 
 @pytest.fixture
 def make_settings(free_port):
-    """Return a function that makes settings on free ports."""
+    """Return a factory of settings with free ports."""
 
     def make(**changes):
         values = {
@@ -39,7 +39,7 @@
 
 @pytest.fixture
 def free_port():
-    """Return a function that gives ports of this test's own."""
+    """Return a function that yields unused ports."""
     ports = iter(range(21_000, 21_100))
     return lambda: next(ports)
 
@@ -90,7 +90,7 @@
 
 @pytest.fixture
 def beside(make_settings):
-    """Return a context manager that runs further routers beside that of a fleet."""
+    """Return a context manager that runs additional routers beside a fleet's router."""
 
     @asynccontextmanager
     async def run(*changes_of_each):
--- a/libs/direct/tests/direct_fleet.py
+++ b/libs/direct/tests/direct_fleet.py
@@ -1,4 +1,4 @@
-"""Scripted targets, callers and the platform around a direct router."""
+"""Scripted targets, callers and the platform of a direct router."""
 
 from asyncio import IncompleteReadError, open_connection, start_server
 from dataclasses import dataclass, field
@@ -11,9 +11,9 @@
 
 RUN = f"{1 + getpid() // 250 % 250}.{1 + getpid() % 250}"
 HOST = f"127.78.{RUN}"
-"""Addresses of this run's own, so that two runs on one machine don't meet."""
+"""Addresses derived from the process id, so that parallel runs don't collide."""
 STORE = (f"127.79.{RUN}", 2379)
-GENEROUS_S = 20.0
+TEST_TIMEOUT_S = 20.0
 KEY = "k1"
 EVENTS = "text/event-stream"
 CHUNKED = "Transfer-Encoding: chunked\r\n"
@@ -21,7 +21,7 @@
 
 @dataclass
 class Received:
-    """One request as a target got it."""
+    """A request received by a target."""
 
     method: str
     path: str
@@ -32,7 +32,7 @@
 
 @dataclass
 class ScriptedTarget:
-    """A target that does as its script says with each request.
+    """A target that handles each request by a script.
 
     A script is a coroutine function of the request and the writer.
     """
@@ -52,13 +52,13 @@
         self.server.close()
 
     async def crash(self):
-        """Close, and break off all answers."""
+        """Close the listener and abort all responses."""
         await self.close()
         for writer in list(self.writers):
             writer.transport.abort()
 
     def entry(self, **changes):
-        """Return the entry in the store."""
+        """Return its entry in the store."""
         value = {
             "service": self.service,
             "address": f"{HOST}:{self.port}",
@@ -93,7 +93,7 @@
 
 
 def head(request, *, status="200 OK", length=None, kind="application/json", more=""):
-    """Return the head of a target's answer."""
+    """Return the head of a target's response."""
     lines = [
         f"HTTP/1.1 {status}",
         f"Attempt-Id: {request.headers['attempt-id']}",
@@ -106,7 +106,7 @@
 
 
 def answers(text, **options):
-    """Return a script that answers with a whole body."""
+    """Return a script that sends a complete response."""
 
     async def script(request, writer):
         writer.write(head(request, length=len(text), **options) + text.encode())
@@ -127,7 +127,7 @@
 def streams(first, last, *, until=None, rest=b""):
     """Return a script that streams events.
 
-    With ``until`` the connection breaks after that event and the rest.
+    With ``until`` the connection is aborted after that event and the remaining bytes.
     """
 
     async def script(request, writer):
@@ -154,7 +154,7 @@
 
 @dataclass
 class Reply:
-    """An answer as a caller got it."""
+    """A response received by a caller."""
 
     status: int
     headers: dict
@@ -163,7 +163,7 @@
 
 
 async def read_reply(reader):
-    """Read one answer; `whole` tells whether it came to its proper end."""
+    """Read one response; `whole` tells whether it is complete."""
     raw = (await reader.readuntil(b"\r\n\r\n")).decode()
     first, *lines = raw.strip().split("\r\n")
     headers = dict(line.lower().split(": ", 1) for line in lines)
@@ -182,7 +182,7 @@
 
 
 class Fleet:
-    """A running router, its platform and what a test changes of them."""
+    """A running router with its platform and targets."""
 
     def __init__(self, settings):
         self.settings = settings
@@ -210,7 +210,7 @@
         self.platform.store.put(key, target.entry(**changes))
 
     def route(self, kind, **changes):
-        """Add a route for a kind of request; its prefix is the kind."""
+        """Add a route of a kind, with the kind as its path prefix."""
         self.routes.append(
             {
                 "name": kind,
@@ -232,7 +232,7 @@
         return await open_connection(address.host, address.port)
 
     def encoded(self, path, *, request_id=None, body=b"", **headers):
-        """Return a request as bytes."""
+        """Return an encoded request."""
         self.requests += 1
         fields = {
             "Host": "h",
@@ -246,8 +246,8 @@
         return "\r\n".join([f"POST {path} HTTP/1.1", *lines, "", ""]).encode() + body
 
     async def call(self, path, **options):
-        """Make one call on a connection of its own."""
-        with fail_after(GENEROUS_S):
+        """Make one call on a new connection."""
+        with fail_after(TEST_TIMEOUT_S):
             reader, writer = await self.connect()
             writer.write(self.encoded(path, **options))
             try:
@@ -256,19 +256,19 @@
                 writer.close()
 
     async def until(self, holds):
-        """Wait with a generous bound until a condition holds."""
-        with fail_after(GENEROUS_S):
+        """Wait until a condition holds."""
+        with fail_after(TEST_TIMEOUT_S):
             while not holds():
                 await sleep(0.01)
 
     async def until_ready(self):
-        """Wait until the router knows the configuration and the targets."""
-        with fail_after(GENEROUS_S):
-            while not self.knows_all():
+        """Wait until the router has the configuration and all targets."""
+        with fail_after(TEST_TIMEOUT_S):
+            while not self.is_up_to_date():
                 await sleep(0.01)
 
-    def knows_all(self):
-        """Return whether the router knows all that was written."""
+    def is_up_to_date(self):
+        """Return whether the router has the latest configuration and all targets."""
         context = self.router._context
         current = context.configuration.current
         known = context.targets.by_id
--- a/libs/direct/tests/stating_targets.py
+++ b/libs/direct/tests/stating_targets.py
@@ -1,4 +1,4 @@
-"""Targets that state limits, ask for rest and leave, played in virtual time."""
+"""Simulated targets that advertise limits, request backoffs and leave."""
 
 from asyncio import get_running_loop
 from dataclasses import dataclass
@@ -8,27 +8,27 @@
 from virtual_time import SimulatedTransport, VirtualLoop
 
 SERVICE = "s"
-WAY_S = 0.002
-"""Time of a message between a router and a target."""
+LATENCY_S = 0.002
+"""Latency of a message between a router and a target."""
 
 
-class SocketStandin:
-    """Takes options."""
+class FakeSocket:
+    """Accepts socket options."""
 
     def setsockopt(self, *_):
         """Do nothing."""
 
 
 class TargetTransport(SimulatedTransport):
-    """A connection to a played target."""
+    """Connection to a simulated target."""
 
     def get_extra_info(self, name):
-        """Return what the pool asks for."""
-        return SocketStandin() if name == "socket" else None
+        """Return the socket that the pool asks for."""
+        return FakeSocket() if name == "socket" else None
 
 
-class PlayedLoop(VirtualLoop):
-    """Opens connections to played targets."""
+class SimulatedLoop(VirtualLoop):
+    """Event loop that connects to simulated targets."""
 
     async def create_connection(self, protocol_factory, host=None, port=None, **_):
         """Open a connection, unless the target is gone."""
@@ -43,25 +43,25 @@
 
 @dataclass(frozen=True)
 class Arrival:
-    """A request that reached a target."""
+    """A request received by a target."""
 
     at: float
     router: str
 
 
-class StatingTarget:
-    """A target, and what it states of itself.
+class SignallingTarget:
+    """A target that sends flow control signals.
 
     Attributes
     ----------
     limit : str or None
-        Value of the header that names its limit.
+        Value of the header that advertises its limit.
     limits : list of (float, float or None)
-        When it named which limit, or none any more.
+        Times and values of the advertised limits; None if the limit was withdrawn.
     is_leaving : bool
-        Whether it says that it leaves.
+        Whether it signals that it is leaving.
     rest_s : float or None
-        Rest that it asks for as it refuses all requests; None while it serves.
+        Requested backoff while it refuses all requests; None while it serves.
     """
 
     def __init__(self, play, number, *, run_s, slots):
@@ -77,8 +77,8 @@
         self.is_leaving = False
         self.rest_s = None
         self.arrivals = []
-        self._told_limit_at = {}
-        self._told_leaving_at = {}
+        self._limit_forwarded_at = {}
+        self._leaving_forwarded_at = {}
         self.rests = []
         self.running = 0
 
@@ -94,19 +94,19 @@
             state=state,
         )
 
-    def name_limit(self, limit):
-        """Name a limit from now on; None for no longer."""
+    def advertise_limit(self, limit):
+        """Advertise a limit from now on; None withdraws it."""
         self.limit = None if limit is None else f"{limit:.2f}"
         self.limits.append((self.play.clock(), limit))
 
     def receive(self, transport, data):
-        """Take a request: its head and body come at once."""
+        """Receive a request, whose head and body arrive together."""
         head = data.split(b"\r\n\r\n", 1)[0].decode()
         headers = dict(
             line.lower().split(": ", 1) for line in head.split("\r\n")[1:] if line
         )
         loop = get_running_loop()
-        loop.call_later(WAY_S, self._arrive, transport, headers)
+        loop.call_later(LATENCY_S, self._arrive, transport, headers)
 
     def _arrive(self, transport, headers):
         router = headers["x-router"]
@@ -117,23 +117,28 @@
             self._answer(transport, router, request_id, "503 Unavailable", b"")
             return
         self.running += 1
-        crowd = max(1.0, self.running / self.slots)
-        takes_s = self.run_s * crowd * self.play.random.uniform(0.5, 1.5)
+        load_factor = max(1.0, self.running / self.slots)
+        duration_s = self.run_s * load_factor * self.play.random.uniform(0.5, 1.5)
         if self.play.random.random() < 0.5:
-            # The head of a stream comes with its first event.
+            # The head of a stream arrives with its first event.
             get_running_loop().call_later(
-                0.2 * takes_s, self._stream, transport, router, request_id, takes_s
+                0.2 * duration_s,
+                self._stream,
+                transport,
+                router,
+                request_id,
+                duration_s,
             )
         else:
             get_running_loop().call_later(
-                takes_s, self._end, transport, router, request_id
+                duration_s, self._end, transport, router, request_id
             )
 
     def _end(self, transport, router, request_id):
         self.running -= 1
         self._answer(transport, router, request_id, "200 OK", b"ok")
 
-    def _stream(self, transport, router, request_id, takes_s):
+    def _stream(self, transport, router, request_id, duration_s):
         self._send_head(
             transport,
             router,
@@ -142,11 +147,11 @@
             "Content-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n",
             b"f\r\nid: 1\ndata: 1\n\n\r\n",
         )
-        get_running_loop().call_later(0.8 * takes_s, self._end_stream, transport)
+        get_running_loop().call_later(0.8 * duration_s, self._end_stream, transport)
 
     def _end_stream(self, transport):
         self.running -= 1
-        get_running_loop().call_later(WAY_S, transport.deliver, b"0\r\n\r\n")
+        get_running_loop().call_later(LATENCY_S, transport.deliver, b"0\r\n\r\n")
 
     def _answer(self, transport, router, request_id, status, body):
         self._send_head(
@@ -171,34 +176,34 @@
         if status.startswith("503"):
             lines += ["Not-Executed: 1", f"Retry-After: {self.rest_s}"]
         data = ("\r\n".join(lines) + "\r\n" + more + "\r\n").encode() + body
-        said = (self.limit is not None, self.is_leaving, self.rest_s)
+        sent_signals = (self.limit is not None, self.is_leaving, self.rest_s)
         get_running_loop().call_later(
-            WAY_S, self._deliver, transport, router, data, status, said
+            LATENCY_S, self._deliver, transport, router, data, status, sent_signals
         )
 
-    def _deliver(self, transport, router, data, status, said):
+    def _deliver(self, transport, router, data, status, sent_signals):
         now = self.play.clock()
-        names_limit, is_leaving, rest_s = said
-        if names_limit:
-            self._told_limit_at.setdefault(router, now)
+        has_limit, is_leaving, rest_s = sent_signals
+        if has_limit:
+            self._limit_forwarded_at.setdefault(router, now)
         if is_leaving:
-            self._told_leaving_at.setdefault(router, now)
+            self._leaving_forwarded_at.setdefault(router, now)
         if status.startswith("503"):
             self.rests.append((now, router, rest_s))
         transport.deliver(data)
 
-    def told_limit_at(self, router):
-        """Return when a router first passed on an answer with a limit."""
-        return self._told_limit_at.get(router, float("inf"))
+    def limit_forwarded_at(self, router):
+        """Return when a router first forwarded a response with a limit."""
+        return self._limit_forwarded_at.get(router, float("inf"))
 
-    def told_leaving_at(self, router):
-        """Return when a router first passed on that the target leaves."""
-        return self._told_leaving_at.get(router, float("inf"))
+    def leaving_forwarded_at(self, router):
+        """Return when a router first forwarded a response that signals leaving."""
+        return self._leaving_forwarded_at.get(router, float("inf"))
 
-    def first_told_leaving_at(self):
-        """Return when the first router did so."""
-        return min(self._told_leaving_at.values())
+    def leaving_first_forwarded_at(self):
+        """Return when any router first did so."""
+        return min(self._leaving_forwarded_at.values())
 
     def arrived(self, since, until):
-        """Return the requests that reached it in a time."""
+        """Return the number of requests received in a period."""
         return sum(since <= arrival.at < until for arrival in self.arrivals)
--- a/libs/direct/tests/test_direct_decision_log.py
+++ b/libs/direct/tests/test_direct_decision_log.py
@@ -1,4 +1,4 @@
-"""Logs that are bounded and never block."""
+"""Rate limit and non-blocking writes of the decision log."""
 
 from msgspec.json import decode
 
@@ -11,7 +11,7 @@
 
 
 class Pipe:
-    """A descriptor whose reader may be slow or gone."""
+    """A descriptor whose reader may be slow or closed."""
 
     def __init__(self):
         self.data = b""
@@ -33,17 +33,17 @@
 
 
 def log_to(pipe, now):
-    """Return a log with a clock that a test moves."""
+    """Return a log with a clock that the test controls."""
     return DecisionLog(
         "edge-1", write=pipe.write, clock=lambda: now[0], wall_clock=lambda: 5.0
     )
 
 
 class TestLines:
-    """What a line holds."""
+    """Content of a line."""
 
     def test_fields(self):
-        """Time, node, event, id and what decided."""
+        """A line contains time, node, event, request id and fields."""
         pipe = Pipe()
         log_to(pipe, [0.0]).request("request-ended", b"a1", status=503, version=7)
         assert pipe.lines() == [
@@ -58,11 +58,11 @@
         ]
 
 
-class TestBounds:
-    """Load and slow readers."""
+class TestOverload:
+    """Overload and slow readers."""
 
-    def test_lines_about_requests_are_dropped_first(self):
-        """What changes the process's beliefs is still told, and the number dropped."""
+    def test_request_lines_are_dropped_first(self):
+        """Lines about the process are logged while those about requests are dropped."""
         pipe = Pipe()
         log = log_to(pipe, [0.0])
         for _ in range(int(BURST_LINES)):
@@ -74,7 +74,7 @@
         assert lines[-1]["lines_dropped"] == log.dropped
 
     def test_rate_is_bounded(self):
-        """A second more allows so many lines more."""
+        """After the burst, the configured number of lines per second is logged."""
         pipe = Pipe()
         now = [0.0]
         log = log_to(pipe, now)
@@ -87,8 +87,8 @@
         assert before == BURST_LINES
         assert len(pipe.lines()) - before == MAX_LINES_PER_S
 
-    def test_slow_reader_loses_no_part_of_a_line(self):
-        """What was not taken is written later, in order."""
+    def test_slow_reader_gets_whole_lines(self):
+        """Buffered data is written later and in order."""
         pipe = Pipe()
         pipe.room = 10
         log = log_to(pipe, [0.0])
@@ -98,8 +98,8 @@
         log.flush()
         assert [line["event"] for line in pipe.lines()] == ["first", "second"]
 
-    def test_reader_that_takes_nothing_costs_bounded_memory(self):
-        """Lines are dropped and counted."""
+    def test_blocked_reader_uses_bounded_memory(self):
+        """Lines are dropped and counted once the buffer is full."""
         pipe = Pipe()
         pipe.room = 0
         now = [0.0]
@@ -110,7 +110,7 @@
         assert log.dropped > 0
         assert len(log._pending) < 300 * 1024
 
-    def test_reader_that_is_gone_stops_nothing(self):
+    def test_closed_reader_raises_no_error(self):
         """A closed pipe raises no error."""
         pipe = Pipe()
         pipe.gone = True
--- a/libs/direct/tests/test_direct_feeds.py
+++ b/libs/direct/tests/test_direct_feeds.py
@@ -1,21 +1,7 @@
-"""A target that said that it leaves went on getting requests from all routers.
-
-A store was silent for six seconds, and three seconds after its return the target said
-so. The call that waits for changes of targets had been made before the outage. Its
-answer was lost with the store, its bound of 8.9 s ran out while the store was still
-away, and the client took the connection that it had closed itself for one that the
-store had closed: it sent the call a second time, with the whole bound anew, and told
-nobody. That second call was lost as well, so that the routers were deaf for six
-seconds in a store that was well. What was left is a look each 3 s at a list that may be
-old, while a target that leaves may get requests for 2 s.
-
-    0.064  (no line: the call is made; 17.864 - 2 x 8.9)
-    8.964  (no line: it is made again, in the outage)
-   11.227  store-regained purpose=watch-configuration away_ms=4101
-   14.307  the store acknowledges that the target is draining; no target-listed
-   16.421  the first request after the bound reaches it
-   16.871  target-gone detail="not listed"
-   17.865  store-lost purpose=watch-targets detail="no answer within 8.9 s"
+"""Staleness bounds of the target and configuration feeds under faults of the store.
+
+Guards against a watch call that is silently sent a second time when its connection
+closes, so that its timeout doubles and a leaving target keeps receiving requests.
 """
 
 from collections import Counter
@@ -36,19 +22,19 @@
 
 SILENT_AT_S = 12.0
 SILENT_FOR_S = 6.2
-SOUND_FOR_S = 3.0
-"""Time after which a store that is well again has to be believed within the bounds."""
-LEAVES_AFTER_S = 3.1
-"""Time from the return of the store to the word of the target that it leaves."""
+RECOVERY_S = 3.0
+"""Time after a fault from which the bounds must hold again."""
+DRAINS_AFTER_S = 3.1
+"""Time from the recovery of the store until the target starts draining."""
 
 
-class TestOutageBeforeTargetLeaves:
-    """The store is silent for some seconds; later a target leaves."""
+class TestOutageBeforeDraining:
+    """The store is unresponsive for some seconds; later a target drains."""
 
-    def test_no_request_after_the_bound(self):
-        """Whenever the last call before the outage was made."""
+    def test_target_is_unavailable_after_the_bound(self):
+        """The bound holds whenever the last call before the outage was made."""
 
-        def takes_work_too_long(asked_before_s):
+        def is_available_too_long(asked_before_s):
             async def scenario(feeds):
                 store = feeds.store.store
                 store.put(b"op/config", configuration_value(1))
@@ -57,7 +43,7 @@
                 store.put(b"servers/i-2", target_value(port=8407))
                 await until(SILENT_AT_S)
                 await feeds.store.go_down(SILENT_FOR_S)
-                await until(feeds.clock() + LEAVES_AFTER_S)
+                await until(feeds.clock() + DRAINS_AFTER_S)
                 assert feeds.takes_work("i-1")
                 store.put(b"servers/i-1", target_value(state="draining"))
                 await until(feeds.clock() + DRAIN_S)
@@ -66,14 +52,14 @@
             return play(scenario)
 
         steps = [step / 4 for step in range(32)]
-        assert [step for step in steps if takes_work_too_long(step)] == []
+        assert [step for step in steps if is_available_too_long(step)] == []
 
 
-class TestLostAnswer:
-    """A call whose answer is lost."""
+class TestLostResponse:
+    """A call whose response is lost."""
 
     def test_call_is_sent_once(self):
-        """Its bound is that of the whole call, also on a connection used before."""
+        """The timeout covers the whole call, also on a reused connection."""
 
         def lose_watches(call):
             return None if call.path == "/kv-watch" else ANSWER_S
@@ -96,11 +82,11 @@
         assert 0 < failed <= sent <= failed + in_flight
 
 
-class TestLateAnswers:
-    """Lists and watches run side by side in the seconds after an outage."""
+class TestDelayedResponses:
+    """Lists and watches that run concurrently after an outage."""
 
-    def test_older_answer_changes_nothing(self):
-        """Whichever comes late, and whenever the entry changes meanwhile."""
+    def test_older_response_is_ignored(self):
+        """A delayed response never overwrites newer data."""
 
         def findings(late_path, changed_after_s):
             def fate(call):
@@ -132,7 +118,7 @@
 
 
 def backward_steps(lines):
-    """Return the log lines that tell of an older revision than one before."""
+    """Return the log lines with an older revision than a previous one."""
     newest_by_id = {}
     steps = []
     for line in lines:
@@ -146,12 +132,12 @@
 
 
 class TestSilentConnections:
-    """Open connections return nothing more, without a sign; new ones work."""
+    """Open connections stop responding without being closed; new ones work."""
 
-    def test_no_request_after_the_bound(self):
-        """Wherever the calls are at that moment."""
+    def test_target_is_unavailable_after_the_bound(self):
+        """The bound holds wherever the calls are at that moment."""
 
-        def takes_work_too_long(silent_at_s):
+        def is_available_too_long(silent_at_s):
             async def scenario(feeds):
                 store = feeds.store.store
                 store.put(b"op/config", configuration_value(1))
@@ -165,16 +151,16 @@
             return play(scenario)
 
         steps = [10.0 + step / 20 for step in range(60)]
-        assert [step for step in steps if takes_work_too_long(step)] == []
+        assert [step for step in steps if is_available_too_long(step)] == []
 
 
-class TestRouterThatWasCutOff:
-    """Only this router can't reach the store; meanwhile a target leaves."""
+class TestIsolatedRouter:
+    """Only this router can't reach the store while a target is removed."""
 
-    def test_no_request_some_time_after_the_cut(self):
-        """Another router says that the store was well."""
+    def test_removed_target_is_unavailable_after_recovery(self):
+        """A peer reports that the store was healthy, so the entry counts as deleted."""
 
-        def takes_work_too_long(removed_before_s):
+        def is_available_too_long(removed_before_s):
             async def scenario(feeds):
                 store = feeds.store.store
                 store.put(b"op/config", configuration_value(1))
@@ -184,7 +170,7 @@
                     tasks.start_soon(feeds.store.go_down, SILENT_FOR_S)
                     await until(SILENT_AT_S + SILENT_FOR_S - removed_before_s)
                     store.delete(b"servers/i-1")
-                while feeds.clock() < SILENT_AT_S + SILENT_FOR_S + SOUND_FOR_S:
+                while feeds.clock() < SILENT_AT_S + SILENT_FOR_S + RECOVERY_S:
                     feeds.store_health.update_peer_health(feeds.clock())
                     await until(feeds.clock() + 0.25)
                 return feeds.takes_work("i-1")
@@ -192,14 +178,14 @@
             return play(scenario)
 
         steps = [step / 10 for step in range(1, 40)]
-        assert [step for step in steps if takes_work_too_long(step)] == []
+        assert [step for step in steps if is_available_too_long(step)] == []
 
 
-class TestCalmStore:
-    """Nothing changes: calls are paid for."""
+class TestIdleStore:
+    """Number of store calls while nothing changes."""
 
-    def test_is_asked_seldom(self):
-        """A list once, and then what the bounds need."""
+    def test_number_of_calls(self):
+        """The targets are listed once; further calls only keep the bounds."""
 
         async def scenario(feeds):
             store = feeds.store.store
@@ -221,26 +207,26 @@
 
     @pytest.mark.parametrize("bound_s", [1.6, 2.0, 3.0, 4.0, 30.0])
     def test_hold_fits_into_the_bound(self, bound_s):
-        """With the gathering before it and a call that is lost."""
+        """The hold leaves time for the batching delay and one lost call."""
         for batched_s in (0.0, CHANGE_BATCH_S):
             held_s = watch_hold_s(bound_s, batched_s)
             longest_s = batched_s + held_s + CALL_TIMEOUT_S + SEND_LATENCY_S
             assert longest_s <= bound_s + 1e-9
 
     @pytest.mark.parametrize(("bound_s", "is_told"), [(2.0, False), (1.2, True)])
-    def test_bound_that_can_not_be_kept_is_told(self, bound_s, is_told):
-        """Once, at the start."""
+    def test_bound_that_is_too_short_is_logged(self, bound_s, is_logged):
+        """A bound that is too short is logged once, at the start."""
 
         async def scenario(feeds):
             await until(10.0)
             return [event for _, event, _ in feeds.lines].count("bound-too-short")
 
-        assert play(scenario, drain_s=bound_s) == int(is_told)
+        assert play(scenario, drain_s=bound_s) == int(is_logged)
 
 
 @dataclass(frozen=True)
 class Change:
-    """A change of the store's keys: of a target, or of the configuration."""
+    """A change of a target or of the configuration in the store."""
 
     at_s: float
     name: str
@@ -248,16 +234,16 @@
 
 
 @dataclass(frozen=True)
-class Trouble:
-    """A time in which the store is no good.
+class Fault:
+    """A period in which the store is faulty.
 
     Parameters
     ----------
     kind : str
-        ``silent``, ``resets``, ``slow`` (answers are late and out of order), ``lost``
-        (some are lost) or ``mute`` (open connections return nothing from its end on).
+        ``silent``, ``resets``, ``slow`` (responses are delayed and reordered), ``lost``
+        (some are lost) or ``mute`` (open connections stop responding at its end).
     at_s, for_s : float
-        When, and how long.
+        Start and duration.
     """
 
     kind: str
@@ -272,45 +258,45 @@
 
 EPISODES = 3
 EPISODE_S = 15.0
-LOOK_S = 0.05
+CHECK_INTERVAL_S = 0.05
 TENTHS = st.integers(0, 40).map(lambda step: step / 10)
 OFFSETS = st.integers(-20, 70).map(lambda step: step / 10)
 
 
 @st.composite
 def episodes(draw):
-    """Return troubles, and changes around the end of each."""
-    troubles, changes, forgets = [], [], []
+    """Generate faults, and changes around the end of each."""
+    faults, changes, compactions = [], [], []
     for number in range(EPISODES):
         at_s = 3.0 + EPISODE_S * number + draw(TENTHS)
         kind = draw(st.sampled_from(["silent", "resets", "slow", "lost", "mute"]))
-        trouble = Trouble(kind, at_s, 0.1 + 1.5 * draw(TENTHS))
-        troubles.append(trouble)
+        fault = Fault(kind, at_s, 0.1 + 1.5 * draw(TENTHS))
+        faults.append(fault)
         for _ in range(draw(st.integers(1, 5))):
             name = draw(st.sampled_from(["i-1", "i-1", "i-2", "configuration"]))
             state = draw(st.sampled_from(["ready", "draining", "gone"]))
-            changes.append(Change(trouble.ends_at_s + draw(OFFSETS), name, state))
+            changes.append(Change(fault.ends_at_s + draw(OFFSETS), name, state))
         if draw(st.booleans()):
-            forgets.append(trouble.ends_at_s + draw(OFFSETS))
-    return troubles, changes, forgets
+            compactions.append(fault.ends_at_s + draw(OFFSETS))
+    return faults, changes, compactions
 
 
-class Play:
-    """Changes and troubles played against the feeds, and what must hold."""
+class FeedSimulation:
+    """Applies changes and faults to the feeds and checks the bounds."""
 
-    def __init__(self, troubles, changes, forgets, seed):
+    def __init__(self, faults, changes, compactions, seed):
         self.changes = sorted(changes, key=lambda change: change.at_s)
-        self.troubles = troubles
-        self.forgets = forgets
+        self.faults = faults
+        self.compactions = compactions
         self.draws = Random(seed)
         self.findings = []
 
     def fate(self, call):
-        """Return when an answer arrives; slow ones overtake each other."""
+        """Return the latency of a response; None if it is lost."""
         kinds = {
-            trouble.kind
-            for trouble in self.troubles
-            if trouble.at_s <= call.asked_at < trouble.ends_at_s
+            fault.kind
+            for fault in self.faults
+            if fault.at_s <= call.asked_at < fault.ends_at_s
         }
         if "lost" in kinds and self.draws.random() < 0.4:
             return None
@@ -319,43 +305,43 @@
         return self.draws.uniform(ANSWER_S, 0.03)
 
     async def run(self, feeds):
-        """Play all and return what did not hold."""
+        """Run the simulation and return the violations."""
         self.feeds = feeds
         self.truths = Truths(feeds.store.store, feeds.clock)
         for name in ("configuration", "i-1", "i-2"):
             self.truths.write(name, "ready")
         async with create_task_group() as tasks:
-            tasks.start_soon(self._trouble)
-            tasks.start_soon(self._change)
-            for at_s in self.forgets:
-                tasks.start_soon(self._forget, at_s)
+            tasks.start_soon(self._apply_faults)
+            tasks.start_soon(self._apply_changes)
+            for at_s in self.compactions:
+                tasks.start_soon(self._compact, at_s)
             while feeds.clock() < EPISODES * EPISODE_S:
-                await until(feeds.clock() + LOOK_S)
-                self._look()
+                await until(feeds.clock() + CHECK_INTERVAL_S)
+                self._check()
         return self.findings + backward_steps(feeds.lines)
 
-    async def _trouble(self):
-        for trouble in sorted(self.troubles, key=lambda each: each.at_s):
-            await until(trouble.at_s)
-            left_s = trouble.ends_at_s - self.feeds.clock()
-            if trouble.kind in ("silent", "resets") and left_s > 0:
-                resets = trouble.kind == "resets"
+    async def _apply_faults(self):
+        for fault in sorted(self.faults, key=lambda each: each.at_s):
+            await until(fault.at_s)
+            left_s = fault.ends_at_s - self.feeds.clock()
+            if fault.kind in ("silent", "resets") and left_s > 0:
+                resets = fault.kind == "resets"
                 await self.feeds.store.go_down(left_s, resets=resets)
-            elif trouble.kind == "mute":
-                await until(trouble.ends_at_s)
+            elif fault.kind == "mute":
+                await until(fault.ends_at_s)
                 self.feeds.store.silence_connections()
 
-    async def _change(self):
+    async def _apply_changes(self):
         for change in self.changes:
             await until(change.at_s)
             if not self.feeds.store.is_down:
                 self.truths.write(change.name, change.state)
 
-    async def _forget(self, at_s):
+    async def _compact(self, at_s):
         await until(at_s)
         self.feeds.store.store.compact()
 
-    def _look(self):
+    def _check(self):
         now = self.feeds.clock()
         for name, bound_s in (
             ("i-1", DRAIN_S),
@@ -363,25 +349,25 @@
             ("configuration", CONFIGURATION_S),
         ):
             if any(
-                trouble.at_s < now and trouble.ends_at_s > now - bound_s - SOUND_FOR_S
-                for trouble in self.troubles
+                fault.at_s < now and fault.ends_at_s > now - bound_s - RECOVERY_S
+                for fault in self.faults
             ):
                 continue
             is_version = name == "configuration"
-            believed = self.feeds.version if is_version else self.feeds.takes_work(name)
+            mirrored = self.feeds.version if is_version else self.feeds.takes_work(name)
             allowed = self.truths.since(name, now - bound_s)
             if not is_version:
                 allowed = [state == "ready" for state in allowed]
-            if now > bound_s and believed not in allowed:
-                self.findings.append((now, name, believed, allowed))
+            if now > bound_s and mirrored not in allowed:
+                self.findings.append((now, name, mirrored, allowed))
 
 
-class TestBeliefs:
-    """Any changes, outages, late, reordered and lost answers, forgotten history."""
+class TestMirroredState:
+    """Random changes, outages, compactions, and delayed or lost responses."""
 
     @settings(max_examples=300, deadline=None, derandomize=True, database=None)
     @given(episodes(), st.integers(0, 2**32))
-    def test_follow_the_store(self, drawn, seed):
-        """They are as old as the bounds allow at most, and never go back."""
-        played = Play(*drawn, seed)
-        assert play(played.run, fate=played.fate) == []
+    def test_state_stays_within_the_bounds(self, drawn, seed):
+        """Mirrored data is never older than its bound and never goes back."""
+        simulation = FeedSimulation(*drawn, seed)
+        assert play(simulation.run, fate=simulation.fate) == []
--- a/libs/direct/tests/test_direct_lives.py
+++ b/libs/direct/tests/test_direct_lives.py
@@ -1,4 +1,4 @@
-"""Targets that start again under their ids, and entries of other writers."""
+"""Targets that restart under the same id, and invalid items in the store."""
 
 import pytest
 from anyio import sleep_forever
@@ -8,8 +8,8 @@
 pytestmark = pytest.mark.anyio
 
 
-def once(first, later):
-    """Return a script that does the first thing once, as a first life would."""
+def first_then(first, later):
+    """Return a script that handles the first request differently from later ones."""
     scripts = iter([first])
 
     async def script(request, writer):
@@ -19,12 +19,12 @@
 
 
 async def hangs(request, writer):
-    """Answer nothing."""
+    """Never respond."""
     await sleep_forever()
 
 
 async def streams_two_and_hangs(request, writer):
-    """Send two events of a stream and nothing more."""
+    """Send two events of a stream, then hang."""
     more = "Transfer-Encoding: chunked\r\n"
     writer.write(head(request, kind="text/event-stream", more=more))
     writer.write(chunk(event(1)) + chunk(event(2)))
@@ -32,15 +32,15 @@
     await sleep_forever()
 
 
-def started(fleet, target, started_ms):
-    """Write the entry of a life of a target."""
+def put_incarnation(fleet, target, started_ms):
+    """Write the entry of one incarnation of a target."""
     fleet.put_target(target, born=started_ms)
 
 
-def first_life(fleet):
-    """Let all targets say when they started."""
+def put_first_incarnations(fleet):
+    """Set the start times of all targets."""
     for target in fleet.targets:
-        started(fleet, target, 1_796_254_082_000)
+        put_incarnation(fleet, target, 1_796_254_082_000)
 
 
 async def sent_to_first(fleet, path):
@@ -53,23 +53,23 @@
     return reader, writer
 
 
-class TestNewLife:
-    """The target of a request in flight starts again; its connection stays open."""
+class TestRestartedTarget:
+    """A target restarts while a request is in flight and its connection stays open."""
 
     @pytest.mark.parametrize(
         ("kind", "status", "body"),
         [("idempotent", 200, b"b"), ("non_idempotent", 502, None)],
     )
-    async def test_request_is_ended_by_what_may_be_repeated(
+    async def test_request_is_retried_only_if_allowed(
         self, running, kind, status, body
     ):
-        """It goes on elsewhere, or the caller hears at once that it may have run."""
-        first = once(hangs, answers("b"))
+        """The request is retried if allowed; otherwise it fails at once."""
+        first = first_then(hangs, answers("b"))
         async with running(
-            first, answers("b"), routes=(kind,), prepare=first_life
+            first, answers("b"), routes=(kind,), prepare=put_first_incarnations
         ) as fleet:
             reader, writer = await sent_to_first(fleet, f"/{kind}/")
-            started(fleet, fleet.targets[0], 1_796_254_082_900)
+            put_incarnation(fleet, fleet.targets[0], 1_796_254_082_900)
             reply = await read_reply(reader)
             writer.close()
             received = [each for of in fleet.targets for each in of.received]
@@ -77,16 +77,16 @@
         assert body in (None, reply.body)
         assert len(received) == (2 if status == 200 else 1)
 
-    async def test_stream_goes_on(self, running):
-        """After the last event that was passed on."""
-        first = once(streams_two_and_hangs, streams(1, 4))
+    async def test_stream_is_resumed(self, running):
+        """The stream resumes after the last forwarded event."""
+        first = first_then(streams_two_and_hangs, streams(1, 4))
         async with running(
             first, streams(1, 4), routes=(), prepare=self._resumable
         ) as fleet:
             reader, writer = await sent_to_first(fleet, "/streaming/")
             target = fleet.router._context.targets.by_id["i-0"]
             await fleet.until(lambda: target.waiting_tokens == 0 and target.fixed_s)
-            started(fleet, fleet.targets[0], 1_796_254_082_900)
+            put_incarnation(fleet, fleet.targets[0], 1_796_254_082_900)
             reply = await read_reply(reader)
             writer.close()
         assert reply.whole
@@ -97,19 +97,19 @@
     @staticmethod
     def _resumable(fleet):
         fleet.route("streaming", resumable=True)
-        first_life(fleet)
+        put_first_incarnations(fleet)
 
-    async def test_late_entry_of_an_earlier_life_ends_nothing(self, running):
-        """The request is answered where it is."""
+    async def test_stale_entry_of_earlier_incarnation_is_ignored(self, running):
+        """A stale entry does not abort the request."""
 
         async def slow(request, writer):
             await fleet.until(lambda: fleet.late_entry_taken)
             await answers("a")(request, writer)
 
-        async with running(slow, answers("b"), prepare=first_life) as fleet:
+        async with running(slow, answers("b"), prepare=put_first_incarnations) as fleet:
             fleet.late_entry_taken = False
             reader, writer = await sent_to_first(fleet, "/idempotent/")
-            started(fleet, fleet.targets[0], 1_796_254_000_000)
+            put_incarnation(fleet, fleet.targets[0], 1_796_254_000_000)
             revision = fleet.platform.store.revision
             ordered = fleet.router._target_feed.mirror._state
             await fleet.until(lambda: ordered.revision >= revision)
@@ -119,11 +119,11 @@
         assert (reply.status, reply.body) == (200, b"a")
 
 
-class TestEntriesOfOtherWriters:
-    """Anyone may write under the prefix of the targets."""
+class TestInvalidItems:
+    """Invalid items written by other clients of the store."""
 
-    async def test_entry_that_can_not_be_used_touches_no_other(self, running):
-        """It is told once, counted each time, and the targets go on serving."""
+    async def test_invalid_entry_does_not_affect_others(self, running):
+        """It is logged once, counted each time, and the targets continue to serve."""
         async with running(answers("a"), answers("b")) as fleet:
             store, context = fleet.platform.store, fleet.router._context
             counted = context.metrics.unusable_items.labels(
@@ -135,8 +135,8 @@
             assert set(context.targets.by_id) == {"i-0", "i-1"}
             assert (await fleet.call("/idempotent/")).status == 200
 
-    async def test_target_whose_entry_turns_unusable_is_used_no_more(self, running):
-        """Also in the seconds after an outage; a good entry brings it back."""
+    async def test_target_with_invalid_entry_is_removed(self, running):
+        """It is removed even after an outage; a valid entry restores it."""
         async with running(answers("a"), answers("b")) as fleet:
             context = fleet.router._context
             context.targets.note_outage_ended(context.clock())
@@ -147,15 +147,17 @@
             fleet.put_target(fleet.targets[0])
             await fleet.until(lambda: "i-0" in context.targets.by_id)
 
-    async def test_entry_without_the_start_that_was_told(self, running):
-        """A field is missing: the entry is of another writer."""
-        async with running(answers("a"), answers("b"), prepare=first_life) as fleet:
+    async def test_entry_without_known_start_time_is_invalid(self, running):
+        """An entry without the known start time comes from another client."""
+        async with running(
+            answers("a"), answers("b"), prepare=put_first_incarnations
+        ) as fleet:
             by_id = fleet.router._context.targets.by_id
             fleet.put_target(fleet.targets[0])
             await fleet.until(lambda: "i-0" not in by_id)
 
-    async def test_router_that_can_not_be_one(self, running):
-        """Its entry is told once, and the others are heard."""
+    async def test_invalid_router_entry_is_skipped(self, running):
+        """The invalid entry is skipped and valid ones are applied."""
         async with running(answers("a")) as fleet:
             context = fleet.router._context
             store = fleet.platform.store
@@ -179,22 +181,22 @@
             b' "event_s": 0, "paused_share": 7}}, "start_models": {"s": [0, 0, 0]}}',
         ],
     )
-    async def test_note_that_can_not_be(self, running, note):
-        """A start believes nothing of it, and serves."""
+    async def test_implausible_snapshot_is_ignored(self, running, snapshot):
+        """An implausible snapshot is ignored and the router serves requests."""
 
-        def noted(fleet):
-            fleet.platform.store.put(b"berylwalk/speeds", note)
-            fleet.platform.store.put(b"berylwalk/spending", note)
+        def put_snapshots(fleet):
+            fleet.platform.store.put(b"berylwalk/speeds", snapshot)
+            fleet.platform.store.put(b"berylwalk/spending", snapshot)
 
-        async with running(answers("a"), prepare=noted) as fleet:
+        async with running(answers("a"), prepare=put_snapshots) as fleet:
             assert (await fleet.call("/idempotent/")).status == 200
             target = fleet.router._context.targets.by_id["i-0"]
             assert target.paused_share == 0.0
             spent = fleet.router._context.quotas.spent_in_window
             assert spent(fleet.router._context.clock()).get("t", 0) < 1000
 
-    async def test_configuration_that_can_not_be_read(self, running):
-        """The one before stays in force, and is not taken for confirmed."""
+    async def test_unreadable_configuration_is_not_confirmed(self, running):
+        """The previous configuration stays in force but is not confirmed."""
         async with running(answers("a")) as fleet:
             context = fleet.router._context
             counted = context.metrics.unusable_items.labels(
--- a/libs/direct/tests/test_direct_needs.py
+++ b/libs/direct/tests/test_direct_needs.py
@@ -1,4 +1,4 @@
-"""What targets state in their answers, through real connections."""
+"""Flow control signals in responses, over real connections."""
 
 import pytest
 from anyio import sleep
@@ -11,8 +11,8 @@
 LEAVING = "Server-Leaving: 1\r\n"
 
 
-def asks_for_rest(rest, *, status="503 Unavailable"):
-    """Return a script that turns requests away and names a time."""
+def requests_backoff(rest, *, status="503 Unavailable"):
+    """Return a script that refuses requests and requests a backoff."""
 
     async def script(request, writer):
         asks = f"Not-Executed: 1\r\nRetry-After: {rest}\r\n"
@@ -21,13 +21,13 @@
     return script
 
 
-def needs_of(router, target_id):
-    """Return what a router believes of a target."""
+def flow_control_of(router, target_id):
+    """Return the flow control state of a target at a router."""
     return router._context.targets.by_id[target_id].flow_control
 
 
 async def add_target(fleet, port, script):
-    """Start another target and list it; wait until the router knows it."""
+    """Start another target and wait until the router knows it."""
     target = ScriptedTarget(f"i-{len(fleet.targets)}", port, script)
     await target.start()
     fleet.targets.append(target)
@@ -36,10 +36,10 @@
 
 
 class TestLeaving:
-    """Said in an answer."""
+    """Targets that signal in a response that they are leaving."""
 
-    async def test_its_entry_does_not_take_it_back(self, running, free_port):
-        """Neither the one that was known nor one that is written later."""
+    async def test_entry_does_not_revoke_the_signal(self, running, free_port):
+        """Neither the known entry nor a later one makes it available again."""
         async with running(answers("bye", more=LEAVING)) as fleet:
             assert (await fleet.call("/idempotent/")).body == b"bye"
             await add_target(fleet, free_port(), answers("ok"))
@@ -50,21 +50,21 @@
                 assert (await fleet.call("/idempotent/")).body == b"ok"
         assert len(fleet.targets[0].received) == 1
 
-    async def test_other_routers_are_told(self, running, beside):
-        """They send nothing there."""
+    async def test_other_routers_are_notified(self, running, beside):
+        """Other routers stop sending to it."""
         async with (
             running(answers("bye", more=LEAVING)) as fleet,
             beside({"name": "edge-2"}) as (second,),
         ):
             await fleet.until(lambda: "i-0" in second._context.targets.by_id)
             await fleet.call("/idempotent/")
-            await fleet.until(lambda: needs_of(second, "i-0").is_leaving)
+            await fleet.until(lambda: flow_control_of(second, "i-0").is_leaving)
             target = second._context.targets.by_id["i-0"]
             ineligibility_reason = target.ineligibility_reason(second._context.clock())
         assert ineligibility_reason is IneligibilityReason.LEAVING
 
-    async def test_gauges_show_it(self, running):
-        """Beside limit and rest."""
+    async def test_gauges_show_signals(self, running):
+        """The gauges show leaving, the limit and the backoff."""
         more = "Server-Leaving: 1\r\nServer-Limit: 2.5\r\n"
         async with running(answers("bye", more=more)) as fleet:
             await fleet.call("/idempotent/")
@@ -76,13 +76,13 @@
         assert 'berylwalk_target_rest_seconds{target="i-0"} 0.0' in text
 
 
-class TestRest:
-    """Asked for with a refusal."""
+class TestBackoff:
+    """Targets that refuse requests and request a backoff."""
 
     @pytest.mark.parametrize("status", ["503 Unavailable", "429 Too Many"])
     async def test_request_goes_to_another_target(self, running, free_port, status):
-        """And none after it comes back within the rest."""
-        async with running(asks_for_rest(60, status=status)) as fleet:
+        """No request reaches the refusing target during its backoff."""
+        async with running(requests_backoff(60, status=status)) as fleet:
             assert (await fleet.call("/idempotent/")).status == 503
             await add_target(fleet, free_port(), answers("ok"))
             for _ in range(4):
@@ -90,20 +90,20 @@
                 assert (await fleet.call("/idempotent/")).status == 200
         assert len(fleet.targets[0].received) == 1
 
-    async def test_caller_hears_when_the_first_returns(self, running):
-        """At once, though it might have waited."""
-        async with running(asks_for_rest(60), asks_for_rest(30)) as fleet:
+    async def test_retry_after_is_the_earliest_end_of_backoffs(self, running):
+        """The request is not queued until its deadline."""
+        async with running(requests_backoff(60), requests_backoff(30)) as fleet:
             for _ in range(3):
                 reply = await fleet.call("/idempotent/", Deadline_Ms="9000")
                 assert reply.status == 503
-        # The first of them returns after 30 s, less what this test has taken.
+        # The first backoff ends after 30 s, minus the run time of this test.
         assert 3 < float(reply.headers["retry-after"]) < 32
         assert sum(len(target.received) for target in fleet.targets) == 2
 
-    async def test_rest_asked_for_while_a_connection_is_opened(
+    async def test_backoff_requested_while_a_connection_is_opened(
         self, running, monkeypatch
     ):
-        """What had its place there is not sent."""
+        """A request that already has a place at the target is not sent."""
         async with running(answers("ok"), answers("ok")) as fleet:
             context = fleet.router._context
             opens = context.pool.open
@@ -112,23 +112,23 @@
             async def open_slowly(entry):
                 if not asked:
                     asked.append(entry.target_id)
-                    needs_of(fleet.router, entry.target_id).backoff.note_requested(
-                        60.0, context.clock()
-                    )
+                    flow_control_of(
+                        fleet.router, entry.target_id
+                    ).backoff.note_requested(60.0, context.clock())
                 return await opens(entry)
 
             monkeypatch.setattr(context.pool, "open", open_slowly)
             reply = await fleet.call("/idempotent/")
         assert reply.status == 200
-        (resting,) = (each for each in fleet.targets if each.target_id in asked)
-        assert resting.received == []
+        (refusing,) = (each for each in fleet.targets if each.target_id in asked)
+        assert refusing.received == []
 
 
-class TestOtherLife:
-    """Another life answers at the address."""
+class TestOtherIncarnation:
+    """A response from another process at the address of a target."""
 
-    async def test_its_word_is_not_taken_for_that_of_the_one_meant(self, running):
-        """It says with the same head that it isn't that one."""
+    async def test_signals_with_status_421_are_ignored(self, running):
+        """Signals in a response with status 421 are ignored."""
 
         async def other(request, writer):
             more = "Server-Leaving: 1\r\nServer-Limit: 0.1\r\n"
@@ -137,16 +137,16 @@
 
         async with running(other) as fleet:
             await fleet.call("/idempotent/")
-            needs = needs_of(fleet.router, "i-0")
-        assert not needs.is_leaving
-        assert needs.limit.per_s is None
+            flow_control = flow_control_of(fleet.router, "i-0")
+        assert not flow_control.is_leaving
+        assert flow_control.limit.per_s is None
 
 
-class TestUnreadable:
-    """A value that is no number."""
+class TestInvalidSignal:
+    """A signal whose value is not a number."""
 
-    async def test_is_told_and_changes_nothing(self, running):
-        """The target goes on to get requests."""
+    async def test_invalid_limit_is_logged_and_ignored(self, running):
+        """It is logged once and the target remains available."""
         lines = []
         more = "Server-Limit: some\r\n"
         async with running(answers("ok", more=more)) as fleet:
@@ -154,6 +154,6 @@
             log.request = lambda event, _, **fields: lines.append((event, fields))
             for _ in range(5):
                 assert (await fleet.call("/idempotent/")).status == 200
-        told = [fields for event, fields in lines if event == "target-statement"]
-        assert len(told) == 1
-        assert "server-limit" in told[0]["statement_problem"]
+        logged = [fields for event, fields in lines if event == "target-statement"]
+        assert len(logged) == 1
+        assert "server-limit" in logged[0]["statement_problem"]
--- a/libs/direct/tests/test_direct_peering.py
+++ b/libs/direct/tests/test_direct_peering.py
@@ -1,4 +1,4 @@
-"""What routers tell each other: loads, spending, prefixes, and their messages."""
+"""Messages between routers: loads, spending, prefixes and compatibility."""
 
 import pytest
 from anyio import sleep
@@ -21,8 +21,8 @@
 class TestPeers:
     """Two routers."""
 
-    def test_messages_grow_gently_with_the_fleet(self):
-        """A router of a large fleet is told less often by each, not never."""
+    def test_interval_grows_with_the_fleet(self):
+        """The interval grows with the fleet but stays below the peer timeout."""
         for interval_s in (send_interval_s, relay_interval_s):
             intervals = [interval_s(peers) for peers in (1, 5, 30, 319)]
             assert intervals == sorted(intervals)
@@ -30,7 +30,7 @@
             assert 2 * intervals[-1] < PEER_TIMEOUT_S
 
     async def test_loads_and_spending_are_shared(self, running, beside):
-        """Each sees what the other has in flight and has spent."""
+        """Each router sees the requests in flight and the spending of the other."""
 
         def limited(fleet):
             fleet.tenants[0].update({"rate-per-s": 1000, "burst": 1000})
@@ -58,8 +58,8 @@
             await fleet.until(lambda: target.peer_in_flight == 0)
             writer.close()
 
-    async def test_sends_are_told_at_once(self, running, beside):
-        """Not when the next regular message is due: it may go to the same place."""
+    async def test_placement_is_announced_immediately(self, running, beside):
+        """A placement is announced before the next regular message is due."""
 
         async def slow(request, writer):
             await sleep(0.5)
@@ -73,15 +73,15 @@
             await fleet.until(lambda: peers.alive_count(clock()) == 2)
             await fleet.until(lambda: "i-0" in second._context.targets.by_id)
             target = second._context.targets.by_id["i-0"]
-            # Its regular messages are held back from here on.
+            # Suppress regular messages from here on.
             fleet.router._peering._send_if_due = lambda: None
             _, writer = await fleet.connect()
             writer.write(fleet.encoded("/idempotent/"))
             await fleet.until(lambda: target.peer_in_flight == 1)
             writer.close()
 
-    async def test_old_news_of_sends_change_nothing(self, running, beside):
-        """Messages may be overtaken, and lives end."""
+    async def test_outdated_placements_are_ignored(self, running, beside):
+        """Reordered messages and those of ended processes are ignored."""
         async with (
             running(answers("ok")) as fleet,
             beside({"name": "edge-2"}) as (second,),
@@ -90,13 +90,16 @@
             await fleet.until(lambda: context.peers.alive_count(context.clock()) == 2)
             await fleet.until(lambda: "i-0" in context.targets.by_id)
             peer = context.peers.by_name["edge-1"]
-            for life, sequence in ((peer.incarnation, peer.sequence), ("gone", 10_000)):
-                message = LoadMessage("edge-1", life, sequence, {"i-0": (7, 70)})
+            for incarnation, sequence in (
+                (peer.incarnation, peer.sequence),
+                ("gone", 10_000),
+            ):
+                message = LoadMessage("edge-1", incarnation, sequence, {"i-0": (7, 70)})
                 second._peering._receive(msgpack.encode(message))
             assert context.targets.by_id["i-0"].peer_in_flight == 0
 
-    async def test_state_of_the_store_is_told(self, running, beside):
-        """A router that is cut off from it can tell that from an outage."""
+    async def test_store_health_is_shared(self, running, beside):
+        """A router that is cut off from the store can tell that from an outage."""
         async with (
             running(answers("ok")) as fleet,
             beside({"name": "edge-2"}) as (second,),
@@ -104,13 +107,13 @@
             store_health = fleet.router._peering._store_health
             told = second._peering._store_health
             clock = fleet.router._context.clock
-            # The second one started later, and says so.
+            # The second router started later and reports that.
             await fleet.until(lambda: store_health._peer_health_at > 0)
             assert store_health._peer_healthy_since >= told.healthy_since - 0.1
             await fleet.until(lambda: store_health._peer_healthy_since < clock() - 0.5)
 
-    async def test_only_a_router_that_asks_is_told_the_window(self, running, beside):
-        """Kilobytes to all peers, from all, would fill the links of small VMs."""
+    async def test_history_is_sent_only_on_request(self, running, beside):
+        """The history takes kilobytes, so it is not sent to all peers."""
         rules = QuotaRules(window_s=30.0)
         async with running(answers("ok"), allowances=rules) as fleet:
             elder = fleet.router._context
@@ -137,10 +140,10 @@
         assert answers_sent
         assert all(message.spending_history is None for message in sent[told + 1 :])
 
-    async def test_relays_tell_the_other_failure_domains(
+    async def test_relays_forward_to_other_failure_domains(
         self, running, beside, monkeypatch
     ):
-        """Loads and spending cross, though only relays speak across."""
+        """Loads and spending reach routers that are not relays."""
         monkeypatch.setattr("berylwalk.dispatch._peer_table.MAX_FULL_MESH_PEERS", 0)
 
         def limited(fleet):
@@ -179,28 +182,28 @@
 
 
 class TestPrefixes:
-    """Prompts that share parts, at several routers."""
+    """Prompts with shared prefixes at several routers."""
 
     PARTS = "a:60,b:6000,own:90"
     SIZES = "6150,10"
 
     @staticmethod
-    async def until_told(fleet, router):
-        """Wait until a router knows where the one prompt was read."""
+    async def wait_until_known(fleet, router):
+        """Wait until a router knows where the prompt was sent."""
         history = router._context.dispatcher.prefix_cache_index._history
         await fleet.until(lambda: len(history) == 1)
 
-    async def read_by(self, fleet, others):
-        """Send a prompt, then have all routers told; return the target's number."""
+    async def send_prompt(self, fleet, others):
+        """Send a prompt, wait until all know it, and return the target's number."""
         await fleet.call(
             "/idempotent/", Prompt_Prefix=self.PARTS, Token_Count=self.SIZES
         )
         for other in others:
-            await self.until_told(fleet, other)
+            await self.wait_until_known(fleet, other)
         return [len(target.received) for target in fleet.targets].index(1)
 
-    async def test_all_routers_send_them_where_they_were_read(self, running, beside):
-        """Each router sees a part of the requests."""
+    async def test_all_routers_use_the_same_target(self, running, beside):
+        """All routers send requests with the prefix to the same target."""
         async with (
             running(answers("ok"), answers("ok"), answers("ok")) as fleet,
             beside({"name": "edge-2"}) as (second,),
@@ -208,7 +211,7 @@
             peers = second._context.peers
             await fleet.until(lambda: peers.alive_count(second._context.clock()) == 2)
             await fleet.until(lambda: len(second._context.targets.by_id) == 3)
-            number = await self.read_by(fleet, [second])
+            number = await self.send_prompt(fleet, [second])
             fleet.settings = second._context.settings
             for _ in range(5):
                 await fleet.call(
@@ -216,10 +219,10 @@
                 )
             assert len(fleet.targets[number].received) == 6
 
-    async def test_relays_tell_the_other_failure_domains(
+    async def test_relays_forward_to_other_failure_domains(
         self, running, beside, monkeypatch
     ):
-        """Also a router that is no relay is told there."""
+        """Prefix placements reach routers that are not relays."""
         monkeypatch.setattr("berylwalk.dispatch._peer_table.MAX_FULL_MESH_PEERS", 0)
         async with (
             running(answers("ok"), answers("ok")) as fleet,
@@ -233,12 +236,12 @@
                 await fleet.until(
                     lambda of=context: of.peers.alive_count(of.clock()) == 3
                 )
-            await self.read_by(fleet, others)
+            await self.send_prompt(fleet, others)
 
-    async def test_router_that_is_no_relay_keeps_nothing_to_relay(
+    async def test_queue_of_other_routers_stays_empty(
         self, running, beside, monkeypatch
     ):
-        """What it is told would grow old until it is one."""
+        """A router that is not a relay keeps no outdated placements."""
         monkeypatch.setattr("berylwalk.dispatch._peer_table.MAX_FULL_MESH_PEERS", 0)
         async with (
             running(answers("ok"), name="edge-0") as fleet,
@@ -246,11 +249,11 @@
         ):
             context = second._context
             await fleet.until(lambda: context.peers.alive_count(context.clock()) == 2)
-            await self.read_by(fleet, [second])
+            await self.send_prompt(fleet, [second])
             await fleet.until(lambda: not second._peering._prefixes_to_relay)
 
-    async def test_parts_that_make_no_sense_are_told(self, running):
-        """The request is served, and its line in the log says so."""
+    async def test_invalid_prefix_is_logged(self, running):
+        """The request is served and the problem is logged."""
         async with running(answers("ok")) as fleet:
             told = []
             log = fleet.router._context.log
@@ -260,35 +263,35 @@
         assert "malformed part of a prompt" in told[-1]["prefix_problem"]
 
 
-class TestVersionsSideBySide:
-    """Messages of routers of an earlier or a later version of the program."""
+class TestMixedVersions:
+    """Messages of routers of an earlier or a later version."""
 
-    NEWS = RouterUpdate("r", "127.0.0.1", 1, "life", "fd-a", 1.0, 1, {})
+    UPDATE = RouterUpdate("r", "127.0.0.1", 1, "life", "fd-a", 1.0, 1, {})
 
-    def test_message_without_later_fields_is_understood(self):
-        """A fleet is replaced router by router."""
-        message = msgpack.decode(msgpack.encode(PeerMessage(self.NEWS, {})))
+    def test_message_without_later_fields_is_accepted(self):
+        """Missing fields get their defaults."""
+        message = msgpack.decode(msgpack.encode(PeerMessage(self.UPDATE, {})))
         former = msgpack.encode(message[:5])
         assert msgpack.decode(former, type=PeerMessage).placements == []
 
     @pytest.mark.parametrize(
         "message",
-        [PeerMessage(NEWS, {}), DomainMessage("fd-a", [NEWS], {})],
+        [PeerMessage(UPDATE, {}), DomainMessage("fd-a", [UPDATE], {})],
     )
-    def test_fields_of_a_later_version_are_passed_over(self, message):
-        """What is known is taken."""
+    def test_unknown_fields_are_ignored(self, message):
+        """Unknown trailing fields are ignored."""
         later = msgpack.encode([*msgpack.decode(msgpack.encode(message)), 1, {"a": 2}])
         decoded = msgpack.decode(later, type=PeerMessage | DomainMessage)
         assert decoded == message
 
     @pytest.mark.parametrize("cut", [0, 1, 10, 40])
-    async def test_message_that_is_cut_changes_nothing(self, running, cut):
-        """It is told in the log, and the router goes on."""
+    async def test_truncated_message_is_ignored(self, running, cut):
+        """The message is logged as invalid and the router continues."""
         async with running(answers("ok")) as fleet:
             peering = fleet.router._peering
             told = []
             fleet.router._context.log.process = lambda event, **_: told.append(event)
-            message = PeerMessage(self.NEWS, {"i-0": (5, 5)}, placements=[(1, "i-0")])
+            message = PeerMessage(self.UPDATE, {"i-0": (5, 5)}, placements=[(1, "i-0")])
             peering._receive(msgpack.encode(message)[:cut])
             peering._receive(msgpack.encode([9, "of another version"]))
             assert told.count("peer-message-invalid") == 2
--- a/libs/direct/tests/test_direct_rollout_exposure.py
+++ b/libs/direct/tests/test_direct_rollout_exposure.py
@@ -6,7 +6,7 @@
 import pytest
 from anyio import create_task_group, fail_after, sleep
 
-from direct_fleet import GENEROUS_S, ScriptedTarget, head, read_reply
+from direct_fleet import TEST_TIMEOUT_S, ScriptedTarget, head, read_reply
 
 pytestmark = pytest.mark.anyio
 EXPOSURE_SHARE = 0.1
@@ -111,7 +111,7 @@
             new = await add_version(fleet, free_port, fails, "v2", 3)
             await fleet.until_ready()
             address = fleet.settings.caller_address
-            with fail_after(GENEROUS_S):
+            with fail_after(TEST_TIMEOUT_S):
                 while state_told(fleet) != "reverted":
                     await call_routers(fleet, [address], calls=CALLERS * 4)
             exposed = sum(len(target.received) for target in new)
--- a/libs/direct/tests/test_direct_statements.py
+++ b/libs/direct/tests/test_direct_statements.py
@@ -14,7 +14,7 @@
     async def script(play):
         await sleep(after_s)
         for target, rate in zip(play.targets, rates, strict=False):
-            target.name_limit(rate)
+            target.advertise_limit(rate)
 
     return script
 
@@ -27,7 +27,7 @@
             await sleep(play.random.uniform(2.0, 8.0))
             low = play.random.random() < 0.6
             rate = play.random.uniform(0.2, 5.0) if low else play.random.uniform(5, 50)
-            target.name_limit(rate if play.random.random() < 0.8 else None)
+            target.advertise_limit(rate if play.random.random() < 0.8 else None)
 
     async def script(play):
         for target in play.targets:
@@ -36,10 +36,11 @@
     return script
 
 
-def most_over_limit(play):
+def max_excess_over_limit(play):
     """Return by how much the limit was passed where it was passed most."""
     return max(
-        rules.most_over_limit(target, play.disturbances) for target in play.targets
+        rules.max_excess_over_limit(target, play.disturbances)
+        for target in play.targets
     )
 
 
@@ -52,7 +53,7 @@
         play = StatementPlay(1, routers=6, targets=6, script=script)
         play.play()
         assert [
-            rules.most_over_limit(each, play.disturbances) <= 0
+            rules.max_excess_over_limit(each, play.disturbances) <= 0
             for each in play.targets[:2]
         ] == [
             True,
@@ -74,7 +75,7 @@
         play.play()
         used = sum(target.arrived(11.0, 31.0) for target in play.targets)
         assert used >= 0.9 * 20.0 * sum(rates)
-        assert most_over_limit(play) <= 0
+        assert max_excess_over_limit(play) <= 0
 
     @pytest.mark.parametrize("seed", range(4))
     def test_limits_that_change_beside_faults(self, seed):
@@ -89,16 +90,16 @@
         )
         play.script = changing_limits(play)
         play.play()
-        assert most_over_limit(play) <= 0
+        assert max_excess_over_limit(play) <= 0
 
     def test_all_that_name_none_any_more_get_all_again(self):
         """The others are told also by routers that sent nothing there."""
 
         async def script(play):
             await sleep(3.0)
-            play.targets[0].name_limit(0.5)
+            play.targets[0].advertise_limit(0.5)
             await sleep(8.0)
-            play.targets[0].name_limit(None)
+            play.targets[0].advertise_limit(None)
 
         play = StatementPlay(
             3, routers=6, targets=2, script=script, requests_per_s=150.0
@@ -128,7 +129,7 @@
             1, routers=6, targets=3, script=script, requests_per_s=150.0
         )
         play.play()
-        return most_over_limit(play) <= 0
+        return max_excess_over_limit(play) <= 0
 
     def test_without_a_fault(self):
         """The same play is sound."""
@@ -186,7 +187,10 @@
         play = StatementPlay(1, routers=6, targets=9, script=script)
         play.play()
         assert (
-            max(rules.most_in_rest(each, play.disturbances) for each in play.targets)
+            max(
+                rules.max_sent_in_backoff(each, play.disturbances)
+                for each in play.targets
+            )
             <= 2
         )
 
@@ -268,6 +272,6 @@
         play = StatementPlay(2, routers=routers, targets=6, script=self.script)
         play.play()
         leaving = play.targets[0]
-        told_at = leaving.first_told_leaving_at()
+        told_at = leaving.leaving_first_forwarded_at()
         assert leaving.arrived(told_at + 0.5, 100.0) == 0
         assert play.figures.statuses[503] == 0
--- a/libs/direct/tests/virtual_statements.py
+++ b/libs/direct/tests/virtual_statements.py
@@ -40,8 +40,8 @@
 from berylwalk.platform import REQUEST_ID_HEADER, parse_request_headers
 from berylwalk.quarantine import Quarantine
 from berylwalk.rollout import ExposureRules, Rollouts
-from statement_rules import Disturbances
-from stating_targets import SERVICE, PlayedLoop, StatingTarget
+from statement_rules import FaultLog
+from stating_targets import SERVICE, SignallingTarget, SimulatedLoop
 from virtual_play import PlayedFleet
 
 SWEEP_INTERVAL_S = 0.25
@@ -286,7 +286,7 @@
         self.plants = plants or Plants()
         self.figures = Figures()
         self.targets = [
-            StatingTarget(self, number, run_s=run_s, slots=slots)
+            SignallingTarget(self, number, run_s=run_s, slots=slots)
             for number in range(targets)
         ]
         self.targets_by_host = {each.host: each for each in self.targets}
@@ -302,14 +302,14 @@
             max_attempts=3,
             public=True,
         )
-        self.disturbances = Disturbances()
+        self.faults = FaultLog()
         self.requests = 0
         self.refusals = []
 
     def play(self):
         """Play it; return its figures."""
         random.seed(self.seed)
-        with Runner(loop_factory=lambda: PlayedLoop(self)) as runner:
+        with Runner(loop_factory=lambda: SimulatedLoop(self)) as runner:
             return runner.run(self._main())
 
     async def _main(self):
@@ -374,7 +374,7 @@
         name = self.random.choice(sorted(self.domains_by_name))
         self.cut.add(name)
         since, lasts_s = self.clock(), self.random.uniform(1.0, 6.0)
-        self.disturbances.note(name, since, since + lasts_s)
+        self.faults.note(name, since, since + lasts_s)
         await sleep(lasts_s)
         self.cut.discard(name)
 
@@ -383,4 +383,4 @@
         super().kill(names)
         for name in names:
             until = self.disturbed_at_by_name.get(name, self.clock())
-            self.disturbances.note(name, self.clock(), until)
+            self.faults.note(name, self.clock(), until)
