--- a/libs/direct/tests/statement_rules.py
+++ b/libs/direct/tests/statement_rules.py
@@ -18,7 +18,7 @@
     def __init__(self):
         self._spans_by_router = defaultdict(list)
 
-    def note(self, router, since, until):
+    def record(self, router, since, until):
         """Record a fault of a router."""
         self._spans_by_router[router].append((since, until))
 
--- a/libs/direct/tests/test_direct_soak.py
+++ b/libs/direct/tests/test_direct_soak.py
@@ -131,7 +131,7 @@
     target from the same process.
     """
 
-    target_unreachable: dict = field(default_factory=dict)
+    signal_by_target: dict = field(default_factory=dict)
     told_by_router: dict = field(default_factory=lambda: defaultdict(set))
     barred_by_id: dict = field(default_factory=dict)
     reached_after: list = field(default_factory=list)
@@ -139,7 +139,7 @@
     def headers(self, target):
         """Return what a target states in its answers."""
         lines = [f"X-Target: {target.target_id}"]
-        match self.target_unreachable.get(target.target_id):
+        match self.signal_by_target.get(target.target_id):
             case "limit":
                 lines.append("Server-Limit: 2.5")
             case "leaving":
@@ -241,7 +241,7 @@
 
     async def _run(self, target, request, writer):
         self.needs.note_reached(request, target)
-        if self.needs.target_unreachable.get(target.target_id) == "rest":
+        if self.needs.signal_by_target.get(target.target_id) == "rest":
             asks = "Not-Executed: 1\r\nRetry-After: 0.4\r\n"
             writer.write(head(request, status="503 Rest", length=0, more=asks))
             return
@@ -252,8 +252,8 @@
         """Let a target state something else; one always takes all."""
         target = self.needs_random.choice(self.fleet.targets[1:])
         stated = self.needs_random.choice(("limit", "rest", "leaving", None))
-        if self.needs.target_unreachable.get(target.target_id) != "leaving":
-            self.needs.target_unreachable[target.target_id] = stated
+        if self.needs.signal_by_target.get(target.target_id) != "leaving":
+            self.needs.signal_by_target[target.target_id] = stated
 
     async def call_guilty(self, number):
         """Send the guilty request once more, to some router."""
--- a/libs/direct/tests/test_direct_statements.py
+++ b/libs/direct/tests/test_direct_statements.py
@@ -39,8 +39,7 @@
 def max_excess_over_limit(play):
     """Return by how much the limit was passed where it was passed most."""
     return max(
-        rules.max_excess_over_limit(target, play.disturbances)
-        for target in play.targets
+        rules.max_excess_over_limit(target, play.fault_log) for target in play.targets
     )
 
 
@@ -53,7 +52,7 @@
         play = StatementPlay(1, routers=6, targets=6, script=script)
         play.play()
         assert [
-            rules.max_excess_over_limit(each, play.disturbances) <= 0
+            rules.max_excess_over_limit(each, play.fault_log) <= 0
             for each in play.targets[:2]
         ] == [
             True,
@@ -188,8 +187,7 @@
         play.play()
         assert (
             max(
-                rules.max_sent_in_backoff(each, play.disturbances)
-                for each in play.targets
+                rules.max_sent_in_backoff(each, play.fault_log) for each in play.targets
             )
             <= 2
         )
@@ -264,7 +262,7 @@
         """Of no router that passed such an answer on."""
         play = StatementPlay(1, routers=6, targets=6, script=self.script)
         play.play()
-        assert rules.sent_while_leaving(play.targets[0], play.disturbances) == 0
+        assert rules.sent_while_leaving(play.targets[0], play.fault_log) == 0
 
     @pytest.mark.parametrize("routers", [6, 13])
     def test_other_routers_need_not_find_out(self, routers):
--- a/libs/direct/tests/virtual_rollout.py
+++ b/libs/direct/tests/virtual_rollout.py
@@ -565,10 +565,10 @@
             item = self.store.items.get(STATUS_KEY)
             if item is not None and item.value != told:
                 told = item.value
-                self._run_mirror(loads(told))
+                self._handle_status(loads(told))
             await sleep(0.005)
 
-    def _run_mirror(self, status):
+    def _handle_status(self, status):
         self.figures.statuses.append((self.since_order_s(), status["state"]))
         if status["state"] == "completed":
             for engine in self._of_version(OLD):
--- a/libs/direct/tests/virtual_statements.py
+++ b/libs/direct/tests/virtual_statements.py
@@ -182,7 +182,7 @@
             rank=(0, 0),
             service=SERVICE,
             cost=0.0,
-            ends_at=now + LIMIT_S,
+            deadline=now + LIMIT_S,
             identity=request_id,
         )
         lifecycle = RequestLifecycle(
@@ -302,7 +302,7 @@
             max_attempts=3,
             public=True,
         )
-        self.faults = FaultLog()
+        self.fault_log = FaultLog()
         self.requests = 0
         self.refusals = []
 
@@ -374,7 +374,7 @@
         name = self.random.choice(sorted(self.domains_by_name))
         self.cut.add(name)
         since, lasts_s = self.clock(), self.random.uniform(1.0, 6.0)
-        self.faults.note(name, since, since + lasts_s)
+        self.fault_log.record(name, since, since + lasts_s)
         await sleep(lasts_s)
         self.cut.discard(name)
 
@@ -383,4 +383,4 @@
         super().kill(names)
         for name in names:
             until = self.disturbed_at_by_name.get(name, self.clock())
-            self.faults.note(name, self.clock(), until)
+            self.fault_log.record(name, self.clock(), until)
