--- a/libs/direct/tests/test_direct_feeds.py
+++ b/libs/direct/tests/test_direct_feeds.py
@@ -213,7 +213,7 @@
             longest_s = batched_s + held_s + CALL_TIMEOUT_S + SEND_LATENCY_S
             assert longest_s <= bound_s + 1e-9
 
-    @pytest.mark.parametrize(("bound_s", "is_told"), [(2.0, False), (1.2, True)])
+    @pytest.mark.parametrize(("bound_s", "is_logged"), [(2.0, False), (1.2, True)])
     def test_bound_that_is_too_short_is_logged(self, bound_s, is_logged):
         """A bound that is too short is logged once, at the start."""
 
--- a/libs/direct/tests/test_direct_lives.py
+++ b/libs/direct/tests/test_direct_lives.py
@@ -169,7 +169,7 @@
             assert set(context.peers.by_name) == {"z"}
 
     @pytest.mark.parametrize(
-        "note",
+        "snapshot",
         [
             b"\xff",
             b"[" * 10_000,
