--- a/libs/direct/tests/statement_rules.py
+++ b/libs/direct/tests/statement_rules.py
@@ -76,11 +76,11 @@
     for arrival in target.arrivals:
         if not faults.is_exempt(arrival.router, arrival.at):
             sent_by_router[arrival.router].append(arrival.at)
-    for told_at, router, rest_s in target.rests:
+    for signalled_at, router, backoff_s in target.backoffs:
         within = [
             at
             for at in sent_by_router[router]
-            if told_at + SIGNAL_GRACE_S < at < told_at + rest_s
+            if signalled_at + SIGNAL_GRACE_S < at < signalled_at + backoff_s
         ]
         most = max(most, len(within))
     return most
--- a/libs/direct/tests/stating_targets.py
+++ b/libs/direct/tests/stating_targets.py
@@ -60,12 +60,12 @@
         Times and values of the advertised limits; None if the limit was withdrawn.
     is_leaving : bool
         Whether it signals that it is leaving.
-    rest_s : float or None
+    backoff_s : float or None
         Requested backoff while it refuses all requests; None while it serves.
     """
 
-    def __init__(self, play, number, *, run_s, slots):
-        self.play = play
+    def __init__(self, simulation, number, *, run_s, slots):
+        self.simulation = simulation
         self.target_id = f"i-{number}"
         self.host = f"10.0.0.{number}"
         self.domain = DOMAINS[number % len(DOMAINS)]
@@ -75,11 +75,11 @@
         self.limit = None
         self.limits = []
         self.is_leaving = False
-        self.rest_s = None
+        self.backoff_s = None
         self.arrivals = []
         self._limit_forwarded_at = {}
         self._leaving_forwarded_at = {}
-        self.rests = []
+        self.backoffs = []
         self.running = 0
 
     def entry(self, state=TargetState.READY):
@@ -97,7 +97,7 @@
     def advertise_limit(self, limit):
         """Advertise a limit from now on; None withdraws it."""
         self.limit = None if limit is None else f"{limit:.2f}"
-        self.limits.append((self.play.clock(), limit))
+        self.limits.append((self.simulation.clock(), limit))
 
     def receive(self, transport, data):
         """Receive a request, whose head and body arrive together."""
@@ -110,16 +110,16 @@
 
     def _arrive(self, transport, headers):
         router = headers["x-router"]
-        self.arrivals.append(Arrival(self.play.clock(), router))
-        self.play.figures.arrivals[self.target_id] += 1
+        self.arrivals.append(Arrival(self.simulation.clock(), router))
+        self.simulation.results.arrivals[self.target_id] += 1
         request_id = headers["attempt-id"]
-        if self.rest_s is not None:
+        if self.backoff_s is not None:
             self._answer(transport, router, request_id, "503 Unavailable", b"")
             return
         self.running += 1
         load_factor = max(1.0, self.running / self.slots)
-        duration_s = self.run_s * load_factor * self.play.random.uniform(0.5, 1.5)
-        if self.play.random.random() < 0.5:
+        duration_s = self.run_s * load_factor * self.simulation.random.uniform(0.5, 1.5)
+        if self.simulation.random.random() < 0.5:
             # The head of a stream arrives with its first event.
             get_running_loop().call_later(
                 0.2 * duration_s,
@@ -174,22 +174,22 @@
         if self.is_leaving:
             lines.append("Server-Leaving: 1")
         if status.startswith("503"):
-            lines += ["Not-Executed: 1", f"Retry-After: {self.rest_s}"]
+            lines += ["Not-Executed: 1", f"Retry-After: {self.backoff_s}"]
         data = ("\r\n".join(lines) + "\r\n" + more + "\r\n").encode() + body
-        sent_signals = (self.limit is not None, self.is_leaving, self.rest_s)
+        sent_signals = (self.limit is not None, self.is_leaving, self.backoff_s)
         get_running_loop().call_later(
             LATENCY_S, self._deliver, transport, router, data, status, sent_signals
         )
 
     def _deliver(self, transport, router, data, status, sent_signals):
-        now = self.play.clock()
-        has_limit, is_leaving, rest_s = sent_signals
+        now = self.simulation.clock()
+        has_limit, is_leaving, backoff_s = sent_signals
         if has_limit:
             self._limit_forwarded_at.setdefault(router, now)
         if is_leaving:
             self._leaving_forwarded_at.setdefault(router, now)
         if status.startswith("503"):
-            self.rests.append((now, router, rest_s))
+            self.backoffs.append((now, router, backoff_s))
         transport.deliver(data)
 
     def limit_forwarded_at(self, router):
--- a/libs/direct/tests/test_direct_feeds.py
+++ b/libs/direct/tests/test_direct_feeds.py
@@ -16,9 +16,9 @@
 from berylwalk.direct._mirrored_prefix import SEND_LATENCY_S, watch_hold_s
 from berylwalk.direct._store_health import CALL_TIMEOUT_S
 from berylwalk.direct._target_feed import CHANGE_BATCH_S
-from virtual_feeds import CONFIGURATION_S, DRAIN_S, play
+from virtual_feeds import CONFIGURATION_S, DRAIN_S, simulate
 from virtual_store import ANSWER_S, configuration_value, target_value, until
-from written_truths import Truths
+from written_truths import ValueHistory
 
 SILENT_AT_S = 12.0
 SILENT_FOR_S = 6.2
@@ -34,22 +34,22 @@
     def test_target_is_unavailable_after_the_bound(self):
         """The bound holds whenever the last call before the outage was made."""
 
-        def is_available_too_long(asked_before_s):
+        def is_available_too_long(called_before_s):
             async def scenario(feeds):
                 store = feeds.store.store
                 store.put(b"op/config", configuration_value(1))
                 store.put(b"servers/i-1", target_value())
-                await until(SILENT_AT_S - asked_before_s)
+                await until(SILENT_AT_S - called_before_s)
                 store.put(b"servers/i-2", target_value(port=8407))
                 await until(SILENT_AT_S)
                 await feeds.store.go_down(SILENT_FOR_S)
                 await until(feeds.clock() + DRAINS_AFTER_S)
-                assert feeds.takes_work("i-1")
+                assert feeds.is_available("i-1")
                 store.put(b"servers/i-1", target_value(state="draining"))
                 await until(feeds.clock() + DRAIN_S)
-                return feeds.takes_work("i-1")
+                return feeds.is_available("i-1")
 
-            return play(scenario)
+            return simulate(scenario)
 
         steps = [step / 4 for step in range(32)]
         assert [step for step in steps if is_available_too_long(step)] == []
@@ -77,7 +77,7 @@
             ]
             return len(sent), len(failed)
 
-        sent, failed = play(scenario, fate=lose_watches)
+        sent, failed = simulate(scenario, fate=lose_watches)
         in_flight = 2
         assert 0 < failed <= sent <= failed + in_flight
 
@@ -88,9 +88,9 @@
     def test_older_response_is_ignored(self):
         """A delayed response never overwrites newer data."""
 
-        def findings(late_path, changed_after_s):
+        def violations(late_path, changed_after_s):
             def fate(call):
-                is_late = call.path == late_path and call.asked_at > SILENT_AT_S
+                is_late = call.path == late_path and call.received_at > SILENT_AT_S
                 return 0.5 if is_late else ANSWER_S
 
             async def scenario(feeds):
@@ -106,13 +106,13 @@
                 await until(feeds.clock() + DRAIN_S)
                 return backward_steps(feeds.lines)
 
-            return play(scenario, fate=fate)
+            return simulate(scenario, fate=fate)
 
         found = [
             (path, step / 10)
             for path in ("/kv-range", "/kv-watch")
             for step in range(40)
-            if findings(path, step / 10)
+            if violations(path, step / 10)
         ]
         assert found == []
 
@@ -146,9 +146,9 @@
                 feeds.store.silence_connections()
                 store.put(b"servers/i-1", target_value(state="draining"))
                 await until(silent_at_s + DRAIN_S)
-                return feeds.takes_work("i-1")
+                return feeds.is_available("i-1")
 
-            return play(scenario)
+            return simulate(scenario)
 
         steps = [10.0 + step / 20 for step in range(60)]
         assert [step for step in steps if is_available_too_long(step)] == []
@@ -173,9 +173,9 @@
                 while feeds.clock() < SILENT_AT_S + SILENT_FOR_S + RECOVERY_S:
                     feeds.store_health.update_peer_health(feeds.clock())
                     await until(feeds.clock() + 0.25)
-                return feeds.takes_work("i-1")
+                return feeds.is_available("i-1")
 
-            return play(scenario)
+            return simulate(scenario)
 
         steps = [step / 10 for step in range(1, 40)]
         assert [step for step in steps if is_available_too_long(step)] == []
@@ -198,7 +198,7 @@
                 call.target.split("&")[0] for call in feeds.store.calls[before:]
             )
 
-        calls = play(scenario)
+        calls = simulate(scenario)
         targets, configuration = "path-prefix=servers/", "path-prefix=op/config"
         assert calls[f"/kv-range?{targets}"] == 0
         assert calls[f"/kv-watch?{targets}"] <= 60 / watch_hold_s(DRAIN_S) + 1
@@ -221,7 +221,7 @@
             await until(10.0)
             return [event for _, event, _ in feeds.lines].count("bound-too-short")
 
-        assert play(scenario, drain_s=bound_s) == int(is_logged)
+        assert simulate(scenario, drain_s=bound_s) == int(is_logged)
 
 
 @dataclass(frozen=True)
@@ -289,14 +289,14 @@
         self.faults = faults
         self.compactions = compactions
         self.draws = Random(seed)
-        self.findings = []
+        self.violations = []
 
     def fate(self, call):
         """Return the latency of a response; None if it is lost."""
         kinds = {
             fault.kind
             for fault in self.faults
-            if fault.at_s <= call.asked_at < fault.ends_at_s
+            if fault.at_s <= call.received_at < fault.ends_at_s
         }
         if "lost" in kinds and self.draws.random() < 0.4:
             return None
@@ -307,9 +307,9 @@
     async def run(self, feeds):
         """Run the simulation and return the violations."""
         self.feeds = feeds
-        self.truths = Truths(feeds.store.store, feeds.clock)
+        self.value_history = ValueHistory(feeds.store.store, feeds.clock)
         for name in ("configuration", "i-1", "i-2"):
-            self.truths.write(name, "ready")
+            self.value_history.write(name, "ready")
         async with create_task_group() as tasks:
             tasks.start_soon(self._apply_faults)
             tasks.start_soon(self._apply_changes)
@@ -318,7 +318,7 @@
             while feeds.clock() < EPISODES * EPISODE_S:
                 await until(feeds.clock() + CHECK_INTERVAL_S)
                 self._check()
-        return self.findings + backward_steps(feeds.lines)
+        return self.violations + backward_steps(feeds.lines)
 
     async def _apply_faults(self):
         for fault in sorted(self.faults, key=lambda each: each.at_s):
@@ -335,7 +335,7 @@
         for change in self.changes:
             await until(change.at_s)
             if not self.feeds.store.is_down:
-                self.truths.write(change.name, change.state)
+                self.value_history.write(change.name, change.state)
 
     async def _compact(self, at_s):
         await until(at_s)
@@ -354,12 +354,14 @@
             ):
                 continue
             is_version = name == "configuration"
-            mirrored = self.feeds.version if is_version else self.feeds.takes_work(name)
-            allowed = self.truths.since(name, now - bound_s)
+            mirrored = (
+                self.feeds.version if is_version else self.feeds.is_available(name)
+            )
+            allowed = self.value_history.since(name, now - bound_s)
             if not is_version:
                 allowed = [state == "ready" for state in allowed]
             if now > bound_s and mirrored not in allowed:
-                self.findings.append((now, name, mirrored, allowed))
+                self.violations.append((now, name, mirrored, allowed))
 
 
 class TestMirroredState:
@@ -370,4 +372,4 @@
     def test_state_stays_within_the_bounds(self, drawn, seed):
         """Mirrored data is never older than its bound and never goes back."""
         simulation = FeedSimulation(*drawn, seed)
-        assert play(simulation.run, fate=simulation.fate) == []
+        assert simulate(simulation.run, fate=simulation.fate) == []
--- a/libs/direct/tests/test_direct_peering.py
+++ b/libs/direct/tests/test_direct_peering.py
@@ -105,11 +105,11 @@
             beside({"name": "edge-2"}) as (second,),
         ):
             store_health = fleet.router._peering._store_health
-            told = second._peering._store_health
+            logged = second._peering._store_health
             clock = fleet.router._context.clock
             # The second router started later and reports that.
             await fleet.until(lambda: store_health._peer_health_at > 0)
-            assert store_health._peer_healthy_since >= told.healthy_since - 0.1
+            assert store_health._peer_healthy_since >= logged.healthy_since - 0.1
             await fleet.until(lambda: store_health._peer_healthy_since < clock() - 0.5)
 
     async def test_history_is_sent_only_on_request(self, running, beside):
@@ -132,13 +132,13 @@
                 await fleet.until(
                     lambda: newcomer.quotas.has_full_window(newcomer.clock())
                 )
-                told = len(sent)
-                await fleet.until(lambda: len(sent) > told + 3)
+                logged = len(sent)
+                await fleet.until(lambda: len(sent) > logged + 3)
         answers_sent = [
             message for message in sent if message.spending_history is not None
         ]
         assert answers_sent
-        assert all(message.spending_history is None for message in sent[told + 1 :])
+        assert all(message.spending_history is None for message in sent[logged + 1 :])
 
     async def test_relays_forward_to_other_failure_domains(
         self, running, beside, monkeypatch
@@ -255,12 +255,12 @@
     async def test_invalid_prefix_is_logged(self, running):
         """The request is served and the problem is logged."""
         async with running(answers("ok")) as fleet:
-            told = []
+            logged = []
             log = fleet.router._context.log
-            log.request = lambda event, request_id, **fields: told.append(fields)
+            log.request = lambda event, request_id, **fields: logged.append(fields)
             reply = await fleet.call("/idempotent/", Prompt_Prefix="a,b")
         assert reply.status == 200
-        assert "malformed part of a prompt" in told[-1]["prefix_problem"]
+        assert "malformed part of a prompt" in logged[-1]["prefix_problem"]
 
 
 class TestMixedVersions:
@@ -289,11 +289,11 @@
         """The message is logged as invalid and the router continues."""
         async with running(answers("ok")) as fleet:
             peering = fleet.router._peering
-            told = []
-            fleet.router._context.log.process = lambda event, **_: told.append(event)
+            logged = []
+            fleet.router._context.log.process = lambda event, **_: logged.append(event)
             message = PeerMessage(self.UPDATE, {"i-0": (5, 5)}, placements=[(1, "i-0")])
             peering._receive(msgpack.encode(message)[:cut])
             peering._receive(msgpack.encode([9, "of another version"]))
-            assert told.count("peer-message-invalid") == 2
+            assert logged.count("peer-message-invalid") == 2
             assert fleet.router._context.peers.by_name == {}
             assert (await fleet.call("/idempotent/")).status == 200
--- a/libs/direct/tests/test_direct_platform.py
+++ b/libs/direct/tests/test_direct_platform.py
@@ -1,4 +1,4 @@
-"""What the router does as the platform changes, fails and stops it."""
+"""The router during configuration changes, store outages and a graceful stop."""
 
 from asyncio import open_connection
 from json import dumps
@@ -14,7 +14,7 @@
 
 
 async def readiness(fleet):
-    """Return the status of the question whether the router is ready."""
+    """Return the status of a readiness check."""
     address = fleet.settings.readiness_address
     reader, writer = await open_connection(address.host, address.port)
     writer.write(b"GET /readyz HTTP/1.1\r\nHost: r\r\n\r\n")
@@ -24,10 +24,10 @@
 
 
 class TestConfiguration:
-    """Versions and keys."""
+    """Versions of the configuration and API keys."""
 
     async def test_new_version_is_in_force(self, running):
-        """Routes come and go, keys are taken away."""
+        """Changed routes and revoked keys take effect."""
         async with running(answers("ok")) as fleet:
             fleet.routes[0]["path-prefix"] = "/new/"
             fleet.tenants[0]["api-keys"] = ["k9"]
@@ -38,8 +38,8 @@
             new = await fleet.call("/new/", X_Api_Key="k9")
         assert (old.status, revoked.status, new.status) == (404, 401, 200)
 
-    async def test_change_in_discarded_history_is_found(self, running):
-        """A watch that can't go on is no reason to stay behind."""
+    async def test_change_in_compacted_history_is_applied(self, running):
+        """The feed lists again if its watch was compacted away."""
         async with running(answers("ok")) as fleet:
             fleet.routes[0]["path-prefix"] = "/new/"
             fleet.put_configuration()
@@ -48,7 +48,7 @@
             assert (await fleet.call("/new/")).status == 200
 
     async def test_keys_fail_closed(self, running):
-        """Without the store keys are refused in time, public routes go on."""
+        """Without the store, API keys are refused in time while public routes work."""
 
         def public_too(fleet):
             fleet.route("idempotent", **{"path-prefix": "/public/", "public": True})
@@ -69,15 +69,15 @@
         assert "retry-after" in keyed.headers
         assert (public.status, again.status) == (200, 200)
 
-    async def test_allowance_is_refused_with_a_time(self, running):
-        """What is over the allowance reaches no target."""
+    async def test_request_over_quota_is_rejected(self, running):
+        """Requests over the quota reach no target."""
 
-        def scarce(fleet):
+        def limited_tokens(fleet):
             fleet.tenants[0].update(
                 {"unit": "tokens", "rate-per-s": 1, "burst": 1000, "plain-tokens": 400}
             )
 
-        async with running(answers("ok"), prepare=scarce) as fleet:
+        async with running(answers("ok"), prepare=limited_tokens) as fleet:
             await sleep(0.2)
             statuses = []
             for _ in range(6):
@@ -91,7 +91,7 @@
     """Entries of targets."""
 
     async def test_draining_target_gets_no_new_request(self, running):
-        """The other one gets them all."""
+        """The other target gets all requests."""
         async with running(answers("a"), answers("b")) as fleet:
             fleet.put_target(fleet.targets[0], state="draining")
             by_id = fleet.router._context.targets.by_id
@@ -101,16 +101,16 @@
                 assert (await fleet.call("/idempotent/")).body == b"b"
         assert len(fleet.targets[0].received) == before
 
-    async def test_removed_target_is_forgotten(self, running):
-        """Also one that never said that it leaves."""
+    async def test_removed_target_gets_no_request(self, running):
+        """A target may be removed without draining first."""
         async with running(answers("a"), answers("b")) as fleet:
             fleet.platform.store.delete(b"servers/i-0")
             by_id = fleet.router._context.targets.by_id
             await fleet.until(lambda: "i-0" not in by_id)
             assert (await fleet.call("/idempotent/")).body == b"b"
 
-    async def test_entry_that_lapsed_in_an_outage_still_serves(self, running):
-        """An outage of the store alone takes no target away."""
+    async def test_target_with_lapsed_entry_serves_after_outage(self, running):
+        """An outage of the store does not make targets unavailable."""
         async with running(answers("a")) as fleet:
             fleet.platform.faults.down = True
             store_health = fleet.router._target_feed._store_health
@@ -126,7 +126,7 @@
             assert (await fleet.call("/idempotent/")).status == 200
 
     async def test_removal_in_a_short_gap_is_no_lapse(self, running):
-        """A watch that is cut for a moment must not hide that a target left."""
+        """A removal during a short gap in the watch is not mistaken for a lapse."""
         async with running(answers("a"), answers("b")) as fleet:
             fleet.platform.faults.down = True
             store_health = fleet.router._target_feed._store_health
@@ -137,10 +137,8 @@
             by_id = fleet.router._context.targets.by_id
             await fleet.until(lambda: "i-0" not in by_id)
 
-    async def test_word_to_leave_while_a_connection_is_opened(
-        self, running, monkeypatch
-    ):
-        """What is known at the sending counts, not at the placing."""
+    async def test_draining_while_a_connection_is_opened(self, running, monkeypatch):
+        """The state when sending counts, not the state when placing."""
         opened = TargetPool.open
 
         async def open_late(self, address):
@@ -161,8 +159,8 @@
             writer.close()
         assert not fleet.targets[0].received
 
-    async def test_address_that_another_service_uses_now(self, running):
-        """A target that is another one refuses, and the request goes on."""
+    async def test_misdirected_request_is_retried(self, running):
+        """The request is retried if another target is at the address."""
 
         async def misdirected(request, writer):
             writer.write(
@@ -178,10 +176,10 @@
 
 
 class TestStopping:
-    """A graceful end."""
+    """A graceful stop."""
 
     async def test_request_in_progress_is_answered(self, running):
-        """The router is not ready, answers what it has, and ends."""
+        """The router reports itself as not ready, completes its requests and exits."""
 
         async def slow(request, writer):
             await sleep(0.5)
@@ -203,43 +201,45 @@
         assert reply.headers["connection"] == "close"
         assert late.status == 200
 
-    async def test_note_of_much_spending_outlives_all_routers(self, running):
-        """A router that starts counts what an earlier life had spent."""
+    async def test_spending_survives_restart(self, running):
+        """A starting router counts the spending before the restart."""
 
-        def noted(fleet):
+        def put_spending(fleet):
             fleet.tenants[0].update({"rate-per-s": 100, "burst": 100})
             bins = dumps({"t": [5000.0]}).encode()
             fleet.platform.store.put(b"berylwalk/spending", bins)
 
         rules = QuotaRules(window_s=8.0)
-        async with running(answers("ok"), prepare=noted, allowances=rules) as fleet:
+        async with running(
+            answers("ok"), prepare=put_spending, allowances=rules
+        ) as fleet:
             spent = fleet.router._context.quotas.spent_in_window
             clock = fleet.router._context.clock
             await fleet.until(lambda: spent(clock()).get("t", 0) >= 900)
             reply = await fleet.call("/idempotent/")
         assert reply.status == 429
 
-    async def test_learned_speeds_outlive_all_routers(self, running, monkeypatch):
-        """The first routers after a restart know which targets are slow."""
+    async def test_learned_speeds_survive_restart(self, running, monkeypatch):
+        """After a restart, routers know which targets are slow."""
         monkeypatch.setattr("berylwalk.direct._speed_store.WRITE_INTERVAL_S", 0.05)
         async with running(answers("ok")) as fleet:
             await fleet.call("/idempotent/")
             learned = fleet.router._context.targets.by_id["i-0"].speed()
             store, key = fleet.platform.store, b"berylwalk/speeds"
             await fleet.until(lambda: store.get(key) is not None)
-            note = store.get(key).value
+            snapshot = store.get(key).value
         assert learned.slot_s is not None
 
-        def put_note(fleet):
-            fleet.platform.store.put(b"berylwalk/speeds", note)
+        def put_snapshot(fleet):
+            fleet.platform.store.put(b"berylwalk/speeds", snapshot)
 
-        async with running(answers("ok"), prepare=put_note) as fleet:
+        async with running(answers("ok"), prepare=put_snapshot) as fleet:
             target = fleet.router._context.targets.by_id["i-0"]
             await fleet.until(lambda: target.slot_s is not None)
             assert target.slot_s == pytest.approx(learned.slot_s, abs=1e-5)
 
-    async def test_large_spending_is_noted(self, running):
-        """The note is there while the account is far above its usual."""
+    async def test_high_spending_is_stored(self, running):
+        """The snapshot is written while the spending is high."""
 
         def limited(fleet):
             fleet.tenants[0].update(
@@ -250,18 +250,18 @@
         async with running(answers("ok"), prepare=limited, allowances=rules) as fleet:
             store = fleet.platform.store
             quotas = fleet.router._context.quotas
-            # As if it had started long ago and knew the whole window.
+            # As if it had run long enough to know the whole window.
             quotas.restore({}, HistoryCoverage.COMPLETE, fleet.router._context.clock())
             reply = await fleet.call("/idempotent/", Token_Count="700,0")
             key = b"berylwalk/spending"
             await fleet.until(lambda: store.get(key) is not None)
             first = store.get(key).mod_revision
-            # It is renewed while that lasts, though the sum does not change.
+            # It is written again although the sum does not change.
             await fleet.until(lambda: store.get(key).mod_revision > first)
         assert reply.status == 200
 
     async def test_router_leaves_the_list(self, running):
-        """Others need not wait for its lease to end."""
+        """The entry is deleted before its lease expires."""
         async with running(answers("ok")) as fleet:
             key = b"berylwalk/routers/edge-1"
             store = fleet.platform.store
@@ -271,11 +271,11 @@
             assert store.get(key) is None
 
 
-class TestAllowances:
-    """Limits of accounts as the configuration has them."""
+class TestQuotas:
+    """Quotas from the configuration."""
 
-    async def test_line_of_a_taken_request_tells_what_it_cost(self, running):
-        """And what was counted of its account, itself included."""
+    async def test_log_line_contains_the_cost(self, running):
+        """The counted spending includes the request itself."""
 
         def limited(fleet):
             fleet.tenants[0].update({"rate-per-s": 1000, "burst": 1000})
@@ -284,16 +284,16 @@
         async with running(answers("ok"), prepare=limited, allowances=rules) as fleet:
             context = fleet.router._context
             context.quotas.restore({}, HistoryCoverage.COMPLETE, context.clock())
-            told = []
-            context.log.request = lambda event, request_id, **each: told.append(each)
+            logged = []
+            context.log.request = lambda event, request_id, **each: logged.append(each)
             await fleet.call("/idempotent/")
             await fleet.call("/idempotent/")
-        ended = [each for each in told if each.get("reason") == "answered"]
+        ended = [each for each in logged if each.get("reason") == "answered"]
         assert [(each["cost"], each["counted"]) for each in ended] == [(1, 1), (1, 2)]
         assert {(each["limit"], each["share"]) for each in ended} == {(32550, 1.0)}
 
-    async def test_lowered_limit_counts_from_when_it_is_in_force(self, running):
-        """What was spent before, lawfully, is not held against the account."""
+    async def test_lowered_limit_applies_from_its_activation(self, running):
+        """Spending under the previous limit is not charged to the new one."""
 
         def limited(fleet):
             fleet.tenants[0].update({"rate-per-s": 1, "burst": 30})
@@ -312,10 +312,10 @@
 
 
 class TestMetrics:
-    """What the metrics address serves."""
+    """Output of the metrics address."""
 
-    async def test_counters_and_beliefs(self, running):
-        """Ends by kind, rank, status and reason; beliefs by target."""
+    async def test_counters_and_gauges(self, running):
+        """Counters of ended requests and gauges of targets."""
         async with running(answers("ok")) as fleet:
             await fleet.call("/idempotent/")
             await fleet.call("/nowhere/")
--- a/libs/direct/tests/test_direct_quarantine.py
+++ b/libs/direct/tests/test_direct_quarantine.py
@@ -1,18 +1,7 @@
-"""A request that ends the targets that run it.
+"""Requests that terminate the targets that run them.
 
-One request of a client account came again and again, each time under a new id and
-mostly at another router, and each target that began to run it ended some 0.1 s later,
-with up to a dozen other requests. Within 15 s it had ended 19 targets of a service that
-has nine. Nothing tied the ends together: the bound of attempts and the budget of
-repeats count the sends of one attempt, and each return was a first one. On routes that
-may be repeated a router took it to the next target by itself.
-
-Three of the fourteen ends, as the routers logged them (route, account and sizes of the
-prompt and of the output in tokens; all other requests of these targets differ):
-
-    69.229 i-783c741a2c  r-xtwfbz8 puse440 310 57  502 attempt-broken, took 87.4 ms
-    69.560 i-031608e3ad  r-xtwfbz8 puse440 310 57  502 attempt-broken, took 132.8 ms
-    69.869 i-6b3b483f07  r-xtwfbz8 puse440 310 57  502 attempt-broken, took 145.0 ms
+Guards against a request that comes again under new ids and at other routers, and
+terminates more targets than the service can lose.
 """
 
 import pytest
@@ -22,28 +11,28 @@
 
 pytestmark = pytest.mark.anyio
 
-GUILTY = b"ends who runs it"
-ENDS_ALLOWED = 3
-"""Targets that a request may end before it is known."""
-SENDS_ALLOWED = 3
-"""Sends of it that are allowed once it is known, by all routers together."""
+FAULTY_BODY = b"ends who runs it"
+MAX_CRASHES = 3
+"""Largest number of targets that a request may terminate before it is quarantined."""
+MAX_LATE_ATTEMPTS = 3
+"""Largest number of attempts by all routers after that."""
 TARGETS = 4
-RETURNS = 12
+REPEATS = 12
 LAPSE_S = 0.1
-"""Time after which the entry of a target that has ended lapses."""
+"""Time after which the entry of a terminated target lapses."""
 PAUSE_S = 0.4
-"""Time between two returns: routers tell each other within a fraction of it."""
+"""Interval between repetitions, longer than routers need to update each other."""
 
 
 class Engines:
-    """Targets that end when they run a guilty request; each is soon replaced."""
+    """Targets that terminate when they run a faulty request and are then replaced."""
 
     def __init__(self, fleet, free_port):
         self.fleet = fleet
         self.free_port = free_port
-        self.ended = []
+        self.crashed = []
 
-    async def begin(self):
+    async def start_target(self):
         """Start a target and list it."""
         number = len(self.fleet.targets)
         target = ScriptedTarget(f"i-{number}", self.free_port(), None)
@@ -54,20 +43,20 @@
 
     def _script_of(self, target):
         async def script(request, writer):
-            if request.body != GUILTY:
+            if request.body != FAULTY_BODY:
                 await answers("ok")(request, writer)
                 return
-            self.ended.append(target.target_id)
+            self.crashed.append(target.target_id)
             await target.crash()
             await sleep(LAPSE_S)
             self.fleet.platform.store.delete(f"servers/{target.target_id}".encode())
-            await self.begin()
+            await self.start_target()
 
         return script
 
 
-class TestGuiltyRequest:
-    """What it may still do."""
+class TestFaultyRequest:
+    """Limits for a request that terminates targets."""
 
     @pytest.fixture
     def engines(self, free_port):
@@ -76,55 +65,57 @@
         async def start(fleet):
             engines = Engines(fleet, free_port)
             for _ in range(TARGETS):
-                await engines.begin()
+                await engines.start_target()
             await fleet.until_ready()
             return engines
 
         return start
 
-    async def test_returns_at_any_router_are_bounded(self, running, beside, engines):
-        """It ends a few targets, however often it comes, and others are served."""
+    async def test_repetitions_at_all_routers_are_bounded(
+        self, running, beside, engines
+    ):
+        """The number of terminated targets is bounded and other requests are served."""
         route = ("streaming",)
         async with (
             running(routes=route) as fleet,
             beside({"name": "edge-2"}) as (second,),
         ):
-            ends = await engines(fleet)
+            started_engines = await engines(fleet)
             routers = (fleet.settings, second._context.settings)
             targets = second._context.targets.by_id
             await fleet.until(lambda: len(targets) == TARGETS)
-            for number in range(RETURNS):
+            for number in range(REPEATS):
                 fleet.settings = routers[number % 2]
-                reply = await fleet.call("/streaming/x", body=GUILTY)
+                reply = await fleet.call("/streaming/x", body=FAULTY_BODY)
                 assert reply.status in (502, 503)
                 await sleep(PAUSE_S)
                 other = await fleet.call("/streaming/x", body=b"harmless")
                 assert other.status == 200
-        assert len(ends.ended) <= ENDS_ALLOWED + SENDS_ALLOWED
+        assert len(started_engines.crashed) <= MAX_CRASHES + MAX_LATE_ATTEMPTS
 
-    async def test_own_repeats_are_bounded(self, running, engines):
-        """One attempt of a caller does not go on from target to target."""
+    async def test_retries_are_bounded(self, running, engines):
+        """Retries of a single request are bounded as well."""
 
         def many_attempts(fleet):
             fleet.routes[0]["max-attempts"] = 8
 
         async with running(prepare=many_attempts, retry_slack=50) as fleet:
-            ends = await engines(fleet)
-            reply = await fleet.call("/idempotent/x", body=GUILTY)
+            started_engines = await engines(fleet)
+            reply = await fleet.call("/idempotent/x", body=FAULTY_BODY)
         assert reply.status == 502
-        assert 1 <= len(ends.ended) <= ENDS_ALLOWED
+        assert 1 <= len(started_engines.crashed) <= MAX_CRASHES
 
-    async def test_life_that_began_anew_counts_as_an_end(self, running):
-        """A target that is listed with a later life has ended without a word."""
+    async def test_restart_counts_as_crash(self, running):
+        """An entry with a later start time shows that the target has terminated."""
 
-        async def begins_anew(request, writer):
+        async def restarts(request, writer):
             fleet.put_target(fleet.targets[0], born=2)
             await sleep(1.0)
 
-        def first_life(fleet):
+        def put_first_incarnation(fleet):
             fleet.put_target(fleet.targets[0], born=1)
 
-        async with running(begins_anew, prepare=first_life) as fleet:
+        async with running(restarts, prepare=put_first_incarnation) as fleet:
             context = fleet.router._context
-            await fleet.call("/idempotent/x", body=GUILTY, Deadline_Ms="3000")
+            await fleet.call("/idempotent/x", body=FAULTY_BODY, Deadline_Ms="3000")
             assert len(context.quarantine) == 1
--- a/libs/direct/tests/test_direct_quarantine_fleet.py
+++ b/libs/direct/tests/test_direct_quarantine_fleet.py
@@ -1,9 +1,8 @@
-"""The bound on guilty requests holds over many routers, and nobody else is held back.
+"""Simulations of the quarantine with 2 to 20 routers in virtual time.
 
-Plays of 2 to 20 routers in virtual time: guilty requests that come again at any router,
-harmless ones beside them, ends without fault (of one target, of a whole domain), resets
-of connections, lost messages, routers that are killed, all together or cut off, and a
-store that is away.
+Faulty requests are repeated at any router while targets, failure domains, connections,
+messages, routers and the store fail. The number of attempts of a faulty request must be
+bounded, and harmless requests must be served.
 """
 
 import os
@@ -11,12 +10,12 @@
 
 import pytest
 
-from virtual_quarantine import Plants, QuarantinePlay
+from virtual_quarantine import Defect, QuarantineSimulation
 
-SENDS_ALLOWED = 3
-"""Sends of a request after the third target ended under it, by all routers in touch."""
-HELD_BACK_SHARE = 0.001
-"""Part of the harmless requests that may be held back."""
+MAX_LATE_ATTEMPTS = 3
+"""Attempts of a request after its third target terminated, by all connected routers."""
+MAX_QUARANTINED_SHARE = 0.001
+"""Share of the harmless requests that may be quarantined."""
 ALL_FAULTS = (
     "end_one",
     "end_domain",
@@ -32,126 +31,130 @@
 ]
 
 
-def drawn_play(seed, **changes):
-    """Return a play with sizes and faults of a seed."""
+def random_simulation(seed, **changes):
+    """Return a simulation whose sizes and faults are drawn from a seed."""
     random = Random(f"sizes {seed}")
     values = {
         "routers": random.choice((2, 4, 6, 12, 20)),
         "engines": random.choice((4, 9, 30)),
-        "guilty": random.choice((1, 1, 2, 4)),
+        "faulty": random.choice((1, 1, 2, 4)),
         "faults": random.sample(ALL_FAULTS, random.randint(1, len(ALL_FAULTS))),
     }
-    return QuarantinePlay(seed, **{**values, **changes})
+    return QuarantineSimulation(seed, **{**values, **changes})
 
 
-def worst(figures):
-    """Return the most sends of one request that count."""
-    return max(figures.sent_late.values(), default=0)
+def max_late_attempts(results):
+    """Return the largest number of late attempts of one request."""
+    return max(results.sent_late.values(), default=0)
 
 
 class TestFleet:
-    """Whatever happens."""
-
-    def test_sends_are_bounded_and_innocents_served(self):
-        """By all routers together, over all seeds."""
-        played = [drawn_play(seed).play() for seed in SEEDS]
-        assert max(map(worst, played)) <= SENDS_ALLOWED
-        held_back = sum(figures.innocents_held_back for figures in played)
-        assert held_back <= HELD_BACK_SHARE * sum(each.innocents for each in played)
-
-    def test_ends_without_fault_hold_nobody_back(self):
-        """Nor do resets, cuts and kills where no request is guilty."""
-        played = [drawn_play(seed, guilty=0).play() for seed in SEEDS]
-        held_back = sum(figures.innocents_held_back for figures in played)
-        assert held_back <= HELD_BACK_SHARE * sum(each.innocents for each in played)
-
-    def test_calm_day_causes_no_calls_of_the_store(self):
-        """But for the one with which each router reads the records at its start."""
-        figures = drawn_play(1, routers=6, guilty=0, faults=()).play()
-        assert figures.store_calls == 6
-
-    def test_second_trial_comes_ten_minutes_later(self):
-        """Two trials in all: a request that stays guilty ends five targets or six."""
-        figures = drawn_play(
+    """Random faults."""
+
+    def test_attempts_are_bounded_and_harmless_requests_served(self):
+        """Limits over all routers and seeds."""
+        all_results = [random_simulation(seed).simulate() for seed in SEEDS]
+        assert max(map(max_late_attempts, all_results)) <= MAX_LATE_ATTEMPTS
+        quarantined = sum(results.harmless_quarantined for results in all_results)
+        assert quarantined <= MAX_QUARANTINED_SHARE * sum(
+            each.harmless for each in all_results
+        )
+
+    def test_crashes_without_faulty_request_quarantine_nothing(self):
+        """Faults do not quarantine requests if no request is faulty."""
+        all_results = [random_simulation(seed, faulty=0).simulate() for seed in SEEDS]
+        quarantined = sum(results.harmless_quarantined for results in all_results)
+        assert quarantined <= MAX_QUARANTINED_SHARE * sum(
+            each.harmless for each in all_results
+        )
+
+    def test_store_calls_without_faults(self):
+        """Each router only loads the records at its start."""
+        results = random_simulation(1, routers=6, faulty=0, faults=()).simulate()
+        assert results.store_calls == 6
+
+    def test_number_of_crashes_with_two_trials(self):
+        """A faulty request gets two trials, so it terminates at most six targets."""
+        results = random_simulation(
             2,
             routers=4,
             engines=9,
-            guilty=1,
+            faulty=1,
             faults=(),
-            lasts_s=800.0,
-            innocents_per_s=1.0,
-        ).play()
-        (ended,) = figures.ended_by.values()
+            duration_s=800.0,
+            harmless_per_s=1.0,
+        ).simulate()
+        (ended,) = results.crashes_by_identity.values()
         assert 5 <= ended <= 6
-        assert worst(figures) <= SENDS_ALLOWED
+        assert max_late_attempts(results) <= MAX_LATE_ATTEMPTS
 
 
-class WithAttemptId(Plants):
-    """Each return is another request."""
+class IdentityByAttempt(Defect):
+    """Every repetition counts as a different request."""
 
-    def known_as(self, identity):
-        """Return something new each time."""
+    def identity_of(self, identity):
+        """Return a different identity each time."""
         return identity[:4] + os.urandom(12)
 
 
-class OnlyTheNewest(Plants):
+class BlamesOnlyNewest(Defect):
     """Only the request that was sent last is blamed."""
 
-    def note_ended(self, router, identity, engine, incarnation_id):
-        """Note it if it was sent last."""
-        newest = engine.newest_by_life.get(incarnation_id, ())
+    def on_connection_closed(self, router, identity, engine, incarnation_id):
+        """Record the crash if the request was sent last."""
+        newest = engine.newest_by_incarnation.get(incarnation_id, ())
         if any(run.identity == identity for run in newest):
-            super().note_ended(router, identity, engine, incarnation_id)
+            super().on_connection_closed(router, identity, engine, incarnation_id)
 
 
-class NoSharing(Plants):
-    """Routers tell each other nothing."""
+class NoSharing(Defect):
+    """Routers do not exchange messages."""
 
     no_sharing = True
 
 
-class NoStore(Plants):
-    """Nothing outlives the routers."""
+class NoStore(Defect):
+    """Records are not stored."""
 
     no_store = True
 
 
-def planted_play(faults, **changes):
-    """Play a fleet in which a request is sent once, and comes again after seconds."""
-    play = drawn_play(
+def simulate_defect(faults, **changes):
+    """Run a simulation in which a faulty request is repeated after seconds."""
+    simulation = random_simulation(
         1,
         routers=6,
         engines=9,
-        guilty=1,
+        faulty=1,
         faults=faults,
-        guilty_run_s=0.5,
-        returns_after_s=(2.0, 5.0),
+        faulty_run_s=0.5,
+        repeats_after_s=(2.0, 5.0),
         fault_after_s=(10.0, 14.0),
         attempts=1,
-        lasts_s=60.0,
+        duration_s=60.0,
         **changes,
     )
-    return play.play()
+    return simulation.simulate()
 
 
-class TestPlantedFaults:
-    """The plays show what is wrong: each of these breaks the bound."""
+class TestInjectedDefects:
+    """Injected defects that the simulation must detect."""
 
     @pytest.mark.parametrize(
-        ("plants", "faults"),
+        ("defect", "faults"),
         [
-            (WithAttemptId, ()),
-            (OnlyTheNewest, ()),
+            (IdentityByAttempt, ()),
+            (BlamesOnlyNewest, ()),
             (NoSharing, ()),
             (NoStore, ("kill_all",)),
         ],
     )
-    def test_fault_is_shown(self, plants, faults):
-        """More is sent than is allowed."""
-        figures = planted_play(faults, plants=plants())
-        assert worst(figures) > SENDS_ALLOWED
+    def test_defect_is_detected(self, defect, faults):
+        """The bound on attempts is exceeded."""
+        results = simulate_defect(faults, defect=defect())
+        assert max_late_attempts(results) > MAX_LATE_ATTEMPTS
 
-    def test_same_play_without_a_fault_is_fine(self):
-        """So that it is the fault that is shown."""
+    def test_simulation_without_defect_passes(self):
+        """Without a defect, the same simulation passes."""
         for faults in ((), ("kill_all",)):
-            assert worst(planted_play(faults)) <= SENDS_ALLOWED
+            assert max_late_attempts(simulate_defect(faults)) <= MAX_LATE_ATTEMPTS
--- a/libs/direct/tests/test_direct_quarantine_records.py
+++ b/libs/direct/tests/test_direct_quarantine_records.py
@@ -1,11 +1,11 @@
-"""What the store keeps of requests under which targets ended."""
+"""Quarantine records in the store."""
 
 from json import dumps, loads
 
 import pytest
 from anyio import sleep
 
-from berylwalk.direct import _quarantine_store as note_module
+from berylwalk.direct import _quarantine_store as store_module
 from berylwalk.quarantine import (
     BodyHash,
     Quarantine,
@@ -18,24 +18,24 @@
 pytestmark = pytest.mark.anyio
 PREFIX = "berylwalk/quarantine/"
 BODY = b"ends who runs it"
-LIVES = ["x-1", "x-2", "x-3"]
+INCARNATION_IDS = ["x-1", "x-2", "x-3"]
 
 
 def identity():
-    """Return what the router takes the request for."""
+    """Return the identity of the request."""
     body_hash = BodyHash()
     body_hash.add(BODY)
     return request_identity("t", b"POST", b"/idempotent/x", body_hash.digest())
 
 
 def key():
-    """Return where its record lies."""
+    """Return the key of its record."""
     return f"{PREFIX}{identity().hex()}".encode()
 
 
-def noted(trials=0, value=None):
-    """Return a preparation that writes the record of an earlier life."""
-    record = {"ended": LIVES, "trials": trials, "noted_s": 1.0e9}
+def stored_record(trials=0, value=None):
+    """Return a preparation that writes a record before the router starts."""
+    record = {"ended": INCARNATION_IDS, "trials": trials, "noted_s": 1.0e9}
 
     def prepare(fleet):
         fleet.platform.store.put(key(), value or dumps(record).encode())
@@ -44,25 +44,25 @@
 
 
 def quarantine_of(fleet):
-    """Return what the router believes."""
+    """Return the router's quarantine."""
     return fleet.router._context.quarantine
 
 
 @pytest.fixture
-def soon(monkeypatch):
-    """Have trials, looks and writes come at once, and records last."""
+def no_delays(monkeypatch):
+    """Run trials, scans and writes without delay, and never expire records."""
     monkeypatch.setattr(quarantine_module, "TRIAL_DELAYS_S", (0.0, 0.0))
-    monkeypatch.setattr(note_module, "SYNC_INTERVAL_S", 0.02)
-    monkeypatch.setattr(note_module, "SCAN_INTERVAL_S", 0.0)
-    monkeypatch.setattr(note_module, "RECORD_TTL_S", float("inf"))
+    monkeypatch.setattr(store_module, "SYNC_INTERVAL_S", 0.02)
+    monkeypatch.setattr(store_module, "SCAN_INTERVAL_S", 0.0)
+    monkeypatch.setattr(store_module, "RECORD_TTL_S", float("inf"))
 
 
 class TestRecords:
-    """They outlive all routers."""
+    """Records survive a restart of all routers."""
 
-    async def test_blame_outlives_all_routers(self, running):
-        """A router that starts holds back what an earlier life blamed."""
-        async with running(answers("ok"), prepare=noted()) as fleet:
+    async def test_blame_survives_restart(self, running):
+        """A starting router rejects requests that were blamed before."""
+        async with running(answers("ok"), prepare=stored_record()) as fleet:
             blames = quarantine_of(fleet).blames
             await fleet.until(lambda: identity() in blames)
             reply = await fleet.call("/idempotent/x", body=BODY)
@@ -73,96 +73,98 @@
         assert [each.body for each in fleet.targets[0].received] == [b"another"]
 
     async def test_blame_is_written(self, running):
-        """Once for two ends and once for three."""
+        """The record contains all crashed incarnations."""
         async with running(answers("ok")) as fleet:
             store = fleet.platform.store
-            for number, incarnation_id in enumerate(LIVES):
+            for number, incarnation_id in enumerate(INCARNATION_IDS):
                 quarantine_of(fleet).record_crash(
                     identity(), incarnation_id, float(number)
                 )
 
             def is_written():
                 item = store.get(key())
-                return item is not None and loads(item.value)["ended"] == LIVES
+                return (
+                    item is not None and loads(item.value)["ended"] == INCARNATION_IDS
+                )
 
             await fleet.until(is_written)
 
-    async def test_record_that_makes_no_sense_is_passed_over(self, running):
-        """It is told, and the others are read."""
-        prepare = noted(value=b'{"ended": 3}')
+    async def test_unreadable_record_is_ignored(self, running):
+        """The unreadable record is ignored."""
+        prepare = stored_record(value=b'{"ended": 3}')
         async with running(answers("ok"), prepare=prepare) as fleet:
             reply = await fleet.call("/idempotent/x", body=BODY)
         assert reply.status == 200
 
-    async def test_record_that_makes_no_sense_is_written_anew(
-        self, running, soon, monkeypatch
+    async def test_unreadable_record_is_overwritten(
+        self, running, no_delays, monkeypatch
     ):
-        """With no trials left, since those that it had are not known.
+        """It is overwritten without remaining trials, since their number is unknown.
 
-        It would be deleted if it were read before the ends are known.
+        Deletion is suppressed, because it would come first without evidence.
         """
 
-        async def keep(note):
+        async def keep(store):
             pass
 
-        monkeypatch.setattr(note_module.QuarantineStore, "_delete_cleared", keep)
-        prepare = noted(value=b'{"ended": 3}')
+        monkeypatch.setattr(store_module.QuarantineStore, "_delete_cleared", keep)
+        prepare = stored_record(value=b'{"ended": 3}')
         async with running(answers("ok"), prepare=prepare) as fleet:
             store = fleet.platform.store
-            for incarnation_id in LIVES:
+            for incarnation_id in INCARNATION_IDS:
                 quarantine_of(fleet).record_crash(identity(), incarnation_id, 0.0)
 
             def record():
                 item = store.get(key())
                 return {} if item is None else loads(item.value)
 
-            await fleet.until(lambda: record().get("ended") == LIVES)
+            await fleet.until(lambda: record().get("ended") == INCARNATION_IDS)
             assert record()["trials"] == 2
 
 
 class TestTrials:
-    """A permit is a write under a condition."""
+    """A trial permit is a compare-and-swap on the record."""
 
-    async def test_trial_that_is_answered_ends_the_blame(self, running, soon):
-        """And the record."""
-        async with running(answers("ok"), prepare=noted()) as fleet:
+    async def test_successful_trial_ends_the_blame(self, running, no_delays):
+        """The record is deleted as well."""
+        async with running(answers("ok"), prepare=stored_record()) as fleet:
             await fleet.until(lambda: identity() in quarantine_of(fleet).blames)
             reply = await fleet.call("/idempotent/x", body=BODY)
             assert reply.status == 200
             assert not quarantine_of(fleet).blames
             await fleet.until(lambda: fleet.platform.store.get(key()) is None)
 
-    async def test_trial_is_not_used_up_by_a_target_that_is_gone(self, running, soon):
-        """What was not sent goes on to the next target."""
+    async def test_unsent_trial_is_retried(self, running, no_delays):
+        """A request that was not sent is retried on the next target."""
         ok = answers("ok")
-        async with running(ok, ok, ok, prepare=noted(trials=1)) as fleet:
+        async with running(ok, ok, ok, prepare=stored_record(trials=1)) as fleet:
             await fleet.until(lambda: identity() in quarantine_of(fleet).blames)
             for target in fleet.targets[:2]:
                 await target.crash()
             reply = await fleet.call("/idempotent/x", body=BODY)
         assert reply.status == 200
 
-    async def test_no_trial_without_the_store(self, running, soon):
-        """Others may have taken it."""
-        async with running(answers("ok"), prepare=noted()) as fleet:
+    async def test_no_trial_without_the_store(self, running, no_delays):
+        """Other routers may have taken the trial."""
+        async with running(answers("ok"), prepare=stored_record()) as fleet:
             await fleet.until(lambda: identity() in quarantine_of(fleet).blames)
             fleet.platform.faults.down = True
             reply = await fleet.call("/idempotent/x", body=BODY)
         assert reply.status == 503
         assert not fleet.targets[0].received
 
-    async def test_no_trial_when_all_were_given(self, running, soon):
-        """Also if this router has not heard of them."""
-        async with running(answers("ok"), prepare=noted(trials=2)) as fleet:
+    async def test_no_trial_after_the_last_one(self, running, no_delays):
+        """The router may not have received the trials of others."""
+        async with running(answers("ok"), prepare=stored_record(trials=2)) as fleet:
             await fleet.until(lambda: identity() in quarantine_of(fleet).blames)
             for _ in range(3):
                 reply = await fleet.call("/idempotent/x", body=BODY)
                 assert reply.status == 503
         assert not fleet.targets[0].received
 
-    async def test_lost_answer_is_no_permit(self, running, soon):
-        """It may have been written, and counts as given."""
-        async with running(answers("ok"), prepare=noted(trials=1)) as fleet:
+    async def test_lost_response_grants_no_permit(self, running, no_delays):
+        """The write may have succeeded, so the trial counts as taken."""
+        async with running(answers("ok"), prepare=stored_record(trials=1)) as fleet:
             await fleet.until(lambda: identity() in quarantine_of(fleet).blames)
             store = fleet.platform.store
             await fleet.until(lambda: store.get(b"berylwalk/routers/edge-1"))
@@ -176,12 +178,14 @@
 
 
 class TestOperators:
-    """Who is on call lets a request through by deleting its record."""
+    """Operators release a request by deleting its record."""
 
-    async def test_deleted_record_lets_it_through(self, running, soon, monkeypatch):
-        """At all routers, within a look."""
+    async def test_deleted_record_releases_the_request(
+        self, running, no_delays, monkeypatch
+    ):
+        """All routers release it at their next scan."""
         monkeypatch.setattr(quarantine_module, "TRIAL_DELAYS_S", (60.0, 600.0))
-        async with running(answers("ok"), prepare=noted()) as fleet:
+        async with running(answers("ok"), prepare=stored_record()) as fleet:
             await fleet.until(lambda: identity() in quarantine_of(fleet).blames)
             fleet.platform.store.delete(key())
             await fleet.until(lambda: not quarantine_of(fleet).blames)
@@ -192,13 +196,13 @@
 
 
 class TestSuspendedRouter:
-    """Its steady clock stood still, and the time that counts went on."""
+    """A router whose monotonic clock stopped during a suspension of its VM."""
 
-    def test_answer_read_after_a_suspension_proves_nothing_after_it_was_sent(self):
-        """The target may have ended while the router was suspended.
+    def test_response_after_suspension_is_dated_by_its_sending(self):
+        """The target may have terminated while the router was suspended.
 
-        The request was sent at 1 s, and its answer read at 31 s: 30 s of that are not
-        in the steady clock, by which it would count as sent at 31 s.
+        The request was sent at 1 s and its response read at 31 s. On a clock that
+        excludes the suspension, it would seem to have been sent at 31 s.
         """
         router, other = Quarantine(), Quarantine()
         for each in (router, other):
@@ -211,7 +215,7 @@
         assert other.status(identity(), 31.0) is QuarantineStatus.FREE
 
     async def test_router_counts_suspension(self, running):
-        """By a clock that goes on then, at the moment of sending."""
+        """The time of sending is taken from a clock that includes the suspension."""
         async with running(answers("ok")) as fleet:
             context = fleet.router._context
             offset_s = 0.0
--- a/libs/direct/tests/test_direct_requests.py
+++ b/libs/direct/tests/test_direct_requests.py
@@ -1,4 +1,4 @@
-"""What becomes of a request when targets misbehave."""
+"""Forwarding of requests to targets that fail, refuse or stall."""
 
 import pytest
 from anyio import sleep
@@ -10,47 +10,47 @@
 
 
 def resumable(fleet):
-    """Allow the stream to go on at another target."""
+    """Make the route resumable."""
     fleet.routes[0]["resumable"] = True
 
 
 async def refuses(request, writer):
-    """Answer that the request did not run."""
+    """Refuse the request as not executed."""
     writer.write(head(request, status="503 Full", length=0, more="Not-Executed: 1\r\n"))
 
 
-async def breaks(request, writer):
-    """Close the connection without an answer."""
+async def resets(request, writer):
+    """Close the connection without a response."""
     raise ConnectionResetError
 
 
 async def truncates(request, writer):
-    """Close the connection in the middle of the answer."""
+    """Close the connection in the middle of the response."""
     writer.write(head(request, length=10) + b"half")
     await writer.drain()
     raise ConnectionResetError
 
 
 async def garbles(request, writer):
-    """Send bytes that are no answer."""
+    """Send bytes that are not a response."""
     writer.write(b"\x00nonsense\r\n\r\n")
 
 
 async def hangs(request, writer):
-    """Never answer."""
+    """Never respond."""
     await sleep(60)
 
 
 def total_received(fleet):
-    """Return the number of requests that targets got."""
+    """Return the number of requests received by targets."""
     return sum(len(target.received) for target in fleet.targets)
 
 
 class TestForwarding:
-    """What passes through."""
+    """Forwarding without faults."""
 
     async def test_request_and_answer_are_unchanged(self, running):
-        """Method, path, body, id, status, seal and body are the same."""
+        """Method, path, body, id, status, seal and body are forwarded unchanged."""
         async with running(answers('{"a": 1}')) as fleet:
             reply = await fleet.call("/idempotent/x?y=1", body=b"abc", request_id="id7")
         (received,) = fleet.targets[0].received
@@ -63,8 +63,8 @@
         assert (reply.status, reply.body) == (200, b'{"a": 1}')
         assert reply.headers["server-seal"] == "sealed"
 
-    async def test_time_that_is_left(self, running):
-        """A target gets no more than the caller's time and the route's."""
+    async def test_remaining_time_is_forwarded(self, running):
+        """Targets get the earlier deadline of the caller and the route."""
         async with running(answers("ok")) as fleet:
             await fleet.call("/idempotent/", Deadline_Ms="500")
             await fleet.call("/idempotent/", Deadline_Ms="60000")
@@ -74,8 +74,8 @@
         assert 0 < limits[0] <= 500
         assert 500 < limits[1] <= 10_000
 
-    async def test_connection_to_target_is_used_again(self, running):
-        """Requests one after the other need one connection."""
+    async def test_target_connection_is_reused(self, running):
+        """Sequential requests use one connection."""
         async with running(answers("ok")) as fleet:
             for _ in range(5):
                 await fleet.call("/idempotent/")
@@ -83,7 +83,7 @@
         assert opened == 1
 
     async def test_requests_on_one_connection(self, running):
-        """A caller keeps its connection."""
+        """A caller's connection is kept alive."""
         async with running(answers("ok")) as fleet:
             reader, writer = await fleet.connect()
             for _ in range(3):
@@ -99,48 +99,50 @@
             ("/idempotent/", {"Token_Count": "x"}, 400),
         ],
     )
-    async def test_bad_requests_reach_no_target(self, running, path, headers, status):
-        """They are answered at once."""
+    async def test_invalid_requests_reach_no_target(
+        self, running, path, headers, status
+    ):
+        """Invalid requests are rejected immediately."""
         async with running(answers("ok")) as fleet:
             reply = await fleet.call(path, **headers)
         assert reply.status == status
         assert total_received(fleet) == 0
 
 
-class TestOnce:
-    """Requests that may run at most once."""
+class TestNonIdempotent:
+    """Requests that must not run more than once."""
 
-    @pytest.mark.parametrize("script", [breaks, truncates, garbles])
-    async def test_unknown_outcome_is_not_repeated(self, running, script):
-        """One target gets it, and the answer promises nothing."""
+    @pytest.mark.parametrize("script", [resets, truncates, garbles])
+    async def test_unknown_outcome_is_not_retried(self, running, script):
+        """Only one target gets the request, and the status makes no promise."""
         async with running(script, script, routes=("non_idempotent",)) as fleet:
             reply = await fleet.call("/non_idempotent/")
         assert reply.status == 502
         assert total_received(fleet) == 1
 
-    async def test_refused_requests_go_elsewhere(self, running):
-        """A target that says that it did not run it can be passed over."""
+    async def test_refused_request_is_retried(self, running):
+        """A request that was not executed is retried on another target."""
         async with running(refuses, answers("ok"), routes=("non_idempotent",)) as fleet:
             replies = [await fleet.call("/non_idempotent/") for _ in range(4)]
         assert {reply.status for reply in replies} == {200}
 
-    async def test_promise_of_not_run_is_true(self, running):
-        """Refused everywhere: 503 and when to come back."""
+    async def test_request_refused_by_all_targets(self, running):
+        """If all targets refuse, the response is 503 with ``Retry-After``."""
         async with running(refuses, refuses, routes=("non_idempotent",)) as fleet:
             reply = await fleet.call("/non_idempotent/", Deadline_Ms="3000")
         assert reply.status == 503
         assert 0 < float(reply.headers["retry-after"]) <= 1.0
 
-    async def test_own_failure_of_a_target_is_passed_on(self, running):
-        """A target's 500 is its answer, seal and all."""
+    async def test_target_error_is_forwarded(self, running):
+        """A target's 500 is forwarded with its seal."""
         script = answers("broken", status="500 Error")
         async with running(script, routes=("non_idempotent",)) as fleet:
             reply = await fleet.call("/non_idempotent/")
         assert (reply.status, reply.body) == (500, b"broken")
         assert reply.headers["server-seal"] == "sealed"
 
-    async def test_unreachable_target_is_passed_over(self, running):
-        """Nothing was sent, so another target may run it."""
+    async def test_unreachable_target_is_skipped(self, running):
+        """Nothing was sent, so another target may run the request."""
         async with running(
             answers("ok"), answers("ok"), routes=("non_idempotent",)
         ) as fleet:
@@ -149,11 +151,11 @@
         assert {reply.status for reply in replies} == {200}
 
 
-class TestFault:
-    """A fault of the router's own in the handling of a request."""
+class TestUnexpectedError:
+    """Unexpected errors while handling a request."""
 
-    async def test_other_requests_go_on(self, running, monkeypatch):
-        """That one is cut; the process stays, and tells."""
+    async def test_other_requests_are_served(self, running, monkeypatch):
+        """Only that request is aborted, and the error is counted."""
         async with running(answers("ok")) as fleet:
             dispatcher = fleet.router._context.dispatcher
 
@@ -170,17 +172,17 @@
         assert "berylwalk_exchanges_failed_total 1.0" in text
 
 
-class TestInTime:
-    """Answers that would begin too late."""
+class TestLateTargets:
+    """Targets that would respond too late."""
 
     def slow_down(self, fleet, target_id):
-        """Make a target known to be slow, and busy."""
+        """Make a target slow and busy."""
         target = fleet.router._context.targets.by_id[target_id]
         target.fixed_s = 1000.0
         fleet.router._context.targets.replace_peer_loads("edge-2", {target_id: (3, 0)})
 
-    async def test_request_is_refused_soon_and_told_when_to_return(self, running):
-        """The only target is busy and slow; it gets nothing that would be late."""
+    async def test_late_request_is_rejected_with_retry_after(self, running):
+        """The request is not sent to the only target, which is slow and busy."""
         async with running(answers("ok")) as fleet:
             self.slow_down(fleet, "i-0")
             reply = await fleet.call("/idempotent/", Deadline_Ms="3000")
@@ -188,9 +190,9 @@
         assert float(reply.headers["retry-after"]) > 0
         assert total_received(fleet) == 0
 
-    async def test_repeated_request_goes_where_it_is_late(self, running):
-        """A target has failed it: late is better than not at all."""
-        async with running(breaks, answers("ok")) as fleet:
+    async def test_retry_is_sent_to_late_target(self, running):
+        """After a failed attempt, a late response is better than none."""
+        async with running(resets, answers("ok")) as fleet:
             fleet.router._context.targets.by_id["i-0"].fixed_s = 0.001
             self.slow_down(fleet, "i-1")
             reply = await fleet.call("/idempotent/")
@@ -198,32 +200,32 @@
         assert [len(target.received) for target in fleet.targets] == [1, 1]
 
 
-class TestRepeated:
+class TestIdempotent:
     """Requests that may run more than once."""
 
-    @pytest.mark.parametrize("script", [breaks, truncates, garbles])
-    async def test_other_target_answers(self, running, script):
-        """The caller gets one whole answer."""
+    @pytest.mark.parametrize("script", [resets, truncates, garbles])
+    async def test_request_is_retried_on_another_target(self, running, script):
+        """The caller gets one complete response."""
         async with running(script, answers("ok")) as fleet:
             for _ in range(4):
                 reply = await fleet.call("/idempotent/")
                 assert (reply.status, reply.body) == (200, b"ok")
 
     async def test_attempts_are_bounded(self, running):
-        """No more targets run it than the route allows."""
-        async with running(breaks, breaks, breaks, breaks) as fleet:
+        """The number of attempts does not exceed that of the route."""
+        async with running(resets, resets, resets, resets) as fleet:
             reply = await fleet.call("/idempotent/")
         assert reply.status == 502
         assert total_received(fleet) == 2
 
-    async def test_budget_ends_repeats(self, running):
-        """Without a budget the first failure is the last."""
-        async with running(breaks, breaks, retry_slack=0, retry_ratio=0) as fleet:
+    async def test_retry_budget_is_respected(self, running):
+        """Without a budget, the first failure is final."""
+        async with running(resets, resets, retry_slack=0, retry_ratio=0) as fleet:
             assert (await fleet.call("/idempotent/")).status == 502
         assert total_received(fleet) == 1
 
-    async def test_late_second_answer_belongs_to_nobody(self, running):
-        """A doubled answer never reaches the next caller."""
+    async def test_duplicate_response_is_dropped(self, running):
+        """A duplicate response never reaches the next caller."""
 
         async def doubles(request, writer):
             whole = head(request, length=3) + request.path[-3:].encode()
@@ -240,30 +242,30 @@
 
 
 class TestStreams:
-    """Streams, whole and broken."""
+    """Complete and truncated streams."""
 
-    async def test_stream_is_whole_and_in_order(self, running):
-        """All events, once, and a proper end."""
+    async def test_stream_is_complete_and_in_order(self, running):
+        """All events arrive once, followed by a proper end."""
         async with running(streams(1, 20), routes=STREAM) as fleet:
             reply = await fleet.call("/streaming/")
         assert reply.whole
         assert reply.body == b"".join(map(event, range(1, 21)))
         assert reply.headers["server-seal"] == "sealed"
 
-    async def test_broken_stream_shows_to_be_incomplete(self, running):
-        """Only whole events are passed on, and no proper end."""
+    async def test_truncated_stream_is_incomplete(self, running):
+        """Only complete events are forwarded, without a proper end."""
         script = streams(1, 20, until=5, rest=b"id: 6\nda")
         async with running(script, routes=STREAM) as fleet:
             reply = await fleet.call("/streaming/")
         assert not reply.whole
         assert reply.body == b"".join(map(event, range(1, 6)))
 
-    async def test_resumable_stream_goes_on_at_another_target(self, running):
-        """The caller sees one stream without a gap or a doubled event."""
+    async def test_resumable_stream_continues_at_another_target(self, running):
+        """The caller gets one stream without gaps or duplicates."""
         first = streams(1, 20, until=5, rest=b"id: 6\nda")
         async with running(first, first, routes=STREAM, prepare=resumable) as fleet:
             fleet.targets[1].script = streams(1, 20)
-            # The target that breaks off looks faster, so it is asked first.
+            # The failing target appears to be faster and is selected first.
             by_id = fleet.router._context.targets.by_id
             by_id["i-0"].fixed_s = 0.01
             by_id["i-1"].fixed_s = 9.0
@@ -273,17 +275,17 @@
         assert reply.body == b"".join(map(event, range(1, 21)))
 
     async def test_resumed_request_names_the_last_event(self, running):
-        """Whichever target breaks, the next goes on after its last event."""
+        """The retry continues after the last event, whichever target failed."""
         count = 0
 
-        async def breaks_first(request, writer):
+        async def resets_first(request, writer):
             nonlocal count
             count += 1
             script = streams(1, 20, until=5) if count == 1 else streams(1, 20)
             await script(request, writer)
 
         async with running(
-            breaks_first, breaks_first, routes=STREAM, prepare=resumable
+            resets_first, resets_first, routes=STREAM, prepare=resumable
         ) as fleet:
             reply = await fleet.call("/streaming/")
         received = [each for target in fleet.targets for each in target.received]
@@ -293,7 +295,7 @@
         assert reply.body == b"".join(map(event, range(1, 21)))
 
     async def test_stream_ends_at_its_time_limit(self, running):
-        """A caller is not held longer than the route allows."""
+        """A stream does not exceed the timeout of the route."""
 
         def short(fleet):
             fleet.routes[0]["timeout-ms"] = 300
@@ -311,8 +313,8 @@
             await fleet.until(lambda: fleet.targets[0].open_requests == 0)
         assert not reply.whole
 
-    async def test_hanging_request_gets_its_final_answer(self, running):
-        """It may have run, so nothing is promised."""
+    async def test_stalled_request_times_out(self, running):
+        """The request may have run, so the status makes no promise."""
 
         def short(fleet):
             fleet.routes[0]["timeout-ms"] = 300
@@ -322,11 +324,11 @@
         assert reply.status == 504
 
 
-class TestCallersLeave:
-    """Callers that do not wait."""
+class TestDisconnectedCallers:
+    """Callers that disconnect early."""
 
-    async def test_work_of_a_caller_that_left_is_stopped(self, running):
-        """The connection to the target is closed, and the place is free."""
+    async def test_request_of_disconnected_caller_is_cancelled(self, running):
+        """The connection to the target is closed and its slot is released."""
 
         async def waits(request, writer):
             while not request.sender_left():
@@ -341,8 +343,8 @@
             await fleet.until(lambda: target.in_flight == 0)
             await fleet.until(lambda: fleet.targets[0].open_requests == 0)
 
-    async def test_waiting_request_of_a_caller_that_left_is_never_sent(self, running):
-        """It leaves the waiting line."""
+    async def test_queued_request_of_disconnected_caller_is_not_sent(self, running):
+        """The request is removed from the queue."""
         async with running(answers("ok")) as fleet:
             target = fleet.router._context.targets.by_id["i-0"]
             target.in_flight += 100
@@ -356,17 +358,15 @@
         assert total_received(fleet) == 0
 
 
-class TestReplacedTarget:
-    """A target's address answers for another life, while its entry is still listed.
+class TestRestartedTarget:
+    """Another process responds at the address of a target that is still listed.
 
-    Engines crash and are back at their addresses after two seconds; the entries of
-    their former lives lapse seconds later. Routers went on to send there each tenth of
-    a second, for what refuses at once seems free: 677 sends in the first two seconds of
-    a burst, each of which took from the budget of repeats.
+    Guards against retries to a restarted target, whose immediate refusals make it
+    look idle until the entry of its previous incarnation lapses.
     """
 
     async def test_gets_one_request_only(self, running):
-        """From then on all go elsewhere, however free it seems."""
+        """All further requests go to the other target, however idle this one looks."""
         async with running(misdirects, answers_after(0.06, "ok")) as fleet:
             statuses = []
             for _ in range(20):
@@ -377,7 +377,7 @@
 
 
 def answers_after(seconds, text):
-    """Return a script that takes some time: the other one seems faster."""
+    """Return a script with a delay, which makes the other target look faster."""
 
     async def script(request, writer):
         await sleep(seconds)
@@ -387,5 +387,5 @@
 
 
 async def misdirects(request, writer):
-    """Answer that another life is here."""
+    """Respond as a process other than the addressed one."""
     writer.write(head(request, status="421 Misdirected Request", length=0))
--- a/libs/direct/tests/test_direct_rollout_exposure.py
+++ b/libs/direct/tests/test_direct_rollout_exposure.py
@@ -1,4 +1,4 @@
-"""A bad version of a service gets little, also through several real routers."""
+"""Exposure of a bad version during a roll-out, over several real routers."""
 
 from asyncio import open_connection
 from json import dumps, loads
@@ -19,7 +19,7 @@
 
 
 def fails_after(number):
-    """Return a script that is well for some requests, and then fails each second."""
+    """Return a script that serves some requests, then fails every second one."""
     served = 0
 
     async def script(request, writer):
@@ -34,7 +34,7 @@
 
 
 async def add_version(fleet, free_port, script, version, count):
-    """Start targets of a version; return them."""
+    """Start and return targets of a version."""
     added = []
     for _ in range(count):
         number = len(fleet.targets)
@@ -47,13 +47,13 @@
 
 
 def put_order(fleet, version, period_s=PERIOD_S):
-    """Order a roll-out as the operator does."""
+    """Write a roll-out order."""
     order = {"service": "s", "target": version, "period-s": period_s}
     fleet.platform.store.put(ORDER_KEY, dumps(order).encode())
 
 
 async def call_routers(fleet, addresses, calls=CALLS):
-    """Make calls at several routers side by side; return the statuses."""
+    """Make concurrent calls at several routers and return the statuses."""
     statuses = []
 
     async def caller(number):
@@ -78,8 +78,8 @@
         writer.close()
 
 
-def state_told(fleet):
-    """Return what the operator was told; None before anything was."""
+def published_state(fleet):
+    """Return the published state of the roll-out; None if there is none."""
     entry = fleet.platform.store.get(STATUS_KEY)
     return None if entry is None else loads(entry.value)["state"]
 
@@ -90,12 +90,12 @@
 
 
 class TestRevert:
-    """A version whose answers all fail, through real routers and a real store."""
+    """A version that fails all requests, with real routers and a real store."""
 
-    async def test_is_reverted_and_stays_so_at_a_router_that_starts_later(
+    async def test_revert_holds_at_a_router_that_starts_later(
         self, running, beside, free_port
     ):
-        """What the store keeps outlives the routers that judged it."""
+        """The record in the store outlives the routers that judged the version."""
 
         async def old(request, writer):
             await sleep(0.01)
@@ -112,7 +112,7 @@
             await fleet.until_ready()
             address = fleet.settings.caller_address
             with fail_after(TEST_TIMEOUT_S):
-                while state_told(fleet) != "reverted":
+                while published_state(fleet) != "reverted":
                     await call_routers(fleet, [address], calls=CALLERS * 4)
             exposed = sum(len(target.received) for target in new)
             async with beside({"name": "edge-2"}) as (second,):
@@ -131,11 +131,11 @@
 class TestExposure:
     """Requests at targets of a bad version, over all routers."""
 
-    async def test_bad_version_gets_its_share_at_most(self, running, beside, free_port):
-        """Also what it got before it turned bad, and whichever router sent it."""
+    async def test_bad_version_stays_within_its_share(self, running, beside, free_port):
+        """The share includes requests before the version turned bad."""
 
         async def old(request, writer):
-            # Slower than the new ones, which routers would therefore prefer.
+            # Slower than the new version, so that routers would prefer the new one.
             await sleep(0.01)
             writer.write(head(request, length=2) + b"ok")
 
--- a/libs/direct/tests/test_direct_shared_reading.py
+++ b/libs/direct/tests/test_direct_shared_reading.py
@@ -1,8 +1,7 @@
-"""One reading of the store for many routers: no belief is older than it says.
+"""Simulations of store reads shared between routers.
 
-Any changes; a store that is silent, slow or loses answers; routers that it turns away,
-that are cut from each other, killed, started again and paused; messages that are lost,
-late, doubled and overtaken.
+While the store, the network and routers fail, data must never be older than the age
+that it is reported with, and must stay within its staleness bounds.
 """
 
 from collections import Counter
@@ -14,41 +13,41 @@
 from anyio import create_task_group
 
 from berylwalk.reading import PrefixDelta, PrefixState
-from virtual_fleet import DOMAINS_BY_NAME, Network, play_fleet
+from virtual_fleet import DOMAINS_BY_NAME, Network, simulate_fleet
 from virtual_store import ANSWER_S, configuration_value, target_value, until
-from written_truths import Truths
+from written_truths import ValueHistory
 
 DRAIN_S = 4.0
 CONFIGURATION_S = 2.0
 REVOCATION_S = 5.0
-PLAY_S = 32.0
-LOOK_S = 0.05
-SOUND_FOR_S = 3.0
-"""Time after which a store that is well again has to be believed within the bounds."""
+SIMULATION_S = 32.0
+CHECK_INTERVAL_S = 0.05
+RECOVERY_S = 3.0
+"""Time after a fault from which the bounds must hold again."""
 ROUTERS = list(DOMAINS_BY_NAME)
 TARGETS = ["i-1", "i-2"]
 
 
 @pytest.fixture(autouse=True)
 def by_failure_domain(monkeypatch):
-    """Let four routers tell by failure domain, as a large fleet does."""
+    """Make four routers exchange updates by failure domain, as in a large fleet."""
     monkeypatch.setattr("berylwalk.dispatch._peer_table.MAX_FULL_MESH_PEERS", 0)
 
 
 @dataclass(frozen=True)
-class Trouble:
-    """Something that is wrong for a time.
+class Fault:
+    """A fault during a period.
 
     Parameters
     ----------
     kind : str
         Of the store: ``silent``, ``slow``, ``lost``, ``away`` (for one router). Of the
         network: ``lossy``, ``late``, ``cut`` (one router from the others). Of a router:
-        ``killed``, ``paused`` (its messages stay where they are).
+        ``killed``, ``paused`` (its messages are delayed).
     at_s, for_s : float
-        When, and how long.
+        Start and duration.
     router : str
-        Which one, if one is concerned.
+        The affected router, if it is a single one.
     """
 
     kind: str
@@ -56,12 +55,12 @@
     for_s: float
     router: str
 
-    def holds(self, now):
-        """Return whether it is going on."""
+    def is_active(self, now):
+        """Return whether the fault is active."""
         return self.at_s <= now < self.at_s + self.for_s
 
-    def touches(self, router, since, now):
-        """Return whether a router was in it at some time since a moment."""
+    def affects(self, router, since, now):
+        """Return whether the fault affected a router in a period."""
         is_of_store = self.kind in ("silent", "slow", "lost")
         is_meant = is_of_store or self.router == router
         return is_meant and self.at_s <= now and self.at_s + self.for_s > since
@@ -71,263 +70,269 @@
 FLEET_KINDS = ["lossy", "late", "cut", "killed", "paused"]
 
 
-class Play:
-    """Troubles and changes drawn from a seed, and what must hold."""
+class SharedReadsSimulation:
+    """Applies random faults and changes and checks the ages and bounds."""
 
     def __init__(self, seed):
         self.draws = Random(seed)
-        self.troubles = [self._drawn(kind) for kind in self._kinds()]
-        self.findings = []
+        self.faults = [self._random_fault(kind) for kind in self._kinds()]
+        self.violations = []
 
     def _kinds(self):
         kinds = self.draws.sample(STORE_KINDS, k=self.draws.randint(0, 2))
         return kinds + self.draws.choices(FLEET_KINDS, k=self.draws.randint(1, 4))
 
-    def _drawn(self, kind):
-        return Trouble(
+    def _random_fault(self, kind):
+        return Fault(
             kind,
-            self.draws.uniform(4.0, PLAY_S - 8.0),
+            self.draws.uniform(4.0, SIMULATION_S - 8.0),
             self.draws.uniform(0.1, 14.0 if kind == "away" else 8.0),
             self.draws.choice(ROUTERS),
         )
 
-    def _now(self, kind, router=None):
+    def _is_active(self, kind, router=None):
         now = self.fleet.clock()
         return any(
-            each.kind == kind and each.holds(now) and router in (None, each.router)
-            for each in self.troubles
+            each.kind == kind and each.is_active(now) and router in (None, each.router)
+            for each in self.faults
         )
 
     def fate_of_call(self, call):
-        """Return when an answer of the store arrives."""
+        """Return the latency of a store response; None if it is lost."""
         router = ROUTERS[int(call.transport.host.rpartition(".")[2])]
-        if self._now("away", router):
+        if self._is_active("away", router):
             return None
-        if self._now("lost") and self.draws.random() < 0.4:
+        if self._is_active("lost") and self.draws.random() < 0.4:
             return None
-        if self._now("slow"):
+        if self._is_active("slow"):
             return self.draws.uniform(ANSWER_S, 0.8)
-        return self._held(router) + self.draws.uniform(ANSWER_S, 0.03)
+        return self._remaining_pause_s(router) + self.draws.uniform(ANSWER_S, 0.03)
 
-    def fate_of_message(self, sender, receiver, is_beat):
-        """Return the delays of a message's copies."""
-        if self._now("cut", sender) or self._now("cut", receiver):
+    def fate_of_message(self, sender, receiver, is_heartbeat):
+        """Return the latencies of the copies of a message."""
+        if self._is_active("cut", sender) or self._is_active("cut", receiver):
             return ()
-        if self._now("lossy") and self.draws.random() < 0.5:
+        if self._is_active("lossy") and self.draws.random() < 0.5:
             return ()
-        delay_s = self._held(sender) + self._held(receiver)
+        delay_s = self._remaining_pause_s(sender) + self._remaining_pause_s(receiver)
         delay_s += self.draws.uniform(0.0005, 0.004)
-        if self._now("late"):
-            # Routers still hear each other, so that they go on asking.
-            delay_s += self.draws.uniform(0.0, 0.2 if is_beat else 3.0)
+        if self._is_active("late"):
+            # Heartbeats stay short, so that routers keep querying each other.
+            delay_s += self.draws.uniform(0.0, 0.2 if is_heartbeat else 3.0)
         copies = 2 if self.draws.random() < 0.05 else 1
         return [delay_s + 0.1 * copy for copy in range(copies)]
 
-    def _held(self, router):
-        """Return for how long a router is paused from now on."""
+    def _remaining_pause_s(self, router):
+        """Return the remaining pause of a router, in seconds."""
         now = self.fleet.clock()
         ends = [
             each.at_s + each.for_s
-            for each in self.troubles
-            if each.kind == "paused" and each.router == router and each.holds(now)
+            for each in self.faults
+            if each.kind == "paused" and each.router == router and each.is_active(now)
         ]
         return max(ends, default=now) - now
 
     async def run(self, fleet):
-        """Play all; return what did not hold."""
+        """Run the simulation and return the violations."""
         self.fleet = fleet
-        self.truths = Truths(fleet.store.store, fleet.clock)
+        self.value_history = ValueHistory(fleet.store.store, fleet.clock)
         for name in ("configuration", *TARGETS):
-            self.truths.write(name, "ready")
+            self.value_history.write(name, "ready")
         async with create_task_group() as tasks:
-            for trouble in self.troubles:
-                tasks.start_soon(self._trouble, trouble)
-            tasks.start_soon(self._change)
-            while fleet.clock() < PLAY_S:
-                await until(fleet.clock() + LOOK_S)
+            for fault in self.faults:
+                tasks.start_soon(self._apply_fault, fault)
+            tasks.start_soon(self._apply_changes)
+            while fleet.clock() < SIMULATION_S:
+                await until(fleet.clock() + CHECK_INTERVAL_S)
                 for router in fleet.routers:
-                    self._look(router)
+                    self._check(router)
             tasks.cancel_scope.cancel()
-        return self.findings
-
-    async def _trouble(self, trouble):
-        await until(trouble.at_s)
-        if trouble.kind == "silent":
-            await self.fleet.store.go_down(trouble.for_s)
-        elif trouble.kind == "killed":
-            self.fleet.kill(trouble.router)
-            await until(trouble.at_s + trouble.for_s)
-            if trouble.router not in self.fleet.scopes_by_name:
-                self.fleet.begin(trouble.router)
-
-    async def _change(self):
+        return self.violations
+
+    async def _apply_fault(self, fault):
+        await until(fault.at_s)
+        if fault.kind == "silent":
+            await self.fleet.store.go_down(fault.for_s)
+        elif fault.kind == "killed":
+            self.fleet.kill(fault.router)
+            await until(fault.at_s + fault.for_s)
+            if fault.router not in self.fleet.scopes_by_name:
+                self.fleet.start_router(fault.router)
+
+    async def _apply_changes(self):
         while True:
             await until(self.fleet.clock() + self.draws.expovariate(0.8))
             name = self.draws.choice([*TARGETS, *TARGETS, "configuration"])
             state = self.draws.choice(["ready", "ready", "draining", "gone"])
             if not self.fleet.store.is_down:
-                self.truths.write(name, state)
+                self.value_history.write(name, state)
             if self.draws.random() < 0.05:
                 self.fleet.store.store.compact()
 
-    def _look(self, router):
+    def _check(self, router):
         now = self.fleet.clock()
         if not hasattr(router, "mirrors_by_name"):
             return
-        self._look_at_ages(router)
+        self._check_ages(router)
         if router.configuration.current is not None:
             if router.configuration.trusts_keys(now):
-                self._expect(
+                self._check_value(
                     router, "keys", "configuration", router.version, REVOCATION_S
                 )
-            self._look_at_bounds(router, now)
+            self._check_bounds(router, now)
 
-    def _look_at_ages(self, router):
-        """What is known was so at the moment at which it says, or later."""
-        ordered = router.mirrors_by_name["targets"]._state
-        if not ordered.revision:
+    def _check_ages(self, router):
+        """Check that mirrored data was current at its reported time or later."""
+        prefix_state = router.mirrors_by_name["targets"]._state
+        if not prefix_state.revision:
             return
-        known = {item.key.decode()[8:]: item for item in ordered.items}
+        known = {item.key.decode()[8:]: item for item in prefix_state.items}
         for name in TARGETS:
             item = known.get(name)
             state = "gone" if item is None else loads(item.value)["state"]
-            age_s = self.fleet.clock() - ordered.known_at
-            self._expect(router, "age", name, state, age_s)
+            age_s = self.fleet.clock() - prefix_state.known_at
+            self._check_value(router, "age", name, state, age_s)
 
-    def _look_at_bounds(self, router, now):
+    def _check_bounds(self, router, now):
         for name, bound_s in (
             ("i-1", DRAIN_S),
             ("i-2", DRAIN_S),
             ("configuration", CONFIGURATION_S),
         ):
-            since = now - bound_s - SOUND_FOR_S
-            if now - router.began_at < bound_s or any(
-                trouble.touches(router.name, since, now)
-                for trouble in self.troubles
-                if trouble.kind in (*STORE_KINDS, "paused", "cut")
+            since = now - bound_s - RECOVERY_S
+            if now - router.started_at < bound_s or any(
+                fault.affects(router.name, since, now)
+                for fault in self.faults
+                if fault.kind in (*STORE_KINDS, "paused", "cut")
             ):
                 continue
             if name == "configuration":
-                self._expect(router, "bound", name, router.version, bound_s)
-            elif router.takes_work(name):
-                self._expect(router, "bound", name, "ready", bound_s)
+                self._check_value(router, "bound", name, router.version, bound_s)
+            elif router.is_available(name):
+                self._check_value(router, "bound", name, "ready", bound_s)
 
-    def _expect(self, router, what, name, believed, within_s):
-        """Note a belief that was true at no time within some seconds."""
+    def _check_value(self, router, what, name, value, within_s):
+        """Record a violation if a value was not current within a period."""
         now = self.fleet.clock()
-        if not self.truths.began_before(name, now - within_s):
+        if not self.value_history.has_value_before(name, now - within_s):
             return
-        truths = self.truths.since(name, now - within_s)
-        if believed not in truths:
-            found = (round(now, 2), router.name, what, name, believed, truths)
-            self.findings.append(found)
-
-
-def findings_of(seed):
-    """Return what did not hold in the play of a seed."""
-    played = Play(seed)
-    return play_fleet(
-        played.run,
-        network=Network(played.fate_of_message),
+        value_history = self.value_history.since(name, now - within_s)
+        if value not in value_history:
+            found = (round(now, 2), router.name, what, name, value, value_history)
+            self.violations.append(found)
+
+
+def simulate_seed(seed):
+    """Return the violations in the simulation of a seed."""
+    simulation = SharedReadsSimulation(seed)
+    return simulate_fleet(
+        simulation.run,
+        network=Network(simulation.fate_of_message),
         drain_s=DRAIN_S,
         seed=seed,
-        fate=played.fate_of_call,
+        fate=simulation.fate_of_call,
     )
 
 
-class TestBeliefs:
-    """Whatever happens to the routers, the store and the messages."""
+class TestMirroredState:
+    """Random faults of routers, the store and messages."""
 
     @pytest.mark.parametrize("first", range(0, 40, 10))
-    def test_are_no_older_than_they_say_and_than_they_may_be(self, first):
-        """Ages hold always; bounds while the store and the router are well."""
-        found = {seed: findings_of(seed)[:2] for seed in range(first, first + 10)}
+    def test_data_is_within_its_age_and_bounds(self, first):
+        """Ages hold always; bounds hold while the store and the router are healthy."""
+        found = {seed: simulate_seed(seed)[:2] for seed in range(first, first + 10)}
         assert {seed: each for seed, each in found.items() if each} == {}
 
 
-class TestItemThatCameAndWent:
-    """A reader that lists sees no sign of it, while others have seen it come."""
+class TestShortLivedItem:
+    """An item that was created and deleted between two lists of a reader."""
 
-    def test_it_is_not_kept(self):
-        """The seed that showed it."""
-        assert findings_of(1563) == []
+    def test_deleted_item_is_not_kept(self):
+        """A deleted item is not kept by followers; seed of a failure found before."""
+        assert simulate_seed(1563) == []
 
 
-def no_age(monkeypatch):
-    """Tell all as if the store had said it just now."""
-    word = PrefixState.delta
+def zero_age(monkeypatch):
+    """Report all data with age zero."""
+    delta = PrefixState.delta
 
     def fresh(items, name, since, now):
-        told = word(items, name, since, now)
-        told.age_s = 0.0
-        return told
+        copied = delta(items, name, since, now)
+        copied.age_s = 0.0
+        return copied
 
     monkeypatch.setattr(PrefixState, "delta", fresh)
 
 
 def age_of_arrival(monkeypatch):
-    """Date a word by its arrival in place of the question."""
-    take = PrefixState.apply_delta
+    """Count ages from the arrival of the response instead of the query."""
+    apply_delta = PrefixState.apply_delta
 
-    def dated_late(items, word, asked_at):
+    def dated_late(items, delta, requested_at):
         from asyncio import get_running_loop
 
-        return take(items, word, get_running_loop().time())
+        return apply_delta(items, delta, get_running_loop().time())
 
     monkeypatch.setattr(PrefixState, "apply_delta", dated_late)
 
 
-def revision_ignored(monkeypatch):
-    """Take every word for all that there is to know."""
-    take = PrefixState.apply_delta
+def ignored_revision(monkeypatch):
+    """Treat every delta as complete."""
+    apply_delta = PrefixState.apply_delta
 
-    def whole(items, word, asked_at):
-        told = PrefixDelta(word.name, word.revision, word.age_s, 0, 0, word.items)
-        return take(items, told, asked_at)
+    def whole(items, delta, requested_at):
+        copied = PrefixDelta(delta.name, delta.revision, delta.age_s, 0, 0, delta.items)
+        return apply_delta(items, copied, requested_at)
 
     monkeypatch.setattr(PrefixState, "apply_delta", whole)
 
 
-def removed_kept(monkeypatch):
-    """Leave removed items out of what is told."""
-    word = PrefixState.delta
+def omitted_deletions(monkeypatch):
+    """Omit deleted items from deltas."""
+    delta = PrefixState.delta
 
     def without_removed(items, name, since, now):
-        told = word(items, name, since, now)
-        told.items = [item for item in told.items if item.value is not None]
-        return told
+        copied = delta(items, name, since, now)
+        copied.items = [item for item in copied.items if item.value is not None]
+        return copied
 
     monkeypatch.setattr(PrefixState, "delta", without_removed)
 
 
-def trust_for_ever(monkeypatch):
-    """Take the word of others however old it is."""
+def unlimited_trust(monkeypatch):
+    """Treat the data of peers as fresh at any age."""
     monkeypatch.setattr(
         "berylwalk.direct._mirrored_prefix.MirroredPrefix.is_fresh",
         property(lambda mirror: mirror._is_listed),
     )
 
 
-class TestPlantedFaults:
-    """Faults of the passing on that the plays have to show."""
+class TestInjectedDefects:
+    """Injected defects that the simulation must detect."""
 
     @pytest.mark.parametrize(
-        "plant",
-        [no_age, age_of_arrival, revision_ignored, removed_kept, trust_for_ever],
-        ids=lambda plant: plant.__name__,
+        "defect",
+        [
+            zero_age,
+            age_of_arrival,
+            ignored_revision,
+            omitted_deletions,
+            unlimited_trust,
+        ],
+        ids=lambda defect: defect.__name__,
     )
-    def test_is_shown_by_some_play(self, plant, monkeypatch):
-        """One that no play shows would not be missed."""
-        plant(monkeypatch)
-        assert any(findings_of(seed) for seed in range(60))
+    def test_defect_is_detected(self, defect, monkeypatch):
+        """At least one seed detects the defect."""
+        defect(monkeypatch)
+        assert any(simulate_seed(seed) for seed in range(60))
 
 
 class TestCalls:
-    """Calls of the store are paid for."""
+    """Number of store calls."""
 
     @staticmethod
-    async def calm(fleet):
-        """Return the calls by router in a minute in which nothing changes."""
+    async def idle_calls(fleet):
+        """Return the calls per router in a minute without changes."""
         store = fleet.store.store
         store.put(b"op/config", configuration_value(1))
         store.put(b"servers/i-1", target_value())
@@ -340,19 +345,19 @@
             if not call.path.startswith("/kv-keep")
         )
 
-    def test_first_of_each_domain_reads_and_the_others_make_no_calls(self):
-        """While nothing is wrong."""
-        calls = play_fleet(self.calm, network=Network(), drain_s=DRAIN_S)
+    def test_only_one_router_per_domain_reads(self):
+        """Without faults, only the first router of each domain reads the store."""
+        calls = simulate_fleet(self.idle_calls, network=Network(), drain_s=DRAIN_S)
         assert set(calls) == {"a-1", "b-1"}
 
-    def test_router_that_hears_nobody_reads_by_itself(self):
-        """No worse than a router alone."""
-        network = Network(lambda sender, receiver, is_beat: ())
-        calls = play_fleet(self.calm, network=network, drain_s=DRAIN_S)
+    def test_router_without_peers_reads_itself(self):
+        """A router without peers reads the store itself."""
+        network = Network(lambda sender, receiver, is_heartbeat: ())
+        calls = simulate_fleet(self.idle_calls, network=network, drain_s=DRAIN_S)
         assert set(calls) == set(ROUTERS)
 
-    def test_change_is_told_without_a_call(self):
-        """To routers that lean on others, within one question."""
+    def test_change_reaches_followers_without_calls(self):
+        """Followers get a change with their next query, without a store call."""
 
         async def scenario(fleet):
             store = fleet.store.store
@@ -367,14 +372,14 @@
                 for call in fleet.store.calls[before:]
                 if not call.path.startswith("/kv-keep")
             }
-            return [each.takes_work("i-1") for each in fleet.routers], len(hosts)
+            return [each.is_available("i-1") for each in fleet.routers], len(hosts)
 
-        believed, hosts = play_fleet(scenario, network=Network(), drain_s=DRAIN_S)
-        assert believed == [False] * 4
+        value, hosts = simulate_fleet(scenario, network=Network(), drain_s=DRAIN_S)
+        assert value == [False] * 4
         assert hosts <= 2
 
-    def test_router_that_the_store_turns_away_goes_on(self):
-        """It believes what the others tell, and keeps to the bounds."""
+    def test_router_without_store_access_follows_peers(self):
+        """It uses the data of its peers and keeps its bounds."""
 
         async def scenario(fleet):
             self.fleet = fleet
@@ -386,14 +391,14 @@
             store.put(b"servers/i-1", target_value(state="draining"))
             await until(20.0)
             away = next(each for each in fleet.routers if each.name == "a-1")
-            return away.takes_work("i-1"), away.configuration.age_s(fleet.clock())
+            return away.is_available("i-1"), away.configuration.age_s(fleet.clock())
 
         def fate(call):
             is_turned_away = call.transport.host == "10.0.0.0"
             return None if is_turned_away and self.fleet.clock() > 12.0 else ANSWER_S
 
-        takes_work, age_s = play_fleet(
+        is_available, age_s = simulate_fleet(
             scenario, network=Network(), drain_s=DRAIN_S, fate=fate
         )
-        assert not takes_work
+        assert not is_available
         assert age_s < 3.0
--- a/libs/direct/tests/test_direct_soak.py
+++ b/libs/direct/tests/test_direct_soak.py
@@ -1,7 +1,7 @@
 """Random faults against real processes of the direct router.
 
-Each request is numbered; targets note which ones they ran, and every answer is held
-against that. ``BERYLWALK_SOAK`` sets the seeds, such as ``1,2,3``.
+Requests are numbered, targets record which ones they ran, and every response is checked
+against these records. ``BERYLWALK_SOAK`` sets the seeds, such as ``1,2,3``.
 """
 
 import os
@@ -32,42 +32,43 @@
 
 pytestmark = pytest.mark.anyio
 SEEDS = [int(seed) for seed in os.environ.get("BERYLWALK_SOAK", "1,3").split(",")]
-GUILTY_SEEDS = SEEDS if "BERYLWALK_SOAK" in os.environ else SEEDS[:1]
+EXTENDED_SEEDS = SEEDS if "BERYLWALK_SOAK" in os.environ else SEEDS[:1]
 STEPS = 24
 CALLS_OF_A_STEP = 8
 EVENTS_OF_A_STREAM = 6
 RUN_S = 0.04
-"""Time that a target takes for a request: faults come in the middle of it."""
+"""Run time of a request at a target, long enough for faults to interrupt it."""
 KINDS = ("idempotent", "non_idempotent", "streaming")
 NOT_RUN = frozenset({408, 421, 429, 503})
-GUILTY = b"ends who runs it"
-CONTACT_S = 3.0
-"""Time after a fault of a router or the store in which its sends don't count."""
-ENDS_ALLOWED = 3
-SENDS_ALLOWED = 3
-"""Sends of a guilty request, by routers in touch, once it has ended three targets."""
+FAULTY_BODY = b"ends who runs it"
+GRACE_S = 3.0
+"""Grace period after a fault of a router or the store."""
+MAX_CRASHES = 3
+MAX_LATE_ATTEMPTS = 3
+"""Attempts of a faulty request by connected routers after it terminated three
+targets."""
 
 
 @dataclass
-class Ledger:
-    """What targets ran, and what callers were told."""
+class RunLog:
+    """Requests run by targets and responses received by callers."""
 
     runs: Counter = field(default_factory=Counter)
     answers: list = field(default_factory=list)
 
-    async def run(self, request, writer, *, states=""):
-        """Run a request as a target does; the answer tells its number.
+    async def run(self, request, writer, *, signal_headers=""):
+        """Run a request; its response contains its number.
 
-        ``states`` are header lines by which the target says what it takes.
+        ``states`` are additional header lines with flow control signals.
         """
         number = request.headers["attempt-id"]
         self.runs[number] += 1
         if "/streaming/" not in request.path:
             await sleep(RUN_S)
             body = f"answer of {number}".encode()
-            writer.write(head(request, length=len(body), more=states) + body)
+            writer.write(head(request, length=len(body), more=signal_headers) + body)
             return
-        more = f"Transfer-Encoding: chunked\r\n{states}"
+        more = f"Transfer-Encoding: chunked\r\n{signal_headers}"
         writer.write(head(request, kind=EVENTS, more=more))
         first = int(request.headers.get("last-event-id", 0)) + 1
         for each in range(first, EVENTS_OF_A_STREAM + 1):
@@ -77,7 +78,7 @@
         writer.write(b"0\r\n\r\n")
 
     def check(self):
-        """Hold every answer against what ran."""
+        """Check every response against the recorded runs."""
         for number, kind, reply in self.answers:
             runs = self.runs[number]
             if kind == "non_idempotent":
@@ -93,51 +94,51 @@
 
 
 @dataclass
-class GuiltyRequest:
-    """A request that ends the targets which run it, and comes again and again."""
+class FaultyRequest:
+    """A request that terminates every target and is repeated."""
 
     router_by_id: dict = field(default_factory=dict)
-    disturbed_at_by_router: Counter = field(default_factory=Counter)
-    store_disturbed_at: float = 0.0
-    ended: int = 0
-    third_at: float = float("inf")
-    sent_in_touch: int = 0
-
-    def note_sent(self, request_id, store_is_down):
-        """Count a send; each ends a target."""
+    last_fault_by_router: Counter = field(default_factory=Counter)
+    store_last_fault_at: float = 0.0
+    crashes: int = 0
+    third_crash_at: float = float("inf")
+    sent_while_connected: int = 0
+
+    def count_attempt(self, request_id, store_is_down):
+        """Count an attempt, each of which terminates a target."""
         now = monotonic()
         router = self.router_by_id[request_id]
-        disturbed_at = max(
-            self.disturbed_at_by_router[router],
-            now if store_is_down else self.store_disturbed_at,
+        last_fault_at = max(
+            self.last_fault_by_router[router],
+            now if store_is_down else self.store_last_fault_at,
         )
-        is_in_touch = now > disturbed_at + CONTACT_S
-        if now > self.third_at + CONTACT_S and is_in_touch:
-            self.sent_in_touch += 1
-        self.ended += 1
-        if self.ended == ENDS_ALLOWED:
-            self.third_at = now
+        is_connected = now > last_fault_at + GRACE_S
+        if now > self.third_crash_at + GRACE_S and is_connected:
+            self.sent_while_connected += 1
+        self.crashes += 1
+        if self.crashes == MAX_CRASHES:
+            self.third_crash_at = now
 
     def check(self):
-        """Hold its sends against the bound."""
-        assert self.sent_in_touch <= SENDS_ALLOWED
+        """Check the number of attempts."""
+        assert self.sent_while_connected <= MAX_LATE_ATTEMPTS
 
 
 @dataclass
-class FlowControl:
-    """What targets say that they take, and who passed on that one leaves.
+class SignalLog:
+    """Flow control signals of targets, and the routers that forwarded a leaving signal.
 
-    A call that begins after a router has passed such an answer on must not reach that
-    target from the same process.
+    A request that starts after a router has forwarded such a signal must not reach that
+    target through the same process.
     """
 
     signal_by_target: dict = field(default_factory=dict)
-    told_by_router: dict = field(default_factory=lambda: defaultdict(set))
-    barred_by_id: dict = field(default_factory=dict)
-    reached_after: list = field(default_factory=list)
+    leaving_by_router: dict = field(default_factory=lambda: defaultdict(set))
+    excluded_by_id: dict = field(default_factory=dict)
+    late_arrivals: list = field(default_factory=list)
 
     def headers(self, target):
-        """Return what a target states in its answers."""
+        """Return the header lines with a target's signals."""
         lines = [f"X-Target: {target.target_id}"]
         match self.signal_by_target.get(target.target_id):
             case "limit":
@@ -146,20 +147,20 @@
                 lines.append("Server-Leaving: 1")
         return "".join(f"{line}\r\n" for line in lines)
 
-    def note_begun(self, number, router):
-        """Note what the router of a call has passed on before."""
-        self.barred_by_id[number] = frozenset(self.told_by_router[router])
+    def record_start(self, number, router):
+        """Record the targets known to be leaving when a call starts."""
+        self.excluded_by_id[number] = frozenset(self.leaving_by_router[router])
 
-    def note_reached(self, request, target):
-        """Note that a call reached a target."""
+    def record_arrival(self, request, target):
+        """Record that a call reached a target."""
         number = request.headers["attempt-id"]
-        if target.target_id in self.barred_by_id.get(number, ()):
-            self.reached_after.append((number, target.target_id))
+        if target.target_id in self.excluded_by_id.get(number, ()):
+            self.late_arrivals.append((number, target.target_id))
 
-    def note_answered(self, router, reply):
-        """Note what a router passed on."""
+    def record_response(self, router, reply):
+        """Record a leaving signal that a router forwarded."""
         if reply is not None and "server-leaving" in reply.headers:
-            self.told_by_router[router].add(reply.headers["x-target"])
+            self.leaving_by_router[router].add(reply.headers["x-target"])
 
 
 class Routers:
@@ -174,7 +175,7 @@
         return Popen(command, stdout=DEVNULL)
 
     def restart(self, number, signal):
-        """End a process by a signal and start it again."""
+        """Terminate a process by a signal and start it again."""
         self.check()
         process = self.processes[number]
         process.send_signal(signal)
@@ -182,35 +183,35 @@
         self.processes[number] = self._start(self._files[number])
 
     def check(self):
-        """Fail if a router has ended by itself: it would be waited for in vain."""
-        ended = [process.poll() for process in self.processes]
-        assert ended == [None] * len(ended), "a router ended by itself"
+        """Fail if a router process has exited unexpectedly."""
+        exit_codes = [process.poll() for process in self.processes]
+        assert exit_codes == [None] * len(exit_codes), "a router ended by itself"
 
     def close(self):
-        """End all."""
+        """Kill all processes."""
         for process in self.processes:
             process.kill()
             process.wait()
 
 
 class Soak:
-    """One run: faults by a seed, and callers all the while."""
+    """One run with faults of a seed and concurrent callers."""
 
-    def __init__(self, fleet, routers, ledger, random):
+    def __init__(self, fleet, routers, run_log, random):
         self.fleet = fleet
         self.routers = routers
-        self.ledger = ledger
+        self.run_log = run_log
         self.random = random
-        # Calls overlap in any order: drawn from one source, they would make each run
-        # of a seed another sequence of faults.
+        # Calls overlap in any order. A shared random source would change the sequence
+        # of faults of a seed.
         self.calls_random = Random(random.random())
-        self.guilty_random = Random("guilty")
-        self.guilty = GuiltyRequest()
-        self.needs = FlowControl()
-        self.needs_random = Random("needs")
+        self.faulty_random = Random("guilty")
+        self.faulty = FaultyRequest()
+        self.signal_log = SignalLog()
+        self.signal_random = Random("needs")
         self.addresses = []
         self.settings = []
-        self.lives_by_name = Counter()
+        self.restarts_by_name = Counter()
         self.targets_made = []
 
     async def add_target(self):
@@ -218,7 +219,7 @@
         number = len(self.targets_made)
         target = ScriptedTarget(f"i-{number}", 22_200 + number, None)
         target.script = self._script_of(target)
-        # Before it waits: another one may be added meanwhile.
+        # Registered before the await because another target may be added concurrently.
         self.targets_made.append(target)
         await target.start()
         self.fleet.targets.append(target)
@@ -226,11 +227,11 @@
 
     def _script_of(self, target):
         async def script(request, writer):
-            if request.body != GUILTY:
+            if request.body != FAULTY_BODY:
                 await self._run(target, request, writer)
                 return
             is_down = self.fleet.platform.faults.down
-            self.guilty.note_sent(request.headers["attempt-id"], is_down)
+            self.faulty.count_attempt(request.headers["attempt-id"], is_down)
             await target.crash()
             if target in self.fleet.targets:
                 self.fleet.targets.remove(target)
@@ -240,42 +241,42 @@
         return script
 
     async def _run(self, target, request, writer):
-        self.needs.note_reached(request, target)
-        if self.needs.signal_by_target.get(target.target_id) == "rest":
+        self.signal_log.record_arrival(request, target)
+        if self.signal_log.signal_by_target.get(target.target_id) == "rest":
             asks = "Not-Executed: 1\r\nRetry-After: 0.4\r\n"
             writer.write(head(request, status="503 Rest", length=0, more=asks))
             return
-        states = self.needs.headers(target)
-        await self.ledger.run(request, writer, states=states)
-
-    def change_needs(self):
-        """Let a target state something else; one always takes all."""
-        target = self.needs_random.choice(self.fleet.targets[1:])
-        stated = self.needs_random.choice(("limit", "rest", "leaving", None))
-        if self.needs.signal_by_target.get(target.target_id) != "leaving":
-            self.needs.signal_by_target[target.target_id] = stated
-
-    async def call_guilty(self, number):
-        """Send the guilty request once more, to some router."""
-        router = self.guilty_random.randrange(len(self.addresses))
-        self.guilty.router_by_id[number] = router
+        signal_headers = self.signal_log.headers(target)
+        await self.run_log.run(request, writer, signal_headers=signal_headers)
+
+    def change_signal(self):
+        """Change the signal of a random target; the first one never signals."""
+        target = self.signal_random.choice(self.fleet.targets[1:])
+        signal = self.signal_random.choice(("limit", "rest", "leaving", None))
+        if self.signal_log.signal_by_target.get(target.target_id) != "leaving":
+            self.signal_log.signal_by_target[target.target_id] = signal
+
+    async def call_faulty(self, number):
+        """Send the faulty request again to a random router."""
+        router = self.faulty_random.randrange(len(self.addresses))
+        self.faulty.router_by_id[number] = router
         self.fleet.settings = self.addresses[router]
         try:
             reply = await self.fleet.call(
-                "/idempotent/", request_id=number, body=GUILTY, Deadline_Ms="2000"
+                "/idempotent/", request_id=number, body=FAULTY_BODY, Deadline_Ms="2000"
             )
         except (ConnectionError, EOFError):
             return
         assert reply.status != 200
 
     def restart(self, router, signal):
-        """End a router by a signal and start it again."""
+        """Terminate a router by a signal and start it again."""
         self.routers.restart(router, signal)
-        self.guilty.disturbed_at_by_router[router] = monotonic()
-        self.lives_by_name[self.settings[router].name] += 1
+        self.faulty.last_fault_by_router[router] = monotonic()
+        self.restarts_by_name[self.settings[router].name] += 1
 
     async def step(self):
-        """Do one thing that may go wrong in production."""
+        """Inject one fault or change."""
         faults = self.fleet.platform.faults
         match self.random.choice(
             ("kill", "stop", "outage", "lost", "compact", "crash", "drain", "version")
@@ -286,10 +287,10 @@
                 self.restart(self.random.randrange(3), SIGTERM)
             case "outage":
                 faults.down = not faults.down
-                self.guilty.store_disturbed_at = monotonic()
+                self.faulty.store_last_fault_at = monotonic()
             case "lost":
                 faults.lose_answers = 3
-                self.guilty.store_disturbed_at = monotonic()
+                self.faulty.store_last_fault_at = monotonic()
             case "compact":
                 self.fleet.platform.store.compact()
             case "crash":
@@ -305,24 +306,24 @@
                 self.fleet.put_configuration()
 
     async def call(self, number):
-        """Make one call at some router and note what came back."""
+        """Make one call at a random router and record the response."""
         kind = self.calls_random.choice(KINDS)
         self.fleet.settings = self.calls_random.choice(self.addresses)
         name = self.fleet.settings.name
-        life = (name, self.lives_by_name[name])
-        self.needs.note_begun(number, life)
+        incarnation = (name, self.restarts_by_name[name])
+        self.signal_log.record_start(number, incarnation)
         try:
             reply = await self.fleet.call(
                 f"/{kind}/", request_id=number, Deadline_Ms="2000"
             )
         except (ConnectionError, EOFError):
             reply = None
-        self.needs.note_answered(life, reply)
-        self.ledger.answers.append((number, kind, reply))
+        self.signal_log.record_response(incarnation, reply)
+        self.run_log.answers.append((number, kind, reply))
         return reply
 
-    async def until_served(self):
-        """Heal the store, and wait until each router serves."""
+    async def wait_until_served(self):
+        """Restore the store and wait until each router serves requests."""
         self.fleet.platform.faults.down = False
         every = self.addresses
         for address in every:
@@ -330,19 +331,20 @@
             reply = None
             while reply is None or reply.status != 200:
                 self.routers.check()
-                reply = await self.call(f"healed-{len(self.ledger.answers)}")
+                reply = await self.call(f"healed-{len(self.run_log.answers)}")
                 await sleep(0.05)
         self.addresses = every
 
 
 @pytest.fixture
 def soaking(make_settings, free_port, tmp_path):
-    """Return a context manager that runs three routers and two targets."""
+    """Return a context manager that runs three routers and the targets."""
 
     @asynccontextmanager
     async def run(seed, targets=2):
         settings = [make_settings(name=f"edge-{number}") for number in range(3)]
-        # Routers find each other by the store; the metrics port follows the peers'.
+        # Routers find each other through the store; the metrics port follows the peer
+        # port.
         files = []
         for number, each in enumerate(settings):
             ports = [22_000 + 10 * number, 22_001 + 10 * number]
@@ -352,16 +354,16 @@
         fleet = Fleet(settings[0])
         for kind in KINDS:
             fleet.route(kind, resumable=kind == "streaming")
-        ledger = Ledger()
+        run_log = RunLog()
         async with serving(fleet.platform.handle, *STORE, fleet.platform.run):
             fleet.put_configuration()
             routers = Routers(files)
-            soak = Soak(fleet, routers, ledger, Random(seed))
+            soak = Soak(fleet, routers, run_log, Random(seed))
             soak.addresses = soak.settings = settings
             try:
                 for _ in range(targets):
                     await soak.add_target()
-                await soak.until_served()
+                await soak.wait_until_served()
                 yield soak
             finally:
                 routers.close()
@@ -372,7 +374,7 @@
 
 
 def settings_document(settings, ports):
-    """Return the settings file that a platform would place."""
+    """Return the content of the settings file that a platform provides."""
     caller, readiness = settings.caller_address, settings.readiness_address
     return {
         "node-name": settings.name,
@@ -388,52 +390,52 @@
     }
 
 
-async def run_steps(soak, *, with_guilty=False, with_needs=False):
-    """Make calls and faults side by side, then heal and hold all against the rules."""
+async def run_steps(soak, *, with_faulty=False, with_signals=False):
+    """Run calls and faults concurrently, then check the records."""
     for step in range(STEPS):
         async with create_task_group() as calls:
             for number in range(CALLS_OF_A_STEP):
                 calls.start_soon(soak.call, f"s{step}-{number}")
-            if with_guilty:
-                calls.start_soon(soak.call_guilty, f"g{step}")
+            if with_faulty:
+                calls.start_soon(soak.call_faulty, f"g{step}")
             await sleep(RUN_S / 2)
-            if with_needs:
-                soak.change_needs()
+            if with_signals:
+                soak.change_signal()
             await soak.step()
-    await soak.until_served()
+    await soak.wait_until_served()
     assert all(process.poll() is None for process in soak.routers.processes)
-    soak.ledger.check()
-    soak.guilty.check()
-    assert soak.needs.reached_after == []
+    soak.run_log.check()
+    soak.faulty.check()
+    assert soak.signal_log.late_arrivals == []
     statuses = Counter(
-        None if reply is None else reply.status for _, _, reply in soak.ledger.answers
+        None if reply is None else reply.status for _, _, reply in soak.run_log.answers
     )
     assert statuses[200] > STEPS
 
 
 class TestSoak:
-    """Whatever happens, answers are whole and true."""
+    """Random faults do not corrupt responses."""
 
     @pytest.mark.parametrize("seed", SEEDS)
-    async def test_answers_are_true_under_random_faults(self, soaking, seed):
-        """And all routers serve again once the faults are over."""
+    async def test_responses_are_correct_under_random_faults(self, soaking, seed):
+        """All routers serve requests again after the faults."""
         async with soaking(seed) as soak:
             await run_steps(soak)
 
-    @pytest.mark.parametrize("seed", GUILTY_SEEDS)
-    async def test_targets_in_need_among_random_faults(self, soaking, seed):
-        """They name limits, ask for rest and leave, and what else holds goes on to."""
+    @pytest.mark.parametrize("seed", EXTENDED_SEEDS)
+    async def test_signals_under_random_faults(self, soaking, seed):
+        """Targets advertise limits, request backoffs and leave meanwhile."""
         async with soaking(seed, targets=4) as soak:
-            await run_steps(soak, with_needs=True)
-            assert any(soak.needs.told_by_router.values())
+            await run_steps(soak, with_signals=True)
+            assert any(soak.signal_log.leaving_by_router.values())
 
-    @pytest.mark.parametrize("seed", GUILTY_SEEDS)
-    async def test_guilty_request_among_random_faults(self, soaking, seed):
-        """It ends a few targets, and what else holds goes on to hold.
+    @pytest.mark.parametrize("seed", EXTENDED_SEEDS)
+    async def test_faulty_request_under_random_faults(self, soaking, seed):
+        """The request terminates only a few targets, and responses stay correct.
 
-        There are more targets than it may end while the store is away: routers don't
-        hear of those that replace them.
+        There are more targets than it may terminate during an outage of the store,
+        because routers don't learn of replacements then.
         """
-        async with soaking(seed, targets=2 + ENDS_ALLOWED + SENDS_ALLOWED) as soak:
-            await run_steps(soak, with_guilty=True)
-            assert soak.guilty.ended
+        async with soaking(seed, targets=2 + MAX_CRASHES + MAX_LATE_ATTEMPTS) as soak:
+            await run_steps(soak, with_faulty=True)
+            assert soak.faulty.crashes
--- a/libs/direct/tests/test_direct_store_reach.py
+++ b/libs/direct/tests/test_direct_store_reach.py
@@ -1,4 +1,4 @@
-"""How calls of the store are paced after failures."""
+"""Health of the store and delays between retries."""
 
 from types import SimpleNamespace
 
@@ -11,12 +11,12 @@
 from berylwalk.platform import OutcomeUnknown, Unavailable, UnavailableReason
 
 pytestmark = pytest.mark.anyio
-ASKED_AT = 99.0
+REQUESTED_AT = 99.0
 FAILED = Unavailable(UnavailableReason.NO_ANSWER, "no answer")
 
 
 class Clock:
-    """A time that the test sets."""
+    """A clock that the test sets."""
 
     now = 100.0
 
@@ -38,7 +38,7 @@
 
 @pytest.fixture
 def store_health(clock, targets):
-    """Return the reach of a store that answered so far."""
+    """Return the health of a store that has answered so far."""
     log = SimpleNamespace(process=lambda *args, **fields: None)
     context = SimpleNamespace(
         settings=SimpleNamespace(heartbeat_s=1.2),
@@ -51,69 +51,73 @@
 
 
 class TestOutage:
-    """Calls that fail and succeed again."""
+    """Calls that fail and later succeed."""
 
-    def test_long_one_lets_entries_lapse(self, store_health, clock, targets):
-        """What is removed just after it may come back."""
-        store_health.record_result("list-targets", FAILED, ASKED_AT)
+    def test_entries_may_return_after_long_outage(self, store_health, clock, targets):
+        """Entries removed after a long outage may return."""
+        store_health.record_result("list-targets", FAILED, REQUESTED_AT)
         clock.now += 1.5
-        store_health.record_result("read-configuration", None, ASKED_AT)
+        store_health.record_result("read-configuration", None, REQUESTED_AT)
         assert store_health.unreachable_since is None
         assert store_health.entries_may_return(targets.absence_grace_s)
         clock.now += 10.0
         assert not store_health.entries_may_return(targets.absence_grace_s)
 
-    def test_short_one_does_not(self, store_health, clock, targets):
-        """A watch that was cut hides no removal."""
-        store_health.record_result("watch-targets", FAILED, ASKED_AT)
+    def test_entries_do_not_return_after_short_outage(
+        self, store_health, clock, targets
+    ):
+        """Removals are not hidden by a short interruption of the watch."""
+        store_health.record_result("watch-targets", FAILED, REQUESTED_AT)
         clock.now += 0.2
-        store_health.record_result("list-targets", None, ASKED_AT)
+        store_health.record_result("list-targets", None, REQUESTED_AT)
         assert not store_health.entries_may_return(targets.absence_grace_s)
 
-    def test_refusals_that_tell_something_are_answers(self, store_health):
-        """A discarded history shows that the store is there."""
+    def test_errors_that_prove_reachability(self, store_health):
+        """A compacted history proves that the store is reachable."""
         for reason in (
             UnavailableReason.NOT_FOUND,
             UnavailableReason.LEASE_NOT_FOUND,
             UnavailableReason.HISTORY_GONE,
         ):
-            store_health.record_result("watch-targets", Unavailable(reason), ASKED_AT)
+            store_health.record_result(
+                "watch-targets", Unavailable(reason), REQUESTED_AT
+            )
         assert store_health.unreachable_since is None
 
-    def test_lost_answer_of_a_write_shows_no_return(self, store_health):
-        """It is no answer, although the write may have been made."""
-        store_health.record_result("list-targets", FAILED, ASKED_AT)
-        store_health.record_result("note-speeds", OutcomeUnknown("no answer"), ASKED_AT)
+    def test_lost_write_response_is_no_recovery(self, store_health):
+        """A write without a response does not prove that the store is reachable."""
+        store_health.record_result("list-targets", FAILED, REQUESTED_AT)
+        store_health.record_result(
+            "note-speeds", OutcomeUnknown("no answer"), REQUESTED_AT
+        )
         assert store_health.unreachable_since is not None
 
-    def test_failure_of_a_call_from_before_the_return_is_no_news(
-        self, store_health, clock
-    ):
-        """Calls that were made since then have been answered."""
+    def test_failure_of_an_earlier_call_is_ignored(self, store_health, clock):
+        """Calls made after it have already been answered."""
         store_health.record_result("list-targets", FAILED, clock())
         store_health.record_result("read-configuration", None, clock())
         clock.now += 0.4
-        store_health.record_result("list-targets", FAILED, ASKED_AT)
+        store_health.record_result("list-targets", FAILED, REQUESTED_AT)
         assert store_health.unreachable_since is None
         store_health.record_result("list-targets", FAILED, clock())
         assert store_health.unreachable_since == clock()
 
-    def test_held_call_tells_of_when_it_was_due(self, store_health, clock):
-        """The store need not have answered it before."""
+    def test_held_call_counts_from_when_it_was_due(self, store_health, clock):
+        """A held call fails no earlier than its response was due."""
         store_health.record_result("read-configuration", None, clock())
         clock.now += 0.4
-        store_health.record_result("watch-targets", FAILED, ASKED_AT, held_s=0.8)
+        store_health.record_result("watch-targets", FAILED, REQUESTED_AT, held_s=0.8)
         assert store_health.unreachable_since is None
-        store_health.record_result("watch-targets", FAILED, ASKED_AT, held_s=1.2)
+        store_health.record_result("watch-targets", FAILED, REQUESTED_AT, held_s=1.2)
         assert store_health.unreachable_since is not None
 
 
-class TestOutageElsewhere:
-    """Whether the store or only this router was away, by the word of others."""
+class TestOutageScope:
+    """Distinction between an outage of the store and of this router's connection."""
 
     @pytest.fixture
     def lapses(self, targets, clock):
-        """Return a function that tells whether a removed target is kept."""
+        """Return a function that returns whether a removed target is kept."""
         entry = TargetEntry(
             target_id="a",
             service="s",
@@ -130,16 +134,18 @@
 
         return is_kept
 
-    def outage(self, store_health, clock, *, for_s=3.0, is_seen=True):
-        """Let calls fail, or none be made, for some time."""
+    def outage(self, store_health, clock, *, for_s=3.0, has_failure=True):
+        """Make calls fail, or make none, for some time."""
         store_health.record_result("list-targets", None, clock())
-        if is_seen:
+        if has_failure:
             store_health.record_result("list-targets", FAILED, clock())
         clock.now += for_s
         store_health.record_result("list-configuration", None, clock())
 
-    def test_own_cut_hides_no_removal(self, store_health, clock, lapses):
-        """Whether the others are heard before the return or after it."""
+    def test_removal_counts_if_only_this_router_was_isolated(
+        self, store_health, clock, lapses
+    ):
+        """The health reported by peers may arrive before or after recovery."""
         store_health.update_peer_health(500.0)
         self.outage(store_health, clock)
         assert lapses()
@@ -152,8 +158,8 @@
         store_health.record_result("list-configuration", None, clock())
         assert not lapses()
 
-    def test_outage_of_all_lets_entries_lapse(self, store_health, clock, lapses):
-        """Others say since when the store is well again."""
+    def test_outage_of_the_store_lets_entries_lapse(self, store_health, clock, lapses):
+        """Peers report that the store has recovered recently."""
         store_health.update_peer_health(500.0)
         self.outage(store_health, clock)
         store_health.update_peer_health(0.3)
@@ -162,13 +168,13 @@
     def test_gap_without_a_failure_lets_entries_lapse(
         self, store_health, clock, lapses
     ):
-        """A call that is due in it may not have been made yet."""
-        self.outage(store_health, clock, for_s=2.3, is_seen=False)
+        """A call that was due during the gap may not have been made."""
+        self.outage(store_health, clock, for_s=2.3, has_failure=False)
         assert lapses()
         assert store_health.healthy_s(clock()) == 0.0
 
-    def test_word_of_targets_that_renew_often(self, clock, targets, lapses):
-        """A gap that is usual here may hide an outage in which entries lapse."""
+    def test_gap_with_frequent_renewals(self, clock, targets, lapses):
+        """Frequent renewals make entries lapse in shorter outages."""
         context = SimpleNamespace(
             settings=SimpleNamespace(heartbeat_s=0.6),
             clock=clock,
@@ -184,8 +190,8 @@
         assert other.healthy_s(clock()) == 0.0
         assert not lapses()
 
-    def test_well_store(self, store_health, clock):
-        """It is told for how long, until answers stay away."""
+    def test_healthy_duration(self, store_health, clock):
+        """The duration is reported until responses are missing."""
         for _ in range(4):
             store_health.record_result("list-targets", None, clock())
             clock.now += 1.9
@@ -194,11 +200,11 @@
         assert store_health.healthy_s(clock()) == 0.0
 
 
-class TestWordOfOthers:
-    """A router that goes by the word of others calls the store seldom."""
+class TestPeerData:
+    """A router that uses the data of peers makes few store calls."""
 
     def test_time_between_its_calls_is_no_outage(self, store_health, clock, targets):
-        """While the others were answered."""
+        """Answers to peers fill the gap between own calls."""
         store_health.record_result("renew-membership", None, clock.now)
         for _ in range(10):
             clock.now += 0.4
@@ -207,10 +213,8 @@
         assert not store_health.entries_may_return(targets.absence_grace_s)
         assert store_health.accepts_peer_data()
 
-    def test_outage_is_seen_in_the_age_of_their_word(
-        self, store_health, clock, targets
-    ):
-        """They say when the store answered last."""
+    def test_outage_is_detected_by_age_of_peer_data(self, store_health, clock, targets):
+        """The age of peer data reveals an outage."""
         store_health.record_result("renew-membership", None, clock.now)
         answered_at = clock.now
         for _ in range(10):
@@ -220,8 +224,8 @@
         assert store_health.entries_may_return(targets.absence_grace_s)
         assert not store_health.accepts_peer_data()
 
-    def test_cut_is_seen_though_others_are_answered(self, store_health, clock):
-        """By own calls, which fail; their word is trusted."""
+    def test_isolation_is_detected_by_own_calls(self, store_health, clock):
+        """Own failed calls reveal it, while data of healthy peers is used."""
         store_health.record_result("renew-membership", None, clock.now)
         clock.now += 2.0
         store_health.record_peer_answer(clock.now - 0.1)
@@ -232,15 +236,15 @@
         assert store_health.accepts_peer_data()
 
 
-class TestPause:
-    """Waits before a call is made again."""
+class TestBackoff:
+    """Delays before retries."""
 
-    async def test_return_wakes_those_that_wait(self, store_health, monkeypatch):
-        """However long they would have waited."""
+    async def test_recovery_ends_backoff(self, store_health, monkeypatch):
+        """Recovery interrupts the delay."""
         monkeypatch.setattr(
             "berylwalk.direct._store_health.backoff_s", lambda *args, **options: 1e6
         )
-        store_health.record_result("list-targets", FAILED, ASKED_AT)
+        store_health.record_result("list-targets", FAILED, REQUESTED_AT)
         ended = []
 
         async def wait(failures):
@@ -253,18 +257,18 @@
                 tasks.start_soon(wait, 1)
                 await wait_all_tasks_blocked()
                 assert not ended
-                store_health.record_result("read-configuration", None, ASKED_AT)
+                store_health.record_result("read-configuration", None, REQUESTED_AT)
         assert sorted(ended) == [1, 9]
 
-    async def test_only_the_probe_goes_on_often(self, store_health, monkeypatch):
-        """Calls that fail are paid for."""
+    async def test_only_the_probe_retries_often(self, store_health, monkeypatch):
+        """Other users wait longer because failed calls are billed."""
         bounds = []
 
-        def noted(failures, *, initial_delay_s, max_delay_s):
+        def record_bound(failures, *, initial_delay_s, max_delay_s):
             bounds.append(max_delay_s)
             return 0.0
 
-        monkeypatch.setattr("berylwalk.direct._store_health.backoff_s", noted)
+        monkeypatch.setattr("berylwalk.direct._store_health.backoff_s", record_bound)
         await store_health.back_off(9, is_probe=True)
         await store_health.back_off(9)
         assert bounds[0] < 1.0 < bounds[1]
--- a/libs/direct/tests/test_direct_suspension.py
+++ b/libs/direct/tests/test_direct_suspension.py
@@ -1,6 +1,6 @@
-"""A VM that is suspended for some seconds, and goes on.
+"""Suspension of a router's VM.
 
-The steady clock stands still meanwhile; what others see goes on.
+The monotonic clock stops during a suspension while the time of other processes goes on.
 """
 
 import time
@@ -18,59 +18,59 @@
 
 
 class Clocks:
-    """Two clocks of which one stands still in a suspension."""
+    """Two clocks, one of which stops during a suspension."""
 
     def __init__(self):
-        self.steady_s = 100.0
+        self.monotonic_s = 100.0
         self.suspended_s = 0.0
 
     def monotonic(self):
-        """Return the time without suspensions."""
-        return self.steady_s
+        """Return the time excluding suspensions."""
+        return self.monotonic_s
 
     def elapsed(self):
-        """Return the time with them, of another origin."""
-        return 5000.0 + self.steady_s + self.suspended_s
+        """Return the time including suspensions, with a different origin."""
+        return 5000.0 + self.monotonic_s + self.suspended_s
 
 
-class TestSuspensionWatch:
-    """What is noticed."""
+class TestSuspensionDetector:
+    """Detection of suspensions."""
 
-    def test_suspension_is_noticed_once(self):
-        """And adds up with the others."""
+    def test_suspension_is_detected_once(self):
+        """A suspension is reported once and added to the total."""
         clocks = Clocks()
-        watch = SuspensionDetector(clocks.elapsed, monotonic=clocks.monotonic)
-        clocks.steady_s += 60.0
-        assert watch.poll() == 0.0
+        detector = SuspensionDetector(clocks.elapsed, monotonic=clocks.monotonic)
+        clocks.monotonic_s += 60.0
+        assert detector.poll() == 0.0
         clocks.suspended_s += 3.0
-        assert watch.poll() == pytest.approx(3.0)
-        assert watch.poll() == 0.0
+        assert detector.poll() == pytest.approx(3.0)
+        assert detector.poll() == 0.0
         clocks.suspended_s += 0.5
-        assert watch.poll() == pytest.approx(0.5)
-        assert watch.total_s == pytest.approx(3.5)
+        assert detector.poll() == pytest.approx(0.5)
+        assert detector.total_s == pytest.approx(3.5)
 
-    def test_many_short_ones_add_up(self):
-        """None is lost for being short."""
+    def test_short_suspensions_accumulate(self):
+        """Short suspensions accumulate until they are reported."""
         clocks = Clocks()
-        watch = SuspensionDetector(clocks.elapsed, monotonic=clocks.monotonic)
-        noticed = 0.0
+        detector = SuspensionDetector(clocks.elapsed, monotonic=clocks.monotonic)
+        detected = 0.0
         for _ in range(100):
             clocks.suspended_s += MIN_SUSPENSION_S / 2
-            noticed += watch.poll()
-        assert noticed == pytest.approx(50 * MIN_SUSPENSION_S, abs=MIN_SUSPENSION_S)
+            detected += detector.poll()
+        assert detected == pytest.approx(50 * MIN_SUSPENSION_S, abs=MIN_SUSPENSION_S)
 
-    def test_clock_of_the_platform_counts_suspension(self):
-        """Where it has one."""
+    def test_platform_clock_includes_suspension(self):
+        """The platform's clock includes suspensions if it has a boot time clock."""
         clock, counts = elapsed_clock()
         assert counts is hasattr(time, "CLOCK_BOOTTIME")
         assert clock() <= clock()
 
 
 class TestTarget:
-    """What is believed of a target after a suspension of the router."""
+    """Targets after a suspension of the router."""
 
     def test_suspension_is_no_silence(self):
-        """What it sent meanwhile is read right after."""
+        """Data sent during the suspension is read only after it."""
         entry = TargetEntry(
             target_id="i-1",
             service="s",
@@ -90,10 +90,10 @@
 
 
 class TestRouter:
-    """A router whose clock has gone on by half a minute."""
+    """A router whose clock jumps ahead by half a minute."""
 
     async def test_keys_are_not_trusted_until_read_again(self, running, monkeypatch):
-        """A key that was taken away meanwhile is not accepted."""
+        """A key that was revoked during the suspension is not accepted."""
         offset_s = 0.0
         monkeypatch.setattr(
             "berylwalk.direct._daemon.elapsed_clock",
@@ -111,20 +111,20 @@
             await fleet.until(lambda: trusts(fleet.router._context.clock()))
             assert (await fleet.call("/idempotent/")).status == 200
 
-    async def test_it_is_told(self, running, monkeypatch):
-        """By a line and a counter with its length."""
+    async def test_suspension_is_logged_and_counted(self, running, monkeypatch):
+        """A log line and a counter contain the duration."""
         offset_s = 0.0
         monkeypatch.setattr(
             "berylwalk.direct._daemon.elapsed_clock",
             lambda: (lambda: time.monotonic() + offset_s, True),
         )
         async with running(answers("ok")) as fleet:
-            told = []
+            logged = []
             context = fleet.router._context
-            context.log.process = lambda event, **fields: told.append((event, fields))
+            context.log.process = lambda event, **fields: logged.append((event, fields))
             offset_s = SUSPENDED_S
             await fleet.until(
-                lambda: any(event == "was-suspended" for event, _ in told)
+                lambda: any(event == "was-suspended" for event, _ in logged)
             )
-        (fields,) = [fields for event, fields in told if event == "was-suspended"]
+        (fields,) = [fields for event, fields in logged if event == "was-suspended"]
         assert SUSPENDED_S * 1000 <= fields["suspended_ms"] < SUSPENDED_S * 1000 + 500
--- a/libs/direct/tests/virtual_feeds.py
+++ b/libs/direct/tests/virtual_feeds.py
@@ -1,4 +1,4 @@
-"""The feeds of a router and its client of the store, in virtual time."""
+"""The feeds and the store client of a router in virtual time."""
 
 import random
 from asyncio import Runner, get_running_loop
@@ -24,19 +24,13 @@
 from virtual_time import VirtualLoop
 
 DRAIN_S = 2.0
-"""Time after which a target that leaves must get no request."""
+"""Time after which a draining target must get no request."""
 CONFIGURATION_S = 2.0
-"""Time after which a version must be in force."""
+"""Time after which a configuration must be in force."""
 
 
 class Feeds:
-    """What a router believes of the store, and the lines that it logs.
-
-    Parameters
-    ----------
-    store : VirtualStore
-        The store.
-    """
+    """The feeds of a router, their state and the logged lines."""
 
     def __init__(self, store, *, drain_s=DRAIN_S):
         self.store = store
@@ -62,7 +56,7 @@
     def _log(self, event, **fields):
         self.lines.append((round(self.clock(), 3), event, fields))
 
-    def takes_work(self, target_id):
+    def is_available(self, target_id):
         """Return whether a request would be sent to a target."""
         target = self.targets.by_id.get(target_id)
         return target is not None and target.is_available(self.clock())
@@ -74,7 +68,7 @@
         return 0 if current is None else current.version
 
     async def run(self):
-        """Run the feeds for ever."""
+        """Run the feeds forever."""
         client = KeyValueClient.from_config(
             ["http://10.0.0.9:80"], timeout_s=CALL_TIMEOUT_S
         )
@@ -88,17 +82,17 @@
             tasks.start_soon(TargetFeed(self.context, client, store_health, role).run)
 
 
-def play(scenario, *, drain_s=DRAIN_S, **options):
-    """Play a scenario against running feeds.
+def simulate(scenario, *, drain_s=DRAIN_S, **options):
+    """Run a scenario against the feeds.
 
     Parameters
     ----------
     scenario : callable
-        Coroutine function of the feeds; what it returns is returned.
+        Coroutine function of the feeds; its result is returned.
     drain_s : float
         Setting of the router.
     options : dict
-        Of the store.
+        Options of the store.
     """
     store = VirtualStore(**options)
 
@@ -114,8 +108,8 @@
 
 
 def in_virtual_time(store, main):
-    """Run a coroutine function beside a store, in virtual time; return its result."""
-    # Pauses between calls are drawn: a play ends the same way each time.
+    """Run a coroutine function with a store in virtual time and return its result."""
+    # Retry delays are random, so they are seeded for reproducible runs.
     random.seed(1)
 
     async def run():
--- a/libs/direct/tests/virtual_fleet.py
+++ b/libs/direct/tests/virtual_fleet.py
@@ -1,4 +1,4 @@
-"""Several routers that share one reading of the store, in virtual time."""
+"""Several routers with shared store reads in virtual time."""
 
 import random
 from asyncio import get_running_loop
@@ -20,27 +20,27 @@
 from virtual_store import VirtualStore
 
 DOMAINS_BY_NAME = {"a-1": "fd-a", "a-2": "fd-a", "b-1": "fd-b", "b-2": "fd-b"}
-BEAT_S = 0.25
-"""Time between two messages by which routers hear each other."""
+HEARTBEAT_INTERVAL_S = 0.25
+"""Interval between heartbeats of routers."""
 
 
 @dataclass
 class Network:
-    """Carries messages between routers; a test says what becomes of each.
+    """Carries messages between routers, with latencies set by a test.
 
     Parameters
     ----------
     fate : callable
-        Gets sender, receiver and whether it is a beat; returns the delays after which
-        the message arrives, none if it is lost and two if it is doubled.
+        Gets sender, receiver and whether the message is a heartbeat; returns the
+        latencies of its copies, none if it is lost.
     """
 
-    fate: object = lambda sender, receiver, is_beat: (0.001,)
+    fate: object = lambda sender, receiver, is_heartbeat: (0.001,)
     routers_by_name: dict = field(default_factory=dict)
 
-    def send(self, sender, receiver, deliver, *, is_beat=False):
-        """Carry a message; ``deliver`` gets the router that is there on arrival."""
-        for delay_s in self.fate(sender, receiver, is_beat):
+    def send(self, sender, receiver, deliver, *, is_heartbeat=False):
+        """Send a message; ``deliver`` gets the router that runs on arrival."""
+        for delay_s in self.fate(sender, receiver, is_heartbeat):
             get_running_loop().call_later(delay_s, self._arrive, receiver, deliver)
 
     def _arrive(self, receiver, deliver):
@@ -50,27 +50,27 @@
 
 
 class VirtualRouter(Feeds):
-    """The feeds of one router of a fleet, and what it asks and tells the others.
+    """The feeds and shared reads of one router of a fleet.
 
     Parameters
     ----------
     store : VirtualStore
         The store.
     network : Network
-        To the others.
+        Network to the other routers.
     name : str
         One of `DOMAINS_BY_NAME`.
     """
 
-    lives = 0
+    incarnations = 0
 
     def __init__(self, store, network, name, *, drain_s):
         super().__init__(store, drain_s=drain_s)
         self.name = name
         self.network = network
-        VirtualRouter.lives += 1
-        self.life = str(VirtualRouter.lives)
-        self.began_at = self.clock()
+        VirtualRouter.incarnations += 1
+        self.incarnation = str(VirtualRouter.incarnations)
+        self.started_at = self.clock()
         self.sequence = 0
         self.peers = PeerTable(name, DOMAINS_BY_NAME[name])
         self.context.peers = self.peers
@@ -81,7 +81,7 @@
         self.decoder = msgpack.Decoder(StoreSyncRequest | StoreSyncReply)
 
     async def run(self):
-        """Run the feeds, the asking and the messages between routers for ever."""
+        """Run the feeds, the shared reads and the heartbeats forever."""
         host = f"10.0.0.{list(DOMAINS_BY_NAME).index(self.name)}"
         client = KeyValueClient.from_config(
             [f"http://{host}:80"], timeout_s=CALL_TIMEOUT_S
@@ -104,32 +104,39 @@
         self.mirrors_by_name = {feed.mirror.name: feed.mirror for feed in feeds}
         self.network.routers_by_name[self.name] = self
         async with create_task_group() as tasks:
-            for each in (feeds[0].run, feeds[1].run, shared_reads.run, self._beat):
+            for each in (
+                feeds[0].run,
+                feeds[1].run,
+                shared_reads.run,
+                self._send_heartbeats,
+            ):
                 tasks.start_soon(each)
             tasks.start_soon(self._renew, client)
 
     async def _renew(self, client):
-        """Keep a lease as membership does: it shows whether the store is there."""
+        """Renew a lease like the membership, which tracks the store's health."""
         while True:
             await sleep(2.0)
             await self.store_health.track("renew", client.keep_alive(1))
 
-    async def _beat(self):
+    async def _send_heartbeats(self):
         while True:
             self.sequence += 1
             now = self.clock()
             healthy_s = round(self.store_health.healthy_s(now), 1)
             for name in DOMAINS_BY_NAME:
                 if name != self.name:
-                    beat = self._beat_of(healthy_s)
-                    self.network.send(self.name, name, beat, is_beat=True)
-            await sleep(BEAT_S)
+                    heartbeat = self._heartbeat(healthy_s)
+                    self.network.send(self.name, name, heartbeat, is_heartbeat=True)
+            await sleep(HEARTBEAT_INTERVAL_S)
 
-    def _beat_of(self, healthy_s):
-        name, life, sequence = self.name, self.life, self.sequence
+    def _heartbeat(self, healthy_s):
+        name, incarnation, sequence = self.name, self.incarnation, self.sequence
 
         def deliver(router):
-            peer = Peer(name, name, 1, life, DOMAINS_BY_NAME[name], sequence=sequence)
+            peer = Peer(
+                name, name, 1, incarnation, DOMAINS_BY_NAME[name], sequence=sequence
+            )
             if router.peers.record_message(peer, router.clock()):
                 router.store_health.update_peer_health(healthy_s)
 
@@ -137,10 +144,10 @@
 
     def _send(self, data, peers):
         for peer in peers:
-            self.network.send(self.name, peer.name, lambda router: router.hear(data))
+            self.network.send(self.name, peer.name, lambda router: router.receive(data))
 
-    def hear(self, data):
-        """Take a message of another router."""
+    def receive(self, data):
+        """Receive a message of another router."""
         message = self.decoder.decode(data)
         if isinstance(message, StoreSyncRequest):
             self.shared_reads.handle_query(message)
@@ -149,14 +156,14 @@
 
 
 class VirtualFleet:
-    """Routers that are killed and started again.
+    """Routers that are killed and restarted.
 
     Parameters
     ----------
     store : VirtualStore
         The store.
     network : Network
-        Between the routers.
+        Network between the routers.
     """
 
     def __init__(self, store, network, *, drain_s):
@@ -169,24 +176,24 @@
 
     @property
     def routers(self):
-        """Return those that run."""
+        """Return the running routers."""
         return list(self.network.routers_by_name.values())
 
     async def run(self, scenario):
-        """Run all routers while a scenario plays; return its result."""
+        """Run all routers with a scenario and return its result."""
         async with create_task_group() as self.tasks:
             for name in DOMAINS_BY_NAME:
-                self.begin(name)
+                self.start_router(name)
             result = await scenario(self)
             self.tasks.cancel_scope.cancel()
         return result
 
-    def begin(self, name):
+    def start_router(self, name):
         """Start a router."""
         self.tasks.start_soon(self._run, name)
 
     def kill(self, name):
-        """End a router at once."""
+        """Kill a router."""
         scope = self.scopes_by_name.pop(name, None)
         if scope is not None:
             self.network.routers_by_name.pop(name, None)
@@ -199,21 +206,21 @@
             await router.run()
 
 
-def play_fleet(scenario, *, network, drain_s, seed=1, **options):
-    """Play a scenario against a fleet; return its result.
+def simulate_fleet(scenario, *, network, drain_s, seed=1, **options):
+    """Run a scenario against a fleet and return its result.
 
     Parameters
     ----------
     scenario : callable
         Coroutine function of the fleet.
     network : Network
-        Between the routers.
+        Network between the routers.
     drain_s : float
         Setting of the routers.
     seed : int
-        For the pauses between calls.
+        Seed of the retry delays.
     options : dict
-        Of the store.
+        Options of the store.
     """
     store = VirtualStore(**options)
 
--- a/libs/direct/tests/virtual_play.py
+++ b/libs/direct/tests/virtual_play.py
@@ -1,4 +1,4 @@
-"""What plays of many routers in virtual time have in common."""
+"""Common parts of simulations of many routers in virtual time."""
 
 from asyncio import get_running_loop
 
@@ -7,11 +7,11 @@
 DOMAINS = ("fd-a", "fd-b", "fd-c")
 
 
-class PlayedFleet:
+class SimulatedFleet:
     """Routers that are killed and cut off, and the network between them.
 
-    A play sets ``random``, ``clock``, ``tasks`` and ``plants``, and says by
-    ``make_router`` what a router is; its ``peering`` takes the messages.
+    A subclass sets ``random``, ``clock``, ``tasks`` and ``defect``, and creates routers
+    in ``make_router``; their ``peering`` receives the messages.
     """
 
     def __init__(self, routers):
@@ -22,39 +22,39 @@
         self.routers_by_name = {}
         self.tasks_by_name = {}
         self.cut = set()
-        self.disturbed_at_by_name = {}
+        self.last_fault_by_name = {}
         self.lost_share = 0.0
-        self.lives = 0
+        self.incarnations = 0
 
-    def begin(self, name):
+    def start_router(self, name):
         """Start a router."""
-        self.lives += 1
-        self.tasks.start_soon(self._run_router, name, str(self.lives))
+        self.incarnations += 1
+        self.tasks.start_soon(self._run_router, name, str(self.incarnations))
 
-    async def _begin_after(self, seconds, name):
+    async def _start_after(self, seconds, name):
         await sleep(seconds)
-        self.begin(name)
+        self.start_router(name)
 
-    async def _run_router(self, name, life):
-        router = self.make_router(name, self.domains_by_name[name], life)
+    async def _run_router(self, name, incarnation):
+        router = self.make_router(name, self.domains_by_name[name], incarnation)
         async with create_task_group() as tasks:
             self.routers_by_name[name] = router
             self.tasks_by_name[name] = tasks
             await router.run()
 
     def kill(self, names):
-        """Kill routers; they are back after a second or so."""
+        """Kill routers, which restart after one or two seconds."""
         for name in names:
             if name in self.routers_by_name:
                 del self.routers_by_name[name]
                 self.tasks_by_name.pop(name).cancel_scope.cancel()
                 back_s = self.random.uniform(0.8, 2.0)
-                self.tasks.start_soon(self._begin_after, back_s, name)
-                self.disturbed_at_by_name[name] = self.clock() + back_s
+                self.tasks.start_soon(self._start_after, back_s, name)
+                self.last_fault_by_name[name] = self.clock() + back_s
 
-    def carry(self, sender, receiver, data):
-        """Carry a datagram, unless it is lost."""
-        is_cut = sender in self.cut or receiver in self.cut or self.plants.no_sharing
+    def send_datagram(self, sender, receiver, data):
+        """Deliver a datagram, unless it is lost."""
+        is_cut = sender in self.cut or receiver in self.cut or self.defect.no_sharing
         if is_cut or self.random.random() < self.lost_share:
             return
         delay_s = 0.001 + 0.004 * self.random.random()
--- a/libs/direct/tests/virtual_rollout.py
+++ b/libs/direct/tests/virtual_rollout.py
@@ -1,7 +1,7 @@
-"""Routers, targets of two versions and an operator who orders a roll-out.
+"""Simulation of routers, targets of two versions and a roll-out in virtual time.
 
-All in virtual time. What routers read, believe, tell and write is the real code; what
-becomes of a request at a target, and what the operator does, is played here.
+Feeds, peering and the roll-out coordinator are the real code; running requests at
+targets and the operator are simulated.
 """
 
 import random
@@ -45,28 +45,28 @@
 )
 from berylwalk.quarantine import Quarantine
 from berylwalk.rollout import AnswerKind, ExposureRules, Rollouts
-from virtual_play import DOMAINS, PlayedFleet
+from virtual_play import DOMAINS, SimulatedFleet
 from virtual_time import VirtualLoop
 
 SERVICE = "s"
 OLD, NEW = "v1", "v2"
 ORDER_KEY = b"op/rollout/s"
 STATUS_KEY = b"status/rollout/s"
-CONTACT_S = 4.0
-"""Time after a fault of a router or the store until its sends count again."""
+GRACE_S = 4.0
+"""Grace period after a fault of a router or the store."""
 ROLLBACK_S = 5.0
 FIRST_EVENT_SHARE = 0.25
-"""Part of an answer's time after which its first event comes."""
+"""Share of the response time after which the first event arrives."""
 SLOW_FACTOR = 3.5
-"""Times as long as usual from which a router takes an answer for slow."""
-BAD_ANSWERS = 50
+"""Multiple of the usual time from which a router counts a response as slow."""
+MAX_BAD_RESPONSES = 50
 CALL_S = 0.006
 LOST_CALL_S = 0.9
 NO_ANSWER = Unavailable(UnavailableReason.NO_ANSWER, "no answer")
 
 
-class PlayedStore:
-    """The platform's store: items, revisions, watches; calls may go unanswered."""
+class SimulatedStore:
+    """A store with revisions and watches whose calls may go unanswered."""
 
     def __init__(self):
         self.revision = 100
@@ -78,14 +78,14 @@
         self.changed = Event()
 
     def put(self, key, value):
-        """Write at once, as operators and targets do."""
+        """Write an item directly, like operators and targets."""
         self.revision += 1
         self.items[key] = KeyValue(key, value, self.revision)
         self._note(WatchEvent(EventKind.PUT, self.items[key]))
         return self.revision
 
     def delete(self, key):
-        """Remove at once."""
+        """Delete an item directly."""
         if key in self.items:
             self.revision += 1
             del self.items[key]
@@ -98,16 +98,16 @@
         self.changed = Event()
 
     async def list_prefix(self, prefix, *, stale_ok=False):
-        """Answer with all items."""
+        """Return all items."""
         entries = [item for key, item in self.items.items() if key.startswith(prefix)]
         return Listing(tuple(entries), self.revision)
 
     async def changes(self, prefix, after, *, wait_s):
-        """Answer once there is a change, or the time is over."""
+        """Return once there is a change or the time has elapsed."""
         with move_on_after(wait_s):
-            while not (news := self._since(prefix, after)):
+            while not (events := self._since(prefix, after)):
                 await self.changed.wait()
-        return Changes(tuple(news), self.revision)
+        return Changes(tuple(events), self.revision)
 
     def _since(self, prefix, after):
         return [
@@ -118,34 +118,34 @@
         ]
 
     async def get(self, key):
-        """Answer with one item."""
+        """Return one item."""
         return self.items.get(key)
 
     async def compare_and_swap(self, key, value, expected):
-        """Write under a condition."""
+        """Write an item if its revision is as expected."""
         item = self.items.get(key)
         if (item.mod_revision if item else 0) != expected:
             return Conflict(item)
         return Swapped(self.put(key, value))
 
 
-class StoreOf:
-    """The store as one router reaches it."""
+class RouterStore:
+    """The store as seen by one router."""
 
-    def __init__(self, play, name):
-        self._play = play
+    def __init__(self, simulation, name):
+        self._simulation = simulation
         self._name = name
 
     def __getattr__(self, call):
         async def make(*arguments, **options):
-            play, store = self._play, self._play.store
+            simulation, store = self._simulation, self._simulation.store
             store.calls += 1
             await sleep(CALL_S)
-            if self._is_away() or play.random.random() < store.lost_share / 2:
+            if self._is_away() or simulation.random.random() < store.lost_share / 2:
                 await sleep(LOST_CALL_S)
                 return NO_ANSWER
             answer = await getattr(store, call)(*arguments, **options)
-            if self._is_away() or play.random.random() < store.lost_share:
+            if self._is_away() or simulation.random.random() < store.lost_share:
                 await sleep(LOST_CALL_S)
                 return (
                     OutcomeUnknown("no answer")
@@ -157,19 +157,19 @@
         return make
 
     def _is_away(self):
-        return self._play.store.down or self._name in self._play.cut
+        return self._simulation.store.down or self._name in self._simulation.cut
 
 
 @dataclass(frozen=True)
-class Badness:
-    """What is wrong with a version.
+class VersionDefect:
+    """Defect of a version.
 
     Parameters
     ----------
     share : float
-        Part of its answers that are bad; 0 for a good version.
+        Share of its responses that are bad; 0 for a good version.
     is_slow : bool
-        Whether these come late instead of failing.
+        Whether these are slow instead of failing.
     from_s : float
         Time after the order from which it is bad, in seconds.
     from_load : int
@@ -188,14 +188,14 @@
 class Engine:
     """One target."""
 
-    def __init__(self, play, number, version):
-        self.play = play
+    def __init__(self, simulation, number, version):
+        self.simulation = simulation
         self.target_id = f"i-{version}-{number}"
         self.version = version
         self.domain = DOMAINS[number % len(DOMAINS)]
         self.is_up = True
         self.is_grey = False
-        self.slowness = play.random.choice((0.6, 1.0, 1.0, 2.5))
+        self.slowness = simulation.random.choice((0.6, 1.0, 1.0, 2.5))
         self.runs = {}
 
     @property
@@ -213,65 +213,67 @@
             "state": state,
             "version": self.version,
         }
-        self.play.store.put(self.key, dumps(entry).encode())
+        self.simulation.store.put(self.key, dumps(entry).encode())
 
     def leave(self):
-        """Stop at once; what runs there is lost."""
+        """Stop immediately; running requests are lost."""
         self.is_up = False
         for ended in list(self.runs):
             ended.set()
-        self.play.store.delete(self.key)
+        self.simulation.store.delete(self.key)
 
-    async def run(self, route, takes_s, router, on_late):
-        """Run a request; return what its answer says of it.
+    async def run(self, route, run_s, router, on_late):
+        """Run a request and return the class of its response.
 
-        ``on_late`` is called when its first event is late enough to be seen as slow.
+        ``on_late`` is called when its first event is late enough to count as slow.
         """
         if not self.is_up:
             return AnswerKind.FAILED
         is_bad = self._is_bad(route)
-        factor = 5.0 if is_bad and self.play.badness.is_slow else self.slowness
+        factor = (
+            5.0 if is_bad and self.simulation.version_defect.is_slow else self.slowness
+        )
         ended = Event()
         self.runs[ended] = router
-        self.play.note_arrival(self, router)
+        self.simulation.count_arrival(self, router)
         if factor > SLOW_FACTOR:
-            seen_after_s = SLOW_FACTOR * FIRST_EVENT_SHARE * takes_s
+            seen_after_s = SLOW_FACTOR * FIRST_EVENT_SHARE * run_s
             get_running_loop().call_later(seen_after_s, on_late)
         try:
-            with move_on_after(takes_s * factor):
+            with move_on_after(run_s * factor):
                 await ended.wait()
         finally:
             del self.runs[ended]
         if ended.is_set() or self.is_grey:
             return AnswerKind.FAILED
         if is_bad:
-            self.play.note_bad_answer()
-            slow = self.play.badness.is_slow
+            self.simulation.count_bad_response()
+            slow = self.simulation.version_defect.is_slow
             return AnswerKind.SLOW if slow else AnswerKind.FAILED
-        is_late = self.play.random.random() < self.play.late_share
+        is_late = self.simulation.random.random() < self.simulation.late_share
         return AnswerKind.SLOW if is_late else AnswerKind.GOOD
 
     def _is_bad(self, route):
-        badness, play = self.play.badness, self.play
+        version_defect, simulation = self.simulation.version_defect, self.simulation
         return (
             self.version == NEW
-            and play.random.random() < badness.share
-            and play.since_order_s() >= badness.from_s
-            and len(self.runs) >= badness.from_load
-            and badness.route in ("", route)
+            and simulation.random.random() < version_defect.share
+            and simulation.since_order_s() >= version_defect.from_s
+            and len(self.runs) >= version_defect.from_load
+            and version_defect.route in ("", route)
         )
 
 
 class RolloutRouter:
-    """One life of a router."""
+    """One process of a router."""
 
-    def __init__(self, play, name, domain, life):
-        self.play = play
+    def __init__(self, simulation, name, domain, incarnation):
+        self.simulation = simulation
         self.name = name
         self.clock = get_running_loop().time
         self.lines = []
         self.targets = TargetTable()
-        self.rollouts = play.plants.make_rollouts(f"{name}/{life}")
+        self.rollouts = simulation.defect.make_rollouts(f"{name}/{incarnation}")
         peers = PeerTable(name, domain)
         self.rollouts.router_count = peers.known_count
         self.rollouts.in_flight_at_other_versions = (
@@ -303,7 +305,7 @@
             clock=self.clock,
         )
         store_health = StoreHealth(self.context)
-        store = StoreOf(play, name)
+        store = RouterStore(simulation, name)
         self.peering = Peering(self.context, store, store_health)
         self.peering._transport = SimpleNamespace(sendto=self._send)
         shared_reads = self.peering.shared_reads
@@ -317,7 +319,7 @@
         ]
         for feed in self.feeds:
             shared_reads.add(feed.mirror)
-        self.note = RolloutCoordinator(
+        self.coordinator = RolloutCoordinator(
             self.context,
             store,
             store_health,
@@ -326,20 +328,20 @@
             wall_clock=self.clock,
         )
         self.rollouts.on_urgent_update = self.peering.send_soon
-        self.rollouts.on_orders_changed = self.note.wake
-        self.rollouts.on_rejected = lambda judged: self.note.wake()
+        self.rollouts.on_orders_changed = self.coordinator.wake
+        self.rollouts.on_rejected = lambda rejection: self.coordinator.wake()
 
     def _log(self, event, **fields):
         self.lines.append((round(self.clock(), 3), event, fields))
 
     def _send(self, data, address):
-        self.play.carry(self.name, address[0], data)
+        self.simulation.send_datagram(self.name, address[0], data)
 
     async def run(self):
-        """Read, tell and write for ever."""
+        """Run the feeds, peering and the coordinator forever."""
         others = [
             Peer(each, each, 1, "listed", domain)
-            for each, domain in self.play.domains_by_name.items()
+            for each, domain in self.simulation.domains_by_name.items()
         ]
         self.context.peers.replace(others, self.clock())
         async with create_task_group() as tasks:
@@ -348,12 +350,12 @@
                 self.peering._send_loop,
                 self.peering._relay_loop,
                 self.peering.shared_reads.run,
-                self.note.run,
+                self.coordinator.run,
             ):
                 tasks.start_soon(each)
 
     def choose(self, route):
-        """Return the target that a request goes to, and whether it is a trial."""
+        """Return the target for a request, or None."""
         now, rollouts = self.clock(), self.rollouts
         targets = self.targets.of_service(SERVICE)
         if rollouts.is_in_progress(SERVICE):
@@ -361,18 +363,21 @@
             if rollouts.take_canary(SERVICE, route, now):
                 version = rollouts.progress(SERVICE).order.version
                 new = [each for each in targets if each.entry.version == version]
-                lives = [each.entry.incarnation_id for each in new]
+                incarnation_ids = [each.entry.incarnation_id for each in new]
                 others = len(targets) - len(new)
-                group = rollouts.canary_targets(SERVICE, lives, others, now)
-                among = [
+                canary_ids = rollouts.canary_targets(
+                    SERVICE, incarnation_ids, others, now
+                )
+                candidates = [
                     each
                     for each in new
-                    if each.entry.incarnation_id in group and each.is_available(now)
+                    if each.entry.incarnation_id in canary_ids
+                    and each.is_available(now)
                 ]
-                if among:
-                    return min(among, key=lambda each: each.total_in_flight)
+                if candidates:
+                    return min(candidates, key=lambda each: each.total_in_flight)
                 rollouts.refund_canary(SERVICE, route)
-        draw = self.play.random.random()
+        draw = self.simulation.random.random()
         allowed = [
             each
             for each in targets
@@ -381,29 +386,29 @@
         ]
         if not allowed:
             return None
-        few = self.play.random.sample(allowed, min(2, len(allowed)))
-        return min(few, key=lambda each: each.total_in_flight)
+        sampled = self.simulation.random.sample(allowed, min(2, len(allowed)))
+        return min(sampled, key=lambda each: each.total_in_flight)
 
-    async def serve(self, route, takes_s):
-        """Send a request as an exchange does; return what its answer says."""
+    async def serve(self, route, run_s):
+        """Send a request like an exchange and return the class of its response."""
         target = self.choose(route)
         if target is None:
             return None
         rollouts, work, sent_at = self.rollouts, Work(), self.clock()
         version, incarnation_id = target.entry.version, target.entry.incarnation_id
-        row = rollouts.answer_key(SERVICE, version, incarnation_id, route, sent_at)
+        key = rollouts.answer_key(SERVICE, version, incarnation_id, route, sent_at)
         target.note_sent(work, sent_at)
-        engine = self.play.engines_by_id[target.entry.target_id]
-        noted = []
+        engine = self.simulation.engines_by_id[target.entry.target_id]
+        recorded = []
 
-        def note(kind):
-            if row is not None and not noted:
-                noted.append(kind)
-                rollouts.record_answer(SERVICE, row, kind, self.clock())
+        def record(kind):
+            if key is not None and not recorded:
+                recorded.append(kind)
+                rollouts.record_answer(SERVICE, key, kind, self.clock())
 
         try:
             kind = await engine.run(
-                route, takes_s, self.name, lambda: note(AnswerKind.SLOW)
+                route, run_s, self.name, lambda: record(AnswerKind.SLOW)
             )
         finally:
             target.note_finished(work, had_first_event=True)
@@ -413,28 +418,28 @@
             return kind
         if version != NEW:
             rollouts.record_duration(SERVICE, self.clock() - sent_at)
-        note(kind)
+        record(kind)
         return kind
 
 
-class Plants:
-    """Deliberate faults of the routers; without one they are as they are."""
+class Defect:
+    """Defects injected into routers; the base class injects none."""
 
     no_sharing = False
 
-    def make_rollouts(self, life):
-        """Return the state of a router."""
-        return Rollouts(ExposureRules(), router=life)
+    def make_rollouts(self, incarnation):
+        """Return the roll-out state of a router."""
+        return Rollouts(ExposureRules(), router=incarnation)
 
 
 @dataclass
-class Figures:
-    """What came of a play."""
+class Results:
+    """Results of a simulation."""
 
     arrivals: int = 0
     exposed: int = 0
-    bad_answers: int = 0
-    fiftieth_at: float = float("inf")
+    bad_responses: int = 0
+    bad_limit_reached_at: float = float("inf")
     sent_late: int = 0
     unordered: int = 0
     cut_at_completion: int = 0
@@ -444,39 +449,39 @@
 
     @property
     def state(self):
-        """Return the last state that the operator was told."""
+        """Return the last published state."""
         return self.statuses[-1][1] if self.statuses else None
 
     @property
     def allowed(self):
-        """Return how many requests a bad version may get."""
+        """Return the exposure limit of a bad version."""
         rules = ExposureRules()
         return rules.share * self.arrivals + rules.slack
 
 
-class RolloutPlay(PlayedFleet):
-    """A fleet, its callers, an operator and the faults of a seed.
+class RolloutSimulation(SimulatedFleet):
+    """A fleet with callers, an operator and the faults of a seed.
 
     Parameters
     ----------
     seed : int
-        Of all that is drawn.
+        Seed of all random choices.
     routers, engines : int
-        How many routers, and targets of each version, there are.
-    badness : Badness
-        What is wrong with the new version.
+        Numbers of routers, and of targets per version.
+    version_defect : VersionDefect
+        Defect of the new version.
     faults : collection of str
-        Kinds of faults that are drawn; empty for none.
+        Kinds of random faults; empty for none.
     period_s : float
-        Time that the operator gives, in seconds.
+        Period of the roll-out order, in seconds.
     requests_per_s : float
-        Of all callers.
+        Rate of all callers.
     routes : tuple of (str, float)
-        Routes and their parts of the requests.
+        Routes and their shares of the requests.
     longest_s : float
-        Longest answer of a target of usual speed, in seconds.
-    plants : Plants
-        Deliberate faults of the routers.
+        Longest response time of a target of usual speed, in seconds.
+    defect : Defect
+        Defects injected into routers.
     """
 
     def __init__(
@@ -485,59 +490,59 @@
         *,
         routers,
         engines,
-        badness,
+        version_defect,
         faults=(),
         period_s=12.0,
         requests_per_s=120.0,
         routes=(("r1", 0.6), ("r2", 0.3), ("r3", 0.1)),
         longest_s=1.2,
-        plants=None,
+        defect=None,
     ):
         super().__init__(routers)
         self.seed = seed
         self.random = Random(seed)
-        self.badness = badness
+        self.version_defect = version_defect
         self.faults = faults
         self.period_s = period_s
         self.requests_per_s = requests_per_s
         self.routes = routes
         self.longest_s = longest_s
-        self.plants = plants or Plants()
-        self.figures = Figures()
+        self.defect = defect or Defect()
+        self.results = Results()
         self.engine_count = engines
         self.engines_by_id = {}
-        self.store_disturbed_at = float("-inf")
+        self.store_last_fault_at = float("-inf")
         self.late_share = 0.01
         self.ordered_at = float("inf")
 
-    def play(self):
-        """Play it; return its figures."""
+    def simulate(self):
+        """Run the simulation and return its results."""
         random.seed(self.seed)
         with Runner(loop_factory=lambda: VirtualLoop(None)) as runner:
             return runner.run(self._main())
 
     async def _main(self):
         self.clock = get_running_loop().time
-        self.store = PlayedStore()
+        self.store = SimulatedStore()
         configuration = {"version": 1, "routes": [], "services": [{"name": SERVICE}]}
         self.store.put(b"op/config", dumps(configuration).encode())
         for number in range(self.engine_count):
             self._start_engine(number, OLD)
         async with create_task_group() as self.tasks:
             for name in self.domains_by_name:
-                self.begin(name)
+                self.start_router(name)
             await sleep(2.0)
             self.tasks.start_soon(self._calls)
             await sleep(2.0)
             if self.faults:
-                self.tasks.start_soon(self._disturb)
+                self.tasks.start_soon(self._inject_faults)
             await sleep(self.random.uniform(0, 1.0))
             self.tasks.start_soon(self._operate)
             await sleep(self.period_s + 9.0)
             self.tasks.cancel_scope.cancel()
-        return self.figures
+        return self.results
 
-    # The operator and the targets.
+    # The operator and the targets
 
     def since_order_s(self):
         """Return the time since the order, in seconds."""
@@ -569,11 +574,11 @@
             await sleep(0.005)
 
     def _handle_status(self, status):
-        self.figures.statuses.append((self.since_order_s(), status["state"]))
+        self.results.statuses.append((self.since_order_s(), status["state"]))
         if status["state"] == "completed":
             for engine in self._of_version(OLD):
                 for router in engine.runs.values():
-                    self.figures.cut_at_completion += self.is_in_touch(router)
+                    self.results.cut_at_completion += self.is_connected(router)
                 engine.leave()
         elif status["state"] == "reverted":
             self.tasks.start_soon(self._drain_new)
@@ -594,67 +599,70 @@
     def _of_version(self, version):
         return [each for each in self.engines_by_id.values() if each.version == version]
 
-    # Callers.
+    # Callers
 
     async def _calls(self):
         names, weights = zip(*self.routes, strict=True)
         while True:
             await sleep(self.random.expovariate(self.requests_per_s))
             (route,) = self.random.choices(names, weights)
-            takes_s = self.random.uniform(0.03, self.longest_s)
+            run_s = self.random.uniform(0.03, self.longest_s)
             routers = sorted(self.routers_by_name)
             if routers:
                 name = self.random.choice(routers)
-                # A router that is killed takes its requests along.
-                self.tasks_by_name[name].start_soon(self._call, name, route, takes_s)
+                # Killing a router cancels its requests.
+                self.tasks_by_name[name].start_soon(self._call, name, route, run_s)
 
-    async def _call(self, name, route, takes_s):
-        kind = await self.routers_by_name[name].serve(route, takes_s)
+    async def _call(self, name, route, run_s):
+        kind = await self.routers_by_name[name].serve(route, run_s)
         if kind is None:
-            self.figures.no_place += 1
+            self.results.no_place += 1
         else:
-            self.figures.kinds[kind] += 1
+            self.results.kinds[kind] += 1
 
-    # What counts.
+    # Measurements
 
-    def is_in_touch(self, name):
-        """Return whether the rules bind a router now."""
+    def is_connected(self, name):
+        """Return whether a router has been connected for the grace period."""
         now = self.clock()
-        disturbed_at = max(
-            self.disturbed_at_by_name.get(name, float("-inf")),
-            self.store_disturbed_at,
+        last_fault_at = max(
+            self.last_fault_by_name.get(name, float("-inf")),
+            self.store_last_fault_at,
             now if name in self.cut or self.store.down else float("-inf"),
         )
-        return now > disturbed_at + CONTACT_S
+        return now > last_fault_at + GRACE_S
 
-    def note_arrival(self, engine, router):
+    def count_arrival(self, engine, router):
         """Count a request that reaches a target."""
-        figures = self.figures
+        results = self.results
         if self.since_order_s() < 0:
-            figures.unordered += engine.version == NEW
+            results.unordered += engine.version == NEW
             return
         if self.since_order_s() <= self.period_s:
-            figures.arrivals += 1
-        if engine.version != NEW or not self.is_in_touch(router):
+            results.arrivals += 1
+        if engine.version != NEW or not self.is_connected(router):
             return
-        figures.exposed += self.since_order_s() <= self.period_s
-        since = max(figures.fiftieth_at, self.store_disturbed_at)
-        if figures.fiftieth_at < float("inf") and self.clock() > since + ROLLBACK_S:
-            figures.sent_late += 1
-
-    def note_bad_answer(self):
-        """Count a bad answer of a bad version."""
-        self.figures.bad_answers += 1
-        if self.figures.bad_answers == BAD_ANSWERS:
-            self.figures.fiftieth_at = self.clock()
-
-    def make_router(self, name, domain, life):
-        """Return one life of a router."""
-        return RolloutRouter(self, name, domain, life)
-
-    # Faults.
-
-    async def _disturb(self):
+        results.exposed += self.since_order_s() <= self.period_s
+        since = max(results.bad_limit_reached_at, self.store_last_fault_at)
+        if (
+            results.bad_limit_reached_at < float("inf")
+            and self.clock() > since + ROLLBACK_S
+        ):
+            results.sent_late += 1
+
+    def count_bad_response(self):
+        """Count a bad response of a bad version."""
+        self.results.bad_responses += 1
+        if self.results.bad_responses == MAX_BAD_RESPONSES:
+            self.results.bad_limit_reached_at = self.clock()
+
+    def make_router(self, name, domain, incarnation):
+        """Return a new process of a router."""
+        return RolloutRouter(self, name, domain, incarnation)
+
+    # Faults
+
+    async def _inject_faults(self):
         while True:
             await sleep(self.random.uniform(0.5, 5.0))
             kind = self.random.choice(self.faults)
@@ -673,19 +681,19 @@
         self.cut.add(name)
         await sleep(self.random.uniform(1.0, 6.0))
         self.cut.discard(name)
-        self.disturbed_at_by_name[name] = self.clock()
+        self.last_fault_by_name[name] = self.clock()
 
     async def _store_away(self):
         self.store.down = True
         await sleep(self.random.uniform(0.5, 4.0))
         self.store.down = False
-        self.store_disturbed_at = self.clock()
+        self.store_last_fault_at = self.clock()
 
     async def _store_loses(self):
         self.store.lost_share = 0.3
         await sleep(self.random.uniform(1.0, 4.0))
         self.store.lost_share = 0.0
-        self.store_disturbed_at = self.clock()
+        self.store_last_fault_at = self.clock()
 
     async def _burst(self):
         usual = self.requests_per_s
--- a/libs/direct/tests/virtual_statements.py
+++ b/libs/direct/tests/virtual_statements.py
@@ -1,7 +1,7 @@
-"""Routers and targets that state limits, ask for rest and leave, in virtual time.
+"""Simulation of routers and targets with flow control signals in virtual time.
 
-What routers do with a request is the real code from its arrival to its last byte; the
-network, the targets and the callers are played here.
+The handling of requests in routers is the real code; the network, the targets and the
+callers are simulated.
 """
 
 import random
@@ -42,14 +42,14 @@
 from berylwalk.rollout import ExposureRules, Rollouts
 from statement_rules import FaultLog
 from stating_targets import SERVICE, SignallingTarget, SimulatedLoop
-from virtual_play import PlayedFleet
+from virtual_play import SimulatedFleet
 
 SWEEP_INTERVAL_S = 0.25
 LIMIT_S = 8.0
 OBJECTIVE_S = 0.4
 
 
-class CallerStandin:
+class FakeCaller:
     """A caller's connection."""
 
     is_writable = True
@@ -59,34 +59,34 @@
         self._done = done
 
     def respond(self, status, headers, body):
-        """Take a whole answer."""
+        """Receive a complete response."""
         self._done(status, headers)
 
     def start_stream(self, status, headers):
-        """Take the head of a stream."""
+        """Receive the head of a stream."""
         self._done(status, headers)
 
     def write(self, data):
-        """Take events."""
+        """Ignore events."""
 
     def end_stream(self):
-        """Take the end."""
+        """Ignore the end."""
 
     def truncate_response(self):
-        """Take a broken end."""
+        """Receive a truncated end."""
         self._done(0, [])
 
 
-class StatementRouter:
-    """One life of a router."""
+class SignalsRouter:
+    """One process of a router."""
 
-    def __init__(self, play, name, domain, life):
-        self.play = play
+    def __init__(self, simulation, name, domain, incarnation):
+        self.simulation = simulation
         self.name = name
-        self.life = life
+        self.incarnation = incarnation
         self.clock = clock = get_running_loop().time
         self.lines = []
-        targets = play.plants.make_targets()
+        targets = simulation.defect.make_targets()
         rollouts = Rollouts(ExposureRules())
         address = SocketAddress(name, 1)
         self.context = RouterContext(
@@ -104,7 +104,7 @@
             dispatcher=Dispatcher(
                 targets,
                 failure_domain=domain,
-                draw=play.random.random,
+                draw=simulation.random.random,
                 rollouts=rollouts,
             ),
             quotas=QuotaTracker(
@@ -119,7 +119,7 @@
                 get_running_loop(),
                 clock=clock,
                 id_header=REQUEST_ID_HEADER,
-                on_bytes=self._note_bytes,
+                on_bytes=self._record_bytes,
             ),
             log=DecisionLog(name, write=self._write, clock=clock, wall_clock=clock),
             metrics=RouterMetrics(),
@@ -135,7 +135,7 @@
         if hasattr(self.context, "on_signals_changed"):
             self.context.on_signals_changed = self.peering.send_soon
 
-    def _note_bytes(self, incarnation_id):
+    def _record_bytes(self, incarnation_id):
         target = self.context.targets.by_incarnation_id.get(incarnation_id)
         if target is not None:
             target.note_heard(self.clock())
@@ -145,17 +145,17 @@
         return len(data)
 
     def _send(self, data, address):
-        self.play.carry(self.name, address[0], data)
+        self.simulation.send_datagram(self.name, address[0], data)
 
     async def run(self):
-        """Tell and place for ever."""
+        """Exchange messages and dispatch requests forever."""
         others = [
             Peer(each, each, 1, "listed", domain)
-            for each, domain in self.play.domains_by_name.items()
+            for each, domain in self.simulation.domains_by_name.items()
         ]
         self.context.peers.replace(others, self.clock())
         self.context.peers.by_name.pop(self.name, None)
-        entries = [target.entry() for target in self.play.targets]
+        entries = [target.entry() for target in self.simulation.targets]
         self.context.targets.replace(entries, self.clock())
         async with create_task_group() as tasks:
             for each in (
@@ -177,7 +177,7 @@
         admitted = Admitted(
             request=CallerRequest(b"GET", b"/", headers, b"", b"", now, True),
             parsed_headers=parse_request_headers(headers),
-            route=self.play.route,
+            route=self.simulation.route,
             account=None,
             rank=(0, 0),
             service=SERVICE,
@@ -187,7 +187,7 @@
         )
         lifecycle = RequestLifecycle(
             self.context,
-            CallerStandin(on_done),
+            FakeCaller(on_done),
             admitted,
             ExchangeLog(self.context, now),
             acquire_trial_permit=None,
@@ -195,19 +195,19 @@
         await lifecycle.run()
 
 
-class Plants:
-    """Deliberate faults of the routers; without one they are as they are."""
+class Defect:
+    """Defects injected into routers; the base class injects none."""
 
     no_sharing = False
 
     def make_targets(self):
-        """Return the beliefs of a router."""
+        """Return the target table of a router."""
         return TargetTable()
 
 
 @dataclass
-class Figures:
-    """What came of a play."""
+class Results:
+    """Results of a simulation."""
 
     arrivals: Counter = field(default_factory=Counter)
     statuses: Counter = field(default_factory=Counter)
@@ -217,45 +217,45 @@
 
 @dataclass(frozen=True)
 class Refused:
-    """What a caller heard that was not served.
+    """A response that refuses a request.
 
     Parameters
     ----------
     kept_s : float
-        How long it was kept, in seconds.
+        Time until the response, in seconds.
     retry_after_s : float
-        When it is to come back, in seconds.
+        Value of ``Retry-After``, in seconds.
     """
 
     kept_s: float
     retry_after_s: float
 
 
-class StatementPlay(PlayedFleet):
-    """A fleet, its callers and what its targets state.
+class SignalsSimulation(SimulatedFleet):
+    """A fleet with callers and targets that send flow control signals.
 
     Parameters
     ----------
     seed : int
-        Of all that is drawn.
+        Seed of all random choices.
     routers, targets : int
-        How many there are.
+        Numbers of routers and targets.
     script : callable
-        Coroutine function of the play: what targets state, and when.
-    lasts_s : float
-        How long callers come, in seconds.
+        Coroutine function of the simulation that sets the signals of targets.
+    duration_s : float
+        Duration of the calls, in seconds.
     requests_per_s : float
-        Of all callers.
-    unevenness : float
-        Callers of the busiest router, as a multiple of those of the quietest.
+        Rate of all callers.
+    load_ratio : float
+        Load of the busiest router as a multiple of that of the least busy one.
     run_s : float
-        Mean time that a target takes for a request, in seconds.
+        Mean run time of a request at a target, in seconds.
     slots : int
-        Of each target.
+        Slots of each target.
     faults : collection of str
-        Kinds of faults that are drawn; empty for none.
-    plants : Plants
-        Deliberate faults of the routers.
+        Kinds of random faults; empty for none.
+    defect : Defect
+        Defects injected into routers.
     """
 
     def __init__(
@@ -265,26 +265,26 @@
         routers,
         targets,
         script,
-        lasts_s=20.0,
+        duration_s=20.0,
         requests_per_s=60.0,
-        unevenness=3.0,
+        load_ratio=3.0,
         run_s=0.15,
         slots=8,
         faults=(),
-        plants=None,
+        defect=None,
     ):
         super().__init__(routers)
         self.seed = seed
         self.random = Random(seed)
         self.script = script
-        self.lasts_s = lasts_s
+        self.duration_s = duration_s
         self.requests_per_s = requests_per_s
         self.weights = [
-            1 + (unevenness - 1) * self.random.random() for _ in range(routers)
+            1 + (load_ratio - 1) * self.random.random() for _ in range(routers)
         ]
         self.faults = faults
-        self.plants = plants or Plants()
-        self.figures = Figures()
+        self.defect = defect or Defect()
+        self.results = Results()
         self.targets = [
             SignallingTarget(self, number, run_s=run_s, slots=slots)
             for number in range(targets)
@@ -306,8 +306,8 @@
         self.requests = 0
         self.refusals = []
 
-    def play(self):
-        """Play it; return its figures."""
+    def simulate(self):
+        """Run the simulation and return its results."""
         random.seed(self.seed)
         with Runner(loop_factory=lambda: SimulatedLoop(self)) as runner:
             return runner.run(self._main())
@@ -316,25 +316,25 @@
         self.clock = get_running_loop().time
         async with create_task_group() as self.tasks:
             for name in self.domains_by_name:
-                self.begin(name)
+                self.start_router(name)
             await sleep(1.0)
             self.tasks.start_soon(self.script, self)
             if self.faults:
-                self.tasks.start_soon(self._disturb)
+                self.tasks.start_soon(self._inject_faults)
             with CancelScope() as self.calling:
-                get_running_loop().call_later(self.lasts_s, self.calling.cancel)
+                get_running_loop().call_later(self.duration_s, self.calling.cancel)
                 await self._calls()
             await sleep(2.0)
             self.tasks.cancel_scope.cancel()
-        return self.figures
+        return self.results
 
     def receive(self, transport, data):
-        """Take what a router sends to a target."""
+        """Deliver data of a router to a target."""
         self.targets_by_host[transport.host].receive(transport, data)
 
-    def make_router(self, name, domain, life):
-        """Return one life of a router."""
-        return StatementRouter(self, name, domain, life)
+    def make_router(self, name, domain, incarnation):
+        """Return a new process of a router."""
+        return SignalsRouter(self, name, domain, incarnation)
 
     async def _calls(self):
         names = list(self.domains_by_name)
@@ -347,15 +347,15 @@
 
     def _call(self, router):
         self.requests += 1
-        began_at = self.clock()
+        started_at = self.clock()
 
         def on_done(status, headers):
-            self.figures.statuses[status] += 1
-            after_s = self.clock() - began_at
+            self.results.statuses[status] += 1
+            after_s = self.clock() - started_at
             if status == 200:
-                self.figures.answered_after_s.append(after_s)
+                self.results.answered_after_s.append(after_s)
             else:
-                self.figures.refused_after_s.append(after_s)
+                self.results.refused_after_s.append(after_s)
                 retry_after = dict(headers).get(b"Retry-After", b"0")
                 self.refusals.append(Refused(after_s, float(retry_after)))
 
@@ -364,7 +364,7 @@
 
         self.tasks_by_name[router.name].start_soon(serve)
 
-    async def _disturb(self):
+    async def _inject_faults(self):
         while True:
             await sleep(self.random.uniform(0.5, 5.0))
             kind = self.random.choice(self.faults)
@@ -373,14 +373,14 @@
     async def _cut_one(self):
         name = self.random.choice(sorted(self.domains_by_name))
         self.cut.add(name)
-        since, lasts_s = self.clock(), self.random.uniform(1.0, 6.0)
-        self.fault_log.record(name, since, since + lasts_s)
-        await sleep(lasts_s)
+        since, duration_s = self.clock(), self.random.uniform(1.0, 6.0)
+        self.fault_log.record(name, since, since + duration_s)
+        await sleep(duration_s)
         self.cut.discard(name)
 
     def kill(self, names):
-        """Kill routers; they are back after a second or so."""
+        """Kill routers, which restart after one or two seconds."""
         super().kill(names)
         for name in names:
-            until = self.disturbed_at_by_name.get(name, self.clock())
+            until = self.last_fault_by_name.get(name, self.clock())
             self.fault_log.record(name, self.clock(), until)
