--- a/libs/direct/tests/virtual_store.py
+++ b/libs/direct/tests/virtual_store.py
@@ -1,4 +1,4 @@
-"""The platform's store in virtual time, with outages and answers that get lost."""
+"""The platform's store in virtual time, with outages and lost responses."""
 
 from asyncio import create_task, get_running_loop, sleep
 from collections.abc import Callable
@@ -12,18 +12,18 @@
 from berylwalk.standins._revisions import RevisionStore
 
 ANSWER_S = 0.006
-"""Time from a call to its answer in a sound store."""
+"""Latency of a call of a healthy store."""
 
 
 @dataclass
 class Call:
-    """One call, as the stand-in of the store takes it."""
+    """One call, in the form that the stand-in of the store expects."""
 
     transport: object
     method: str
     target: str
     body: bytes
-    asked_at: float
+    received_at: float
     status: int | None = None
     answer: bytes = b""
 
@@ -37,33 +37,33 @@
         return dict(parse_qsl(urlsplit(self.target).query))
 
     async def json(self):
-        """Return the body."""
+        """Return the decoded body."""
         return decode(self.body or b"{}")
 
     def gone(self):
-        """Return whether the caller has closed."""
+        """Return whether the caller has closed the connection."""
         return self.transport.is_closing()
 
     async def abort(self):
-        """Break the connection."""
+        """Abort the connection."""
         self.transport.abort()
 
     async def answer_json(self, status, value):
-        """Keep the answer until it is delivered."""
+        """Keep the response until it is delivered."""
         self.status, self.answer = status, encode(value)
 
 
 @dataclass
 class VirtualStore:
-    """A store whose answers a test delays, loses and breaks off.
+    """A store whose responses a test delays, loses or aborts.
 
-    A connection on which an answer was lost returns nothing further.
+    A connection on which a response was lost stays silent.
 
     Parameters
     ----------
     fate : callable
-        Gets a call that the store has taken up; returns the seconds until its
-        answer arrives, or None if it is lost.
+        Gets a received call; returns the latency of its response in seconds, or None if
+        it is lost.
     """
 
     fate: Callable = lambda call: ANSWER_S
@@ -78,7 +78,7 @@
         self._tasks = set()
 
     def start(self):
-        """Begin to answer; called in the running loop."""
+        """Start in the running loop."""
         self.clock = get_running_loop().time
         self._metadata = MetadataStore(
             self.store, is_down=lambda: False, clock=self.clock
@@ -86,12 +86,12 @@
         self.store.on_change = self._metadata.wake
 
     async def accept(self, transport):
-        """Take a connection."""
+        """Accept a connection."""
         await sleep(ANSWER_S / 3)
         self._open.add(transport)
 
     def receive(self, transport, data):
-        """Take a call; calls are written whole."""
+        """Receive a call, which arrives in one piece."""
         head, _, body = data.partition(b"\r\n\r\n")
         method, target, _ = head.split(b"\r\n")[0].decode().split(" ")
         call = Call(transport, method, target, body, self.clock())
@@ -102,18 +102,18 @@
 
     @property
     def is_down(self):
-        """Whether nothing is answered."""
+        """Whether no call is answered."""
         return self._down_until is not None
 
     async def go_down(self, for_s, *, resets=False):
-        """Answer nobody for some time, by silence or by broken connections."""
+        """Stop answering for some time, with silent or aborted connections."""
         self._down_until = self.clock() + for_s
         self._resets = resets
         await sleep(for_s)
         self._down_until = None
 
     def silence_connections(self):
-        """Let all open connections return nothing more, without a sign."""
+        """Make all open connections silent without closing them."""
         self._dead |= self._open
 
     async def _answer(self, call):
@@ -156,5 +156,5 @@
 
 
 async def until(time_s):
-    """Sleep until a moment of the virtual time."""
+    """Sleep until a virtual time."""
     await sleep(max(0.0, time_s - get_running_loop().time()))
--- a/libs/direct/tests/virtual_time.py
+++ b/libs/direct/tests/virtual_time.py
@@ -1,6 +1,6 @@
-"""A loop whose time jumps to the next timer, with connections that are simulated.
+"""Event loop in virtual time with simulated connections.
 
-What runs on it takes no real time and ends the same way each time.
+Runs take no real time and are reproducible.
 """
 
 from asyncio import SelectorEventLoop
@@ -8,14 +8,14 @@
 
 
 class JumpingSelector(DefaultSelector):
-    """Lets time pass instead of waiting."""
+    """Selector that advances virtual time instead of waiting."""
 
     def __init__(self):
         super().__init__()
         self.now = 0.0
 
     def select(self, timeout=None):
-        """Return what is ready; if nothing is, let the time-out pass at once."""
+        """Return ready events; if there are none, advance the time by the timeout."""
         ready = super().select(0)
         if not ready:
             assert timeout is not None, "nothing is left that could happen"
@@ -29,7 +29,7 @@
     Parameters
     ----------
     server : object
-        Its ``accept(transport)`` gets each connection that is opened.
+        Its ``accept(transport)`` gets each opened connection.
     """
 
     def __init__(self, server):
@@ -42,7 +42,7 @@
         return self._jumping.now
 
     async def create_connection(self, protocol_factory, host=None, port=None, **_):
-        """Open a simulated connection, whatever the address."""
+        """Open a simulated connection to any address."""
         protocol = protocol_factory()
         transport = SimulatedTransport(self, protocol, self._server, host)
         await self._server.accept(transport)
@@ -53,7 +53,7 @@
 class SimulatedTransport:
     """The client's end of a simulated connection.
 
-    ``host`` is the address that the client named, by which a test tells clients apart.
+    ``host`` is the address used by the client, by which a test distinguishes clients.
     """
 
     def __init__(self, loop, protocol, server, host=None):
@@ -64,16 +64,16 @@
         self._closing = False
 
     def write(self, data):
-        """Send to the server."""
+        """Send data to the server."""
         self._server.receive(self, data)
 
     def deliver(self, data):
-        """Hand data to the client, unless it has closed."""
+        """Deliver data to the client, unless it has closed the connection."""
         if not self._closing:
             self._protocol.data_received(data)
 
     def abort(self):
-        """Close at once."""
+        """Close immediately."""
         if not self._closing:
             self._closing = True
             self._loop.call_soon(self._protocol.connection_lost, None)
@@ -81,15 +81,15 @@
     close = abort
 
     def is_closing(self):
-        """Return whether it is closed."""
+        """Return whether the connection is closed."""
         return self._closing
 
     def get_write_buffer_size(self):
-        """Return 0: what is written has arrived."""
+        """Return 0, since written data arrives immediately."""
         return 0
 
     def pause_reading(self):
-        """Do nothing: answers are small."""
+        """Do nothing, since responses are small."""
 
     def resume_reading(self):
-        """Do nothing: answers are small."""
+        """Do nothing, since responses are small."""
--- a/libs/direct/tests/written_truths.py
+++ b/libs/direct/tests/written_truths.py
@@ -1,17 +1,17 @@
-"""What a test wrote into the store, and what was true there at some time."""
+"""History of the values that a test has written to the store."""
 
 from virtual_store import configuration_value, target_value
 
 
-class Truths:
-    """Writes targets and configurations, and remembers what it wrote when.
+class ValueHistory:
+    """Writes targets and configurations and keeps their history.
 
     A target is ``ready``, ``draining`` or ``gone``; a configuration is its version.
 
     Parameters
     ----------
     store : RevisionStore
-        The keys.
+        The store.
     clock : callable
         Time, in seconds.
     """
@@ -36,11 +36,11 @@
         self._history_by_name.setdefault(name, []).append((self._clock(), state))
 
     def since(self, name, time):
-        """Return what was true at some time since a moment; empty if nothing was."""
+        """Return the values that were current at any time since a time."""
         history = self._history_by_name.get(name, [])
         before = [state for at, state in history if at <= time][-1:]
         return before + [state for at, state in history if at > time]
 
-    def began_before(self, name, time):
-        """Return whether anything was written before a moment."""
+    def has_value_before(self, name, time):
+        """Return whether the first value was written before a time."""
         return self._history_by_name[name][0][0] <= time
