--- a/libs/direct/src/berylwalk/direct/_configuration_feed.py
+++ b/libs/direct/src/berylwalk/direct/_configuration_feed.py
@@ -34,8 +34,8 @@
 trusted, and one before this router reports itself as not ready."""
 ABSENT_READ_INTERVAL_S = 0.15
 """Interval between reads while no configuration exists."""
-TARGET_MAX_AGE_S = 2.9
-"""Target bound for the age of the configuration, below the age from which this router
+MAX_HEALTHY_AGE_S = 2.9
+"""Maximum age while the store is healthy, below the age from which this router
 reports itself as not ready."""
 
 
@@ -72,7 +72,7 @@
         self._confirm_interval_s = min(
             MAX_CONFIRM_INTERVAL_S, max(MIN_WATCH_HOLD_S, bound_s - SEND_LATENCY_S)
         )
-        self._peer_data_max_age_s = peer_data_max_age_s(min(bound_s, TARGET_MAX_AGE_S))
+        self._peer_data_max_age_s = peer_data_max_age_s(min(bound_s, MAX_HEALTHY_AGE_S))
         self._active_revision = 0
         self._invalid_items = InvalidItemLog(context, "configuration-invalid")
         self._invalid_orders = InvalidItemLog(context, "rollout-order-invalid")
--- a/libs/direct/src/berylwalk/direct/_membership.py
+++ b/libs/direct/src/berylwalk/direct/_membership.py
@@ -36,7 +36,7 @@
     store_health : StoreHealth
         Tracks the results of store calls.
     incarnation : str
-        Id of this process lifetime.
+        Incarnation of this router, one per process.
     on_ended : callable
         Called with each peer whose process has ended.
     """
--- a/libs/direct/src/berylwalk/direct/_peer_messages.py
+++ b/libs/direct/src/berylwalk/direct/_peer_messages.py
@@ -34,7 +34,7 @@
     name, host, port : str, str, int
         Name of the router and address for messages.
     incarnation : str
-        Id of the process lifetime.
+        Incarnation of the router, one per process.
     failure_domain : str
         Failure domain of its VM.
     age_s : float
@@ -142,7 +142,7 @@
     Parameters
     ----------
     name, incarnation : str, str
-        Name and process lifetime of the sender, known from its regular messages.
+        Name and incarnation of the sender, known from its regular messages.
     sequence : int
         Increases with each message of a process, regular ones included.
     loads : dict
--- a/libs/direct/src/berylwalk/direct/_peering.py
+++ b/libs/direct/src/berylwalk/direct/_peering.py
@@ -475,5 +475,5 @@
 
 
 def incarnation_of(peer: Peer) -> str:
-    """Return the id of one process lifetime of a router."""
+    """Return the incarnation id of a router."""
     return f"{peer.name}/{peer.incarnation}"
--- a/libs/direct/tests/direct_fleet.py
+++ b/libs/direct/tests/direct_fleet.py
@@ -159,11 +159,11 @@
     status: int
     headers: dict
     body: bytes
-    whole: bool
+    is_complete: bool
 
 
 async def read_reply(reader):
-    """Read one response; `whole` tells whether it is complete."""
+    """Read one response, which may be truncated."""
     raw = (await reader.readuntil(b"\r\n\r\n")).decode()
     first, *lines = raw.strip().split("\r\n")
     headers = dict(line.lower().split(": ", 1) for line in lines)
--- a/libs/direct/tests/test_direct_lives.py
+++ b/libs/direct/tests/test_direct_lives.py
@@ -89,7 +89,7 @@
             put_incarnation(fleet, fleet.targets[0], 1_796_254_082_900)
             reply = await read_reply(reader)
             writer.close()
-        assert reply.whole
+        assert reply.is_complete
         assert reply.body == b"".join(event(number) for number in range(1, 5))
         later = [*fleet.targets[0].received[1:], *fleet.targets[1].received]
         assert [each.headers["last-event-id"] for each in later] == ["2"]
--- a/libs/direct/tests/test_direct_requests.py
+++ b/libs/direct/tests/test_direct_requests.py
@@ -228,11 +228,11 @@
         """A duplicate response never reaches the next caller."""
 
         async def doubles(request, writer):
-            whole = head(request, length=3) + request.path[-3:].encode()
-            writer.write(whole)
+            response = head(request, length=3) + request.path[-3:].encode()
+            writer.write(response)
             await writer.drain()
             await sleep(0.01)
-            writer.write(whole)
+            writer.write(response)
 
         async with running(doubles) as fleet:
             for name in ("aaa", "bbb", "ccc"):
@@ -248,7 +248,7 @@
         """All events arrive once, followed by a proper end."""
         async with running(streams(1, 20), routes=STREAM) as fleet:
             reply = await fleet.call("/streaming/")
-        assert reply.whole
+        assert reply.is_complete
         assert reply.body == b"".join(map(event, range(1, 21)))
         assert reply.headers["server-seal"] == "sealed"
 
@@ -257,7 +257,7 @@
         script = streams(1, 20, until=5, rest=b"id: 6\nda")
         async with running(script, routes=STREAM) as fleet:
             reply = await fleet.call("/streaming/")
-        assert not reply.whole
+        assert not reply.is_complete
         assert reply.body == b"".join(map(event, range(1, 6)))
 
     async def test_resumable_stream_continues_at_another_target(self, running):
@@ -271,7 +271,7 @@
             by_id["i-1"].fixed_s = 9.0
             reply = await fleet.call("/streaming/")
             assert len(fleet.targets[0].received) == 1
-        assert reply.whole
+        assert reply.is_complete
         assert reply.body == b"".join(map(event, range(1, 21)))
 
     async def test_resumed_request_names_the_last_event(self, running):
@@ -291,7 +291,7 @@
         received = [each for target in fleet.targets for each in target.received]
         last_events = [each.headers.get("last-event-id") for each in received]
         assert sorted(last_events, key=str) == ["5", None]
-        assert reply.whole
+        assert reply.is_complete
         assert reply.body == b"".join(map(event, range(1, 21)))
 
     async def test_stream_ends_at_its_time_limit(self, running):
@@ -311,7 +311,7 @@
         async with running(endless, routes=STREAM, prepare=short) as fleet:
             reply = await fleet.call("/streaming/")
             await fleet.until(lambda: fleet.targets[0].open_requests == 0)
-        assert not reply.whole
+        assert not reply.is_complete
 
     async def test_stalled_request_times_out(self, running):
         """The request may have run, so the status makes no promise."""
--- a/libs/direct/tests/test_direct_shared_reading.py
+++ b/libs/direct/tests/test_direct_shared_reading.py
@@ -280,11 +280,11 @@
     """Treat every delta as complete."""
     apply_delta = PrefixState.apply_delta
 
-    def whole(items, delta, requested_at):
+    def complete(items, delta, requested_at):
         copied = PrefixDelta(delta.name, delta.revision, delta.age_s, 0, 0, delta.items)
         return apply_delta(items, copied, requested_at)
 
-    monkeypatch.setattr(PrefixState, "apply_delta", whole)
+    monkeypatch.setattr(PrefixState, "apply_delta", complete)
 
 
 def omitted_deletions(monkeypatch):
--- a/libs/direct/tests/test_direct_soak.py
+++ b/libs/direct/tests/test_direct_soak.py
@@ -85,7 +85,7 @@
                 assert runs <= 1, f"{number} ran {runs} times"
                 if reply is not None and reply.status in NOT_RUN:
                     assert runs == 0, f"{number} was said not to have run"
-            if reply is None or reply.status != 200 or not reply.whole:
+            if reply is None or reply.status != 200 or not reply.is_complete:
                 continue
             expected = f"answer of {number}".encode()
             if kind == "streaming":
--- a/libs/direct/tests/virtual_rollout.py
+++ b/libs/direct/tests/virtual_rollout.py
@@ -565,12 +565,12 @@
             self._start_engine(number, NEW)
         if "grey" in self.faults:
             self.random.choice(self._of_version(NEW)).is_grey = True
-        told = None
+        published = None
         while True:
             item = self.store.items.get(STATUS_KEY)
-            if item is not None and item.value != told:
-                told = item.value
-                self._handle_status(loads(told))
+            if item is not None and item.value != published:
+                published = item.value
+                self._handle_status(loads(published))
             await sleep(0.005)
 
     def _handle_status(self, status):
