--- a/libs/direct/src/berylwalk/direct/_attempt_runner.py
+++ b/libs/direct/src/berylwalk/direct/_attempt_runner.py
@@ -221,7 +221,7 @@
         route = self._admitted.route
         if not route.repeatable or not target.is_silent(now):
             return False
-        if not self._attempts.may_repeat(route, AttemptEnd.SILENT):
+        if not self._attempts.may_retry(route, AttemptEnd.SILENT):
             return False
         if attempt.last_event_at is None:
             return True
--- a/libs/direct/src/berylwalk/direct/_exchange.py
+++ b/libs/direct/src/berylwalk/direct/_exchange.py
@@ -174,7 +174,7 @@
         now = self._context.clock()
         if now >= self._admitted.ends_at:
             return "timeout"
-        if not self._attempts.may_repeat(self._admitted.route, attempt.end):
+        if not self._attempts.may_retry(self._admitted.route, attempt.end):
             return f"attempt-{attempt.end}"
         is_unused_trial = self._admitted.is_trial and attempt.end is AttemptEnd.NOT_SENT
         if self._is_quarantined() and not is_unused_trial:
--- a/libs/direct/src/berylwalk/direct/_exchange_log.py
+++ b/libs/direct/src/berylwalk/direct/_exchange_log.py
@@ -66,7 +66,7 @@
             ahead_tokens=start.ahead_tokens,
             own_tokens=start.own_tokens,
             expected_ms=_ms(start.total_s),
-            reading_ms=_ms(start.reading_s),
+            reading_ms=_ms(start.prefill_s),
             slot_wait_ms=_ms(start.slot_wait_s),
             in_flight=target.in_flight,
             peer_in_flight=target.peer_in_flight,
--- a/libs/direct/src/berylwalk/direct/_version_observer.py
+++ b/libs/direct/src/berylwalk/direct/_version_observer.py
@@ -71,10 +71,10 @@
         """Return what a first event, or a plain answer, takes; None if unknown."""
         if self._admitted.facts.work.prompt_tokens:
             model = self._target.first_event_model
-            reading_s = model.reading_s(
+            prefill_s = model.prefill_s(
                 self._token_s, start.ahead_tokens, start.own_tokens
             )
-            return model.fixed_s + reading_s + start.slot_wait_s
+            return model.fixed_s + prefill_s + start.slot_wait_s
         known = [each.slot_s for each in others if each.slot_s is not None]
         return sum(known) / len(known) + start.slot_wait_s if known else None
 
--- a/libs/dispatch/src/berylwalk/dispatch/_concurrency_limits.py
+++ b/libs/dispatch/src/berylwalk/dispatch/_concurrency_limits.py
@@ -9,12 +9,12 @@
 from berylwalk.dispatch._target import Target
 from berylwalk.dispatch._target_entries import IneligibilityReason
 
-TURN_WAIT_S = 0.15
+MAX_SLOT_WAIT_S = 0.15
 """Longest wait for a slot inside a target, in seconds: less than half of the
 objectives of interactive requests."""
 MAX_QUEUED_AT_TARGET = 4
 """Bound of the requests at a target beyond those that it works on."""
-MORE_PLACES_UNKNOWN = 2
+MAX_QUEUED_AT_UNKNOWN_TARGET = 2
 """The same while nothing is known of a target's speed."""
 RESERVED_REQUESTS = 2
 """Places at each target that are left to the most urgent requests of its service.
@@ -36,9 +36,9 @@
         0 if is_most_urgent else min(RESERVED_REQUESTS, int(RESERVED_SHARE * slots))
     )
     if target.slot_s is None:
-        return slots + MORE_PLACES_UNKNOWN - reserved
-    more = int(TURN_WAIT_S * slots / target.slot_s)
-    return slots + min(more, MAX_QUEUED_AT_TARGET) - reserved
+        return slots + MAX_QUEUED_AT_UNKNOWN_TARGET - reserved
+    extra = int(MAX_SLOT_WAIT_S * slots / target.slot_s)
+    return slots + min(extra, MAX_QUEUED_AT_TARGET) - reserved
 
 
 def ineligibility_reason_for(
--- a/libs/dispatch/src/berylwalk/dispatch/_dispatcher.py
+++ b/libs/dispatch/src/berylwalk/dispatch/_dispatcher.py
@@ -18,7 +18,7 @@
 from berylwalk.dispatch._target_table import TargetTable
 from berylwalk.rollout import ExposureRules, Rollouts
 
-RANK_SEEN_S = 5.0
+RANK_RESERVATION_S = 5.0
 """Time for which places are reserved for a rank after its last request, in seconds."""
 
 
@@ -55,7 +55,7 @@
         self._targets = targets
         self._failure_domain = failure_domain
         self._draw = draw
-        self._lines_by_service: dict[str, RequestQueue] = {}
+        self._queues_by_service: dict[str, RequestQueue] = {}
         self._remote_factor = REMOTE_FACTOR
         self._seen_at_by_rank: dict[tuple[str, tuple[int, int]], float] = {}
 
@@ -65,12 +65,12 @@
 
     def queue_length(self, service: str) -> int:
         """Return how many requests wait for a service."""
-        line = self._lines_by_service.get(service)
-        return 0 if line is None else len(line)
+        queue = self._queues_by_service.get(service)
+        return 0 if queue is None else len(queue)
 
     def queue_lengths(self) -> dict[str, int]:
         """Return how many requests wait, by service."""
-        return {name: len(line) for name, line in self._lines_by_service.items()}
+        return {name: len(queue) for name, queue in self._queues_by_service.items()}
 
     def submit(self, pending: PendingRequest, now: float) -> Target | None:
         """Return a target, or None if the request has to wait.
@@ -78,39 +78,39 @@
         The caller counts the request at the target with `Target.note_sent`
         before it yields.
         """
-        line = self._lines_by_service.get(pending.service)
-        if line is None:
-            line = self._lines_by_service[pending.service] = RequestQueue()
+        queue = self._queues_by_service.get(pending.service)
+        if queue is None:
+            queue = self._queues_by_service[pending.service] = RequestQueue()
         self._seen_at_by_rank[pending.service, pending.rank] = now
-        if not line.waits_before(pending.rank):
+        if not queue.has_rank_up_to(pending.rank):
             target = self._choose(pending, now)
             if target is not None:
                 return target
-        line.add(pending)
+        queue.add(pending)
         return None
 
     def cancel(self, pending: PendingRequest) -> bool:
         """Take a waiting request out; False if it has got its place."""
-        line = self._lines_by_service.get(pending.service)
-        return line is not None and line.remove(pending)
+        queue = self._queues_by_service.get(pending.service)
+        return queue is not None and queue.remove(pending)
 
     def dispatch_queued(self, service: str, now: float) -> None:
         """Give free places of a service to those that wait."""
-        line = self._lines_by_service.get(service)
-        if not line:
+        queue = self._queues_by_service.get(service)
+        if not queue:
             return
-        for pending in line:
-            if not self._has_place(pending, now):
+        for pending in queue:
+            if not self._has_free_target(pending, now):
                 # Another one may be more urgent or have other targets.
                 continue
             target = self._choose(pending, now)
             if target is None:
                 # Another one may have more time to begin.
                 continue
-            line.remove(pending)
+            queue.remove(pending)
             pending.on_placed(target)
 
-    def _has_place(self, pending: PendingRequest, now: float) -> bool:
+    def _has_free_target(self, pending: PendingRequest, now: float) -> bool:
         is_most_urgent = self._is_most_urgent(pending, now)
         return any(
             ineligibility_reason_for(target, (), now, is_most_urgent=is_most_urgent)
@@ -135,13 +135,13 @@
         return not any(
             service == pending.service
             and rank < pending.rank
-            and now - seen_at < RANK_SEEN_S
+            and now - seen_at < RANK_RESERVATION_S
             for (service, rank), seen_at in self._seen_at_by_rank.items()
         )
 
     def dispatch_all_queued(self, now: float) -> None:
         """Give free places of all services to those that wait."""
-        for service in self._lines_by_service:
+        for service in self._queues_by_service:
             self.dispatch_queued(service, now)
 
     def ineligibility_reasons(
@@ -189,7 +189,7 @@
         )
 
     def choose_among(
-        self, pending: PendingRequest, lives: Collection[str], now: float
+        self, pending: PendingRequest, incarnations: Collection[str], now: float
     ) -> Target | None:
         """Return one of some targets, whatever waits for others; None if all are full.
 
@@ -203,8 +203,10 @@
             Time in seconds.
         """
         targets = self._targets.of_service(pending.service)
-        among = [target for target in targets if target.entry.incarnation_id in lives]
-        return self._choose_from(among, pending, now)
+        candidates = [
+            target for target in targets if target.entry.incarnation_id in incarnations
+        ]
+        return self._choose_from(candidates, pending, now)
 
     def _choose(self, pending: PendingRequest, now: float) -> Target | None:
         return self._choose_from(self._candidates(pending, now), pending, now)
--- a/libs/dispatch/src/berylwalk/dispatch/_first_event_model.py
+++ b/libs/dispatch/src/berylwalk/dispatch/_first_event_model.py
@@ -26,13 +26,13 @@
 """Their weight, which is never forgotten, so that a part on which the observations say
 nothing stays where it was. The first counts as half an observation; the others, in
 seconds squared, as some prompts of ten thousand tokens."""
-FORGETTING = 0.99
+DECAY = 0.99
 """Factor on the weight of earlier observations: some hundred count."""
-RELATIVE_FLOOR_S = 0.05
+WEIGHT_FLOOR_S = 0.05
 """Times are weighted by their inverse, those below this all alike, in seconds."""
-SOLVED_EACH = 8
+SOLVE_INTERVAL = 8
 """Observations between two solutions."""
-LEAST_SCALE, MOST_SCALE = 0.1, 10.0
+MIN_SCALE, MAX_SCALE = 0.1, 10.0
 """Bounds of what is learned, as multiples of the values before any observation."""
 
 Row = list[float]
@@ -70,7 +70,7 @@
         self._prior = coefficients
         self._solve()
 
-    def reading_s(self, token_s: float, ahead_tokens: int, prompt_tokens: int) -> float:
+    def prefill_s(self, token_s: float, ahead_tokens: int, prompt_tokens: int) -> float:
         """Return the time for reading a prompt and those before it, in seconds.
 
         Parameters
@@ -83,7 +83,7 @@
         row = _features(token_s, ahead_tokens, prompt_tokens)
         return self._coefficients[1] * row[1] + self._coefficients[2] * row[2]
 
-    def note(
+    def observe(
         self, token_s: float, ahead_tokens: int, prompt_tokens: int, taken_s: float
     ) -> None:
         """Learn from a first event of a target that had a free slot.
@@ -98,15 +98,15 @@
             Time from the sending to the first event, in seconds.
         """
         row = _features(token_s, ahead_tokens, prompt_tokens)
-        weight = (RELATIVE_FLOOR_S / max(RELATIVE_FLOOR_S, taken_s)) ** 2
+        weight = (WEIGHT_FLOOR_S / max(WEIGHT_FLOOR_S, taken_s)) ** 2
         for i, left in enumerate(row):
             for j, right in enumerate(row):
-                self._products[i][j] *= FORGETTING
+                self._products[i][j] *= DECAY
                 self._products[i][j] += weight * left * right
-            self._values[i] *= FORGETTING
+            self._values[i] *= DECAY
             self._values[i] += weight * left * taken_s
         self._since_solved += 1
-        if self._since_solved >= SOLVED_EACH:
+        if self._since_solved >= SOLVE_INTERVAL:
             self._since_solved = 0
             self._solve()
 
@@ -117,7 +117,7 @@
             products[i][i] += weight
             values[i] += weight * self._prior[i]
         fixed_s, *parts = solve(products, values)
-        bounded = [min(max(each, LEAST_SCALE), MOST_SCALE) for each in parts]
+        bounded = [min(max(each, MIN_SCALE), MAX_SCALE) for each in parts]
         self._coefficients = [max(0.0, fixed_s), *bounded]
 
 
--- a/libs/dispatch/src/berylwalk/dispatch/_outcomes.py
+++ b/libs/dispatch/src/berylwalk/dispatch/_outcomes.py
@@ -28,23 +28,23 @@
     """The target sent nothing for too long: it may have run."""
 
 
-class Ran(StrEnum):
+class Executed(StrEnum):
     """Whether the request has run at a target."""
 
     NO = "no"
     MAYBE = "maybe"
 
 
-RAN_BY_END = {
-    AttemptEnd.ANSWERED: Ran.MAYBE,
-    AttemptEnd.NOT_SENT: Ran.NO,
-    AttemptEnd.REFUSED: Ran.NO,
-    AttemptEnd.FAILED: Ran.MAYBE,
-    AttemptEnd.BROKEN: Ran.MAYBE,
-    AttemptEnd.SILENT: Ran.MAYBE,
+EXECUTED_BY_END = {
+    AttemptEnd.ANSWERED: Executed.MAYBE,
+    AttemptEnd.NOT_SENT: Executed.NO,
+    AttemptEnd.REFUSED: Executed.NO,
+    AttemptEnd.FAILED: Executed.MAYBE,
+    AttemptEnd.BROKEN: Executed.MAYBE,
+    AttemptEnd.SILENT: Executed.MAYBE,
 }
 
-REFUSALS_TRIED = 3
+MAX_REFUSALS = 3
 """Targets that may refuse one request before it is given up."""
 
 
@@ -67,20 +67,20 @@
     sent: int = 0
     may_have_run: int = 0
     refused: int = 0
-    unreached: int = 0
+    unreachable: int = 0
 
     def note(self, end: AttemptEnd) -> None:
         """Count the end of one attempt."""
         if end is AttemptEnd.NOT_SENT:
-            self.unreached += 1
+            self.unreachable += 1
             return
         self.sent += 1
         if end is AttemptEnd.REFUSED:
             self.refused += 1
-        if RAN_BY_END[end] is Ran.MAYBE:
+        if EXECUTED_BY_END[end] is Executed.MAYBE:
             self.may_have_run += 1
 
-    def may_repeat(self, route: Route, end: AttemptEnd) -> bool:
+    def may_retry(self, route: Route, end: AttemptEnd) -> bool:
         """Return whether another target may be tried after an end.
 
         A request that can't be repeated goes on only if it surely has not run.
@@ -88,9 +88,9 @@
         if end is AttemptEnd.ANSWERED:
             return False
         if end is AttemptEnd.NOT_SENT:
-            return self.unreached <= REFUSALS_TRIED
+            return self.unreachable <= MAX_REFUSALS
         if end is AttemptEnd.REFUSED:
-            return self.refused <= REFUSALS_TRIED and self._has_attempts(route)
+            return self.refused <= MAX_REFUSALS and self._has_attempts(route)
         return route.repeatable and self._has_attempts(route)
 
     def final_status(self, end: AttemptEnd) -> int:
--- a/libs/dispatch/src/berylwalk/dispatch/_peer_table.py
+++ b/libs/dispatch/src/berylwalk/dispatch/_peer_table.py
@@ -18,7 +18,7 @@
 """Peers up to which each router tells each other one itself. More are told by
 failure domain: the messages would grow with the square of their number."""
 
-REPLACED_AFTER_S = 0.3
+STALE_INCARNATION_S = 0.3
 """A late message of a life that has ended must not bring it back, in seconds."""
 
 MAX_CACHED_SHARES = 10_000
@@ -162,7 +162,7 @@
         """
         peer = self.by_name.get(sender.name)
         if peer is not None and peer.incarnation != sender.incarnation:
-            if now - peer.last_heard_at < REPLACED_AFTER_S:
+            if now - peer.last_heard_at < STALE_INCARNATION_S:
                 return False
             peer = None
         if peer is None:
--- a/libs/dispatch/src/berylwalk/dispatch/_placement.py
+++ b/libs/dispatch/src/berylwalk/dispatch/_placement.py
@@ -11,7 +11,7 @@
 
 from berylwalk.affinity import parts_hash
 from berylwalk.dispatch._concurrency_limits import ineligibility_reason_for
-from berylwalk.dispatch._target import UNKNOWN_TOKEN_S, FirstEventEstimate, Target
+from berylwalk.dispatch._target import DEFAULT_TOKEN_S, FirstEventEstimate, Target
 from berylwalk.dispatch._target_entries import Work
 
 REMOTE_FACTOR = 1.3
@@ -29,26 +29,26 @@
 PAUSE_FACTOR = 4.0
 """How much dearer a target counts where the reading of the prompt is likely to hold up
 its streams for too long, or where all streams had such a pause."""
-PAUSE_SHARE = 0.8
+PAUSE_BUDGET_SHARE = 0.8
 """Part of the longest pause allowed within which an expected one should stay."""
-INHERENT_FACTOR = 1.5
+IDLE_START_FACTOR = 1.5
 """Multiple of the least time at an idle target that a start may take at least: what
 can't begin in time anywhere is better late than never."""
 TOO_SLOW_FACTOR = 20.0
 """How much dearer a target counts at which the answer can't be whole in time."""
 OUTPUT_MARGIN = 0.85
 """Part of the time left within which the answer should be whole."""
-BUSY_SHARE = 0.5
+BUSY_SLOT_SHARE = 0.5
 """Part of a target's slots from which it gets only requests that begin in time. Below,
 a late answer takes nothing from others."""
-HELD_FACTOR = 0.5
+CACHED_PREFIX_FACTOR = 0.5
 """How much cheaper a target counts that has read what the prompt shares with others,
 besides the time that this saves the request: it saves the others there as much. Bytes
 between failure domains cost less than reading again."""
-APART_PART = 3
+ISOLATION_POOL_DIVISOR = 3
 """Requests that may end their targets go to one of the emptiest; which part of all
 targets that is, as its divisor."""
-LEAST_APART = 2
+MIN_ISOLATION_POOL = 2
 """Targets that such a request is spread over at least."""
 ERROR_FACTOR = 4.0
 """How much dearer a target counts that fails every answer."""
@@ -59,7 +59,7 @@
     work: Work,
     *,
     cached_tokens: int = 0,
-    typical_token_s: float = UNKNOWN_TOKEN_S,
+    typical_token_s: float = DEFAULT_TOKEN_S,
 ) -> FirstEventEstimate:
     """Return when a request that is added should bring its first event.
 
@@ -77,14 +77,14 @@
     token_s = target.output_token_s or typical_token_s
     model = target.first_event_model
     fixed_s = model.fixed_s if target.fixed_s is None else target.fixed_s
-    ahead_tokens = target.unread_tokens
+    ahead_tokens = target.queued_prompt_tokens
     own_tokens = work.prompt_tokens - cached_tokens
-    reading_s = model.reading_s(token_s, ahead_tokens, own_tokens)
+    prefill_s = model.prefill_s(token_s, ahead_tokens, own_tokens)
     over = target.total_in_flight + 1 - target.entry.slots
     slot_wait_s = 0.0
     if over > 0 and target.slot_s is not None:
         slot_wait_s = over * target.slot_s / max(1, target.entry.slots)
-    return FirstEventEstimate(fixed_s, reading_s, slot_wait_s, ahead_tokens, own_tokens)
+    return FirstEventEstimate(fixed_s, prefill_s, slot_wait_s, ahead_tokens, own_tokens)
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
@@ -149,7 +149,7 @@
     draw : callable
         Draws from 0 up to 1, to tell equal targets apart.
     """
-    free = [
+    eligible = [
         target
         for target in targets
         if ineligibility_reason_for(
@@ -157,27 +157,27 @@
         )
         is None
     ]
-    if not free:
+    if not eligible:
         return None
     if request.isolation_key:
-        return _apart(free, request.isolation_key)
+        return _isolated_target(eligible, request.isolation_key)
     typical_token_s = mean_token_s(targets)
-    within_s = _start_bound_s(targets, request, typical_token_s, now)
+    max_start_s = _start_bound_s(targets, request, typical_token_s, now)
     best = None
     best_cost = float("inf")
-    for target in free:
+    for target in eligible:
         cached_tokens = request.cached_tokens.get(target.entry.incarnation_id, 0)
-        start = estimate_first_event(
+        estimate = estimate_first_event(
             target,
             request.work,
             cached_tokens=cached_tokens,
             typical_token_s=typical_token_s,
         )
-        if _starts_too_late(target, start, within_s):
+        if _starts_too_late(target, estimate, max_start_s):
             continue
-        cost = _cost_s(target, request, start, typical_token_s) * (1 + 0.02 * draw())
+        cost = _cost_s(target, request, estimate, typical_token_s) * (1 + 0.02 * draw())
         if cached_tokens:
-            cost *= HELD_FACTOR
+            cost *= CACHED_PREFIX_FACTOR
         elif target.entry.failure_domain != failure_domain:
             cost *= remote_factor
         if cost < best_cost:
@@ -185,16 +185,18 @@
     return best
 
 
-def _apart(free: Sequence[Target], isolation_key: bytes) -> Target:
+def _isolated_target(eligible: Sequence[Target], isolation_key: bytes) -> Target:
     """Return the target for a request that may end it.
 
     One of those with the fewest requests, since it takes them along; which one is the
     request's own, so that two such requests seldom meet and can be told apart.
     """
-    by_load = sorted(free, key=lambda target: target.total_in_flight)
-    emptiest = by_load[: max(LEAST_APART, len(by_load) // APART_PART)]
+    by_load = sorted(eligible, key=lambda target: target.total_in_flight)
+    least_loaded = by_load[
+        : max(MIN_ISOLATION_POOL, len(by_load) // ISOLATION_POOL_DIVISOR)
+    ]
     return max(
-        emptiest,
+        least_loaded,
         key=lambda target: parts_hash(
             [isolation_key, target.entry.incarnation_id.encode()]
         ),
@@ -206,7 +208,7 @@
 ) -> set[str]:
     """Return the ids of targets that are passed over since they would begin late."""
     typical_token_s = mean_token_s(targets)
-    within_s = _start_bound_s(targets, request, typical_token_s, now)
+    max_start_s = _start_bound_s(targets, request, typical_token_s, now)
     return {
         target.entry.target_id
         for target in targets
@@ -218,7 +220,7 @@
                 cached_tokens=request.cached_tokens.get(target.entry.incarnation_id, 0),
                 typical_token_s=typical_token_s,
             ),
-            within_s,
+            max_start_s,
         )
     }
 
@@ -226,27 +228,27 @@
 def _cost_s(
     target: Target,
     request: PlacementRequest,
-    start: FirstEventEstimate,
+    estimate: FirstEventEstimate,
     typical_token_s: float,
 ) -> float:
     token_s = target.output_token_s or typical_token_s
     output_s = token_s * request.work.output_tokens
-    cost = start.total_s + SLOT_TIME_WEIGHT * (start.reading_s + output_s)
+    cost = estimate.total_s + SLOT_TIME_WEIGHT * (estimate.prefill_s + output_s)
     cost *= 1 + ERROR_FACTOR * target.error_rate
     cost *= 1 + LOAD_WEIGHT * target.total_in_flight / max(1, target.entry.slots)
     if output_s > request.left_s * OUTPUT_MARGIN:
         cost *= TOO_SLOW_FACTOR
     if request.longest_pause_s > 0:
-        cost *= 1 + PAUSE_FACTOR * _pause_risk(target, request, start)
+        cost *= 1 + PAUSE_FACTOR * _pause_risk(target, request, estimate)
     return cost
 
 
 def _pause_risk(
-    target: Target, request: PlacementRequest, start: FirstEventEstimate
+    target: Target, request: PlacementRequest, estimate: FirstEventEstimate
 ) -> float:
     """Return the risk of a long pause there, from 0 to 1."""
-    bound_s = PAUSE_SHARE * request.longest_pause_s
-    expected_s = (target.event_s or 0.0) + start.reading_s
+    bound_s = PAUSE_BUDGET_SHARE * request.longest_pause_s
+    expected_s = (target.event_s or 0.0) + estimate.prefill_s
     if target.total_in_flight and expected_s > bound_s:
         return 1.0
     return target.paused_share
@@ -263,7 +265,7 @@
         return request.start_within_s
     idle_s = [
         target.first_event_model.fixed_s
-        + target.first_event_model.reading_s(
+        + target.first_event_model.prefill_s(
             target.output_token_s or typical_token_s, 0, request.work.prompt_tokens
         )
         for target in targets
@@ -272,14 +274,14 @@
     least_s = min(idle_s, default=0.0)
     if least_s <= request.start_within_s:
         return request.start_within_s
-    return INHERENT_FACTOR * least_s
+    return IDLE_START_FACTOR * least_s
 
 
 def _starts_too_late(
-    target: Target, start: FirstEventEstimate, within_s: float
+    target: Target, estimate: FirstEventEstimate, max_start_s: float
 ) -> bool:
-    is_busy = target.total_in_flight >= BUSY_SHARE * target.entry.slots
-    return is_busy and start.total_s > within_s
+    is_busy = target.total_in_flight >= BUSY_SLOT_SHARE * target.entry.slots
+    return is_busy and estimate.total_s > max_start_s
 
 
 def mean_token_s(targets: Sequence[Target]) -> float:
@@ -287,4 +289,4 @@
     known = [
         target.output_token_s for target in targets if target.output_token_s is not None
     ]
-    return sum(known) / len(known) if known else UNKNOWN_TOKEN_S
+    return sum(known) / len(known) if known else DEFAULT_TOKEN_S
--- a/libs/dispatch/src/berylwalk/dispatch/_prefix_cache_index.py
+++ b/libs/dispatch/src/berylwalk/dispatch/_prefix_cache_index.py
@@ -12,13 +12,13 @@
 from berylwalk.affinity import PlacementHistory
 from berylwalk.dispatch._target_entries import Work
 
-REMEMBERED = 4_096
+MAX_PREFIXES = 4_096
 """Prefixes that are remembered; the least recently sent go first. Targets keep some
 tens to hundreds each."""
-LEAST_SHARED_TOKENS = 512
+MIN_SHARED_TOKENS = 512
 """Shared tokens from which a target that has read them is preferred: what is shorter
 is read in a few milliseconds."""
-MOST_NEWS = 256
+MAX_PENDING_UPDATES = 256
 """Bound of what is told at once; more is forgotten, the oldest first."""
 
 PrefixPlacement = tuple[int, str]
@@ -29,31 +29,31 @@
     """What was sent where, by this router and as others tell."""
 
     def __init__(self) -> None:
-        self._history = PlacementHistory(REMEMBERED)
-        self._news: deque[PrefixPlacement] = deque(maxlen=MOST_NEWS)
+        self._history = PlacementHistory(MAX_PREFIXES)
+        self._updates: deque[PrefixPlacement] = deque(maxlen=MAX_PENDING_UPDATES)
 
     def note_sent(self, work: Work, incarnation_id: str) -> None:
         """Note that a target reads the prompt of a request."""
         prefix = work.shared_prefix
-        if prefix is not None and prefix.tokens >= LEAST_SHARED_TOKENS:
+        if prefix is not None and prefix.tokens >= MIN_SHARED_TOKENS:
             self._history.record((prefix.key,), incarnation_id)
-            self._news.append((prefix.key, incarnation_id))
+            self._updates.append((prefix.key, incarnation_id))
 
-    def merge(self, reads: Iterable[PrefixPlacement]) -> None:
+    def merge(self, placements: Iterable[PrefixPlacement]) -> None:
         """Take what other routers sent."""
-        for key, incarnation_id in reads:
+        for key, incarnation_id in placements:
             self._history.record((key,), incarnation_id)
 
     def take_updates(self) -> list[PrefixPlacement]:
         """Return what was sent since the last call, for peers."""
-        news = list(self._news)
-        self._news.clear()
-        return news
+        updates = list(self._updates)
+        self._updates.clear()
+        return updates
 
     def cached_tokens(self, work: Work) -> dict[str, int]:
         """Return the tokens of a prompt that targets have read, by their lives."""
         prefix = work.shared_prefix
-        if prefix is None or prefix.tokens < LEAST_SHARED_TOKENS:
+        if prefix is None or prefix.tokens < MIN_SHARED_TOKENS:
             return {}
         tokens = min(prefix.tokens, work.prompt_tokens)
         return dict.fromkeys(self._history.covered_blocks((prefix.key,)), tokens)
--- a/libs/dispatch/src/berylwalk/dispatch/_quotas.py
+++ b/libs/dispatch/src/berylwalk/dispatch/_quotas.py
@@ -11,27 +11,27 @@
 
 STEP_S = 0.1
 """Resolution of the window, in seconds."""
-TOLERANCE_USED = 0.5
+USED_TOLERANCE_SHARE = 0.5
 """Part of the tolerance that is given to callers. The rest covers what routers
 spend before they hear of each other."""
-START_SHARE = 0.35
+BOOTSTRAP_SHARE = 0.35
 """Part of the unused tolerance that may be spent at once after a start. Twice that
 and what routers spend before they hear of each other stay within the tolerance."""
 BIN_S = 0.5
 """Resolution in which routers tell what was spent in the window, in seconds."""
-NOTE_AGE_S = 1.5
+MAX_SNAPSHOT_AGE_S = 1.5
 """Longest time from a note to the end of the routers that spent after it, while the
 store answers."""
-NOTED_SHARE = 0.6
+HEAVY_SPENDING_SHARE = 0.6
 """Part of an account's allowance from which its spending is noted where a restart
 of all routers does not lose it. An account's usual spending is below."""
-RESERVE_SHARE = 0.02
+RANK_RESERVE_SHARE = 0.02
 """Part of the allowance that each rank leaves to the next higher one, besides what the
 most urgent rank asks. Not settled by measurement: against 0.06, which it had before,
 three plays each gave 0.519 and 0.538 for 0.510 and 0.520 on days with one account at
 many times its usual, and 0.858 for 0.875 on a calm day, all within their spread."""
 LOWEST_RANK = 3
-MOST_URGENT_SHARE = 0.8
+MAX_URGENT_RESERVE_SHARE = 0.8
 """Part of an account's pace that is left to its most urgent rank at most: where that
 alone asks more than all, the others still get something."""
 
@@ -55,12 +55,12 @@
     def limit(self, account: Account) -> float:
         """Return the units that an account may spend in a window."""
         allowance = account.rate_per_s * self.window_s + account.burst
-        return allowance + TOLERANCE_USED * self._tolerance(allowance)
+        return allowance + USED_TOLERANCE_SHARE * self._tolerance(allowance)
 
-    def start_units(self, account: Account) -> float:
+    def bootstrap_units(self, account: Account) -> float:
         """Return what may be spent at once by routers that know of nothing."""
         allowance = account.rate_per_s * self.window_s + account.burst
-        return START_SHARE * (1 - TOLERANCE_USED) * self._tolerance(allowance)
+        return BOOTSTRAP_SHARE * (1 - USED_TOLERANCE_SHARE) * self._tolerance(allowance)
 
     def _tolerance(self, allowance: float) -> float:
         return allowance * self.excess + self.slack
@@ -77,7 +77,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class _LimitInForce:
+class _EffectiveLimit:
     """A limit, and since when it is in force here."""
 
     since: float
@@ -88,7 +88,7 @@
 class _Spending:
     """What one account has spent within the window.
 
-    ``before`` holds what is known from before the start, ``noted`` its sum when it
+    ``prior`` holds what is known from before the start, ``snapshot_units`` its sum when it
     was learned, ``limits`` those that were in force within the window, oldest first.
     """
 
@@ -96,9 +96,9 @@
     total: float = 0.0
     spent: float = 0.0
     spent_by_peer: dict[str, float] = field(default_factory=dict)
-    before: list[tuple[float, float]] = field(default_factory=list)
-    noted: float = 0.0
-    limits: deque[_LimitInForce] = field(default_factory=deque)
+    prior: list[tuple[float, float]] = field(default_factory=list)
+    snapshot_units: float = 0.0
+    limits: deque[_EffectiveLimit] = field(default_factory=deque)
 
     def add(self, units: float, now: float) -> None:
         if not self.steps or now - self.steps[-1][0] >= STEP_S:
@@ -165,15 +165,15 @@
         self._rules = rules
         self._started_at = started_at
         self._spending_by_account: dict[str, _Spending] = {}
-        self._lives: set[str] = set()
-        self._knowledge = HistoryCoverage.NONE
+        self._incarnations: set[str] = set()
+        self._coverage = HistoryCoverage.NONE
         self._accounts_by_name: dict[str, Account] = {}
         self._share = 1.0
         self.urgent_demand = UrgentDemand()
 
-    def set_share(self, heard: int, known: int) -> None:
+    def set_share(self, alive: int, known: int) -> None:
         """Tell how many of the known routers, this one included, are heard."""
-        self._share = max(1, heard) / max(1, known)
+        self._share = max(1, alive) / max(1, known)
 
     def set_accounts(self, accounts: Iterable[Account], now: float) -> None:
         """Take the accounts of a configuration that is in force from now on.
@@ -188,7 +188,7 @@
             spending = self._spending(account.name)
             limit = self._rules.limit(account)
             if not spending.limits or spending.limits[-1].units != limit:
-                spending.limits.append(_LimitInForce(now, limit))
+                spending.limits.append(_EffectiveLimit(now, limit))
                 spending.begin_step(now)
 
     def take(self, account: Account, cost: float, rank: int, now: float) -> float:
@@ -212,21 +212,21 @@
         self._accounts_by_name[account.name] = account
         state = self.state(account, now)
         known = (state.limit - state.unknown) * state.share
-        left = known - state.counted
-        reserve = RESERVE_SHARE * min(rank, LOWEST_RANK) * known
+        remaining = known - state.counted
+        reserve = RANK_RESERVE_SHARE * min(rank, LOWEST_RANK) * known
         self.urgent_demand.record(account.name, rank, cost, now)
         spending = self._spending(account.name)
         urgent = self.urgent_demand.demand_above(account.name, rank, now)
         if urgent is not None:
-            most_per_s = MOST_URGENT_SHARE * state.limit / self._rules.window_s
+            most_per_s = MAX_URGENT_RESERVE_SHARE * state.limit / self._rules.window_s
             reserve += _reserve_for(
-                urgent.at_most(most_per_s), self._leaving(spending, now)
+                urgent.capped_at(most_per_s), self._expiring(spending, now)
             )
         # A request dearer than the whole allowance must not wait for ever.
         needed = min(cost, 0.9 * state.limit * state.share - reserve)
-        if left - reserve < needed:
+        if remaining - reserve < needed:
             per_s = state.limit * state.share / self._rules.window_s
-            return (needed + reserve - left) / per_s
+            return (needed + reserve - remaining) / per_s
         spending.add(cost, now)
         spending.spent += cost
         return 0.0
@@ -249,23 +249,23 @@
         )
         return QuotaState(
             limit=limit,
-            unknown=self._unknown(account, limit, now),
+            unknown=self._unknown_units(account, limit, now),
             counted=spent,
             share=self._share,
         )
 
     def _limits_in_window(
         self, account: Account, spending: _Spending, now: float
-    ) -> list[_LimitInForce]:
+    ) -> list[_EffectiveLimit]:
         limits = spending.limits
         while len(limits) > 1 and limits[1].since <= now - self._rules.window_s:
             limits.popleft()
-        return list(limits) or [_LimitInForce(now, self._rules.limit(account))]
+        return list(limits) or [_EffectiveLimit(now, self._rules.limit(account))]
 
-    def _leaving(self, spending: _Spending, now: float) -> list[tuple[float, float]]:
+    def _expiring(self, spending: _Spending, now: float) -> list[tuple[float, float]]:
         """Return in how many seconds which units leave the window, soonest first."""
         window_s = self._rules.window_s + STEP_S
-        spent = [*sorted(spending.before), *spending.steps]
+        spent = [*sorted(spending.prior), *spending.steps]
         return [(max(0.0, time + window_s - now), units) for time, units in spent]
 
     def refund(self, account: Account, cost: float, now: float) -> None:
@@ -291,7 +291,12 @@
         }
 
     def record_peer_totals(
-        self, life: str, spent_by_account: dict[str, float], *, is_new: bool, now: float
+        self,
+        incarnation: str,
+        spent_by_account: dict[str, float],
+        *,
+        is_new: bool,
+        now: float,
     ) -> None:
         """Count what a peer has spent since it was last heard.
 
@@ -307,21 +312,21 @@
         now : float
             Time in seconds.
         """
-        is_first = life not in self._lives
-        self._lives.add(life)
+        is_first = incarnation not in self._incarnations
+        self._incarnations.add(incarnation)
         for name, total in spent_by_account.items():
             spending = self._spending(name)
             if not is_first or is_new:
-                before = spending.spent_by_peer.get(life, 0.0)
-                spending.add(total - before, now)
-            spending.spent_by_peer[life] = total
+                prior = spending.spent_by_peer.get(incarnation, 0.0)
+                spending.add(total - prior, now)
+            spending.spent_by_peer[incarnation] = total
 
-    def forget_peer(self, life: str) -> None:
+    def forget_peer(self, incarnation: str) -> None:
         """Forget the totals of a peer's life that has ended."""
-        self._lives.discard(life)
-        self.urgent_demand.forget_peer(life)
+        self._incarnations.discard(incarnation)
+        self.urgent_demand.forget_peer(incarnation)
         for spending in self._spending_by_account.values():
-            spending.spent_by_peer.pop(life, None)
+            spending.spent_by_peer.pop(incarnation, None)
 
     def spent_by_bin(self, now: float) -> dict[str, list[float]]:
         """Return the spending of the window for routers that have just started.
@@ -344,11 +349,11 @@
             name: binned[name]
             for name, account in self._accounts_by_name.items()
             if name in binned
-            and sum(binned[name]) > NOTED_SHARE * self._rules.limit(account)
+            and sum(binned[name]) > HEAVY_SPENDING_SHARE * self._rules.limit(account)
         }
 
     def restore(
-        self, bins: dict[str, list[float]], knowledge: HistoryCoverage, now: float
+        self, bins: dict[str, list[float]], coverage: HistoryCoverage, now: float
     ) -> None:
         """Take what was spent in the window before the start.
 
@@ -361,21 +366,21 @@
         now : float
             Time in seconds.
         """
-        if knowledge <= self._knowledge or not self._started_within(now):
+        if coverage <= self._coverage or not self._started_within(now):
             return
-        self._knowledge = knowledge
+        self._coverage = coverage
         for spending in self._spending_by_account.values():
-            spending.before = []
-            spending.noted = 0.0
+            spending.prior = []
+            spending.snapshot_units = 0.0
         for name, units_by_bin in bins.items():
-            self._spending(name).noted = sum(units_by_bin)
+            self._spending(name).snapshot_units = sum(units_by_bin)
             times = [now - BIN_S * number for number in range(len(units_by_bin))]
-            if knowledge is HistoryCoverage.PARTIAL:
+            if coverage is HistoryCoverage.PARTIAL:
                 # The oldest part may have left the window after the note was
                 # written, and been spent again.
-                oldest = now - self._rules.window_s + NOTE_AGE_S
-                times = [now if time < oldest else time for time in times]
-            self._spending(name).before = [
+                earliest = now - self._rules.window_s + MAX_SNAPSHOT_AGE_S
+                times = [now if time < earliest else time for time in times]
+            self._spending(name).prior = [
                 (min(time, self._started_at), units)
                 for time, units in zip(times, units_by_bin, strict=True)
                 if units > 0
@@ -383,7 +388,7 @@
 
     def has_full_window(self, now: float) -> bool:
         """Return whether all that was spent in the window is known."""
-        return self._knowledge is HistoryCoverage.COMPLETE or not self._started_within(
+        return self._coverage is HistoryCoverage.COMPLETE or not self._started_within(
             now
         )
 
@@ -392,7 +397,7 @@
 
     def _binned(self, spending: _Spending, now: float) -> list[float]:
         bins = [0.0] * (int(self._rules.window_s / BIN_S) + 1)
-        for time, units in [*spending.before, *spending.steps]:
+        for time, units in [*spending.prior, *spending.steps]:
             number = int((now - time) / BIN_S)
             if 0 <= number < len(bins):
                 bins[number] += units
@@ -401,22 +406,22 @@
     def _counted(self, spending: _Spending, now: float) -> float:
         since = now - self._rules.window_s - STEP_S
         spending.drop_before(since)
-        if spending.before:
-            spending.before = [each for each in spending.before if each[0] >= since]
-        return spending.total + sum(units for _, units in spending.before)
+        if spending.prior:
+            spending.prior = [each for each in spending.prior if each[0] >= since]
+        return spending.total + sum(units for _, units in spending.prior)
 
-    def _unknown(self, account: Account, limit: float, now: float) -> float:
+    def _unknown_units(self, account: Account, limit: float, now: float) -> float:
         """Return what may have been spent before the start without being known."""
         unknown_s = max(0.0, self._rules.window_s - (now - self._started_at))
-        if self._knowledge is HistoryCoverage.COMPLETE or not unknown_s:
+        if self._coverage is HistoryCoverage.COMPLETE or not unknown_s:
             return 0.0
-        units = limit - self._rules.start_units(account)
-        if self._knowledge is HistoryCoverage.PARTIAL:
-            noted = self._spending(account.name).noted
-            if noted:
+        units = limit - self._rules.bootstrap_units(account)
+        if self._coverage is HistoryCoverage.PARTIAL:
+            snapshot_units = self._spending(account.name).snapshot_units
+            if snapshot_units:
                 # All the rest may have been spent after the note was written.
-                return max(0.0, limit - noted)
-            units = NOTED_SHARE * limit
+                return max(0.0, limit - snapshot_units)
+            units = HEAVY_SPENDING_SHARE * limit
         return units * unknown_s / self._rules.window_s
 
     def _spending(self, name: str) -> _Spending:
@@ -426,7 +431,7 @@
         return spending
 
 
-def _reserve_for(demand: Demand, leaving: Iterable[tuple[float, float]]) -> float:
+def _reserve_for(demand: Demand, expiring: Iterable[tuple[float, float]]) -> float:
     """Return the units that have to be left so that a demand is served at any moment.
 
     Parameters
@@ -438,7 +443,7 @@
         they may be spent again.
     """
     reserve = freed = 0.0
-    for in_s, units in leaving:
-        reserve = max(reserve, demand.most_within(in_s) - freed)
+    for in_s, units in expiring:
+        reserve = max(reserve, demand.max_within(in_s) - freed)
         freed += units
     return reserve
--- a/libs/dispatch/src/berylwalk/dispatch/_request_deadlines.py
+++ b/libs/dispatch/src/berylwalk/dispatch/_request_deadlines.py
@@ -9,9 +9,9 @@
 START_SHARE = 0.7
 """Part of its latency objective within which an answer should begin at the target that
 is chosen: expectations are often too low."""
-LEAST_WAIT_S = 0.02
+MIN_WAIT_S = 0.02
 """Bound from below of the time for a place: the next message of a peer comes within."""
-REPEAT_WAIT_S = 1.0
+RETRY_WAIT_S = 1.0
 """Time that a request waits for another target after a failed attempt."""
 
 
@@ -43,7 +43,7 @@
     objective_s : float
         Its latency objective, in seconds.
     """
-    wait_s = max(LEAST_WAIT_S, WAIT_SHARE * objective_s)
+    wait_s = max(MIN_WAIT_S, WAIT_SHARE * objective_s)
     return RequestDeadlines(
         wait_until=min(arrived_at + wait_s, deadline),
         start_by=arrived_at + START_SHARE * objective_s,
@@ -55,4 +55,4 @@
 
     Late is better than not at all.
     """
-    return RequestDeadlines(min(now + REPEAT_WAIT_S, deadline), float("inf"))
+    return RequestDeadlines(min(now + RETRY_WAIT_S, deadline), float("inf"))
--- a/libs/dispatch/src/berylwalk/dispatch/_request_queue.py
+++ b/libs/dispatch/src/berylwalk/dispatch/_request_queue.py
@@ -12,7 +12,7 @@
 SIZE_WEIGHT = 0.1
 """Time that a request falls behind its equals for each second that it will keep a
 slot: small ones go first while many wait, and no large one waits for ever."""
-LONGEST_SLOT_S = 3.0
+MAX_SLOT_S = 3.0
 TYPICAL_PROMPT_TOKEN_S = 0.00002
 TYPICAL_OUTPUT_TOKEN_S = 0.0035
 """Typical times of the engines that this was made for; used for comparison only."""
@@ -64,9 +64,9 @@
     number: int = 0
 
 
-def _order(pending: PendingRequest) -> tuple[tuple[int, int], float, int]:
-    behind_s = SIZE_WEIGHT * min(_slot_s(pending.work), LONGEST_SLOT_S)
-    return pending.rank, pending.arrived_at + behind_s, pending.number
+def _sort_key(pending: PendingRequest) -> tuple[tuple[int, int], float, int]:
+    penalty_s = SIZE_WEIGHT * min(_slot_s(pending.work), MAX_SLOT_S)
+    return pending.rank, pending.arrived_at + penalty_s, pending.number
 
 
 def _slot_s(work: Work) -> float:
@@ -79,28 +79,28 @@
     """Waiting requests of one service, by rank, arrival and size."""
 
     def __init__(self) -> None:
-        self._tickets = SortedKeyList(key=_order)
+        self._requests = SortedKeyList(key=_sort_key)
         self._numbers = count(1)
 
     def __len__(self) -> int:
-        return len(self._tickets)
+        return len(self._requests)
 
     def __iter__(self):
-        return iter(list(self._tickets))
+        return iter(list(self._requests))
 
     def add(self, pending: PendingRequest) -> None:
         """Add a ticket behind those of its rank."""
         pending.number = next(self._numbers)
-        self._tickets.add(pending)
+        self._requests.add(pending)
 
     def remove(self, pending: PendingRequest) -> bool:
         """Remove a ticket; False if it does not wait."""
         try:
-            self._tickets.remove(pending)
+            self._requests.remove(pending)
         except ValueError:
             return False
         return True
 
-    def waits_before(self, rank: tuple[int, int]) -> bool:
+    def has_rank_up_to(self, rank: tuple[int, int]) -> bool:
         """Return whether a ticket of the same rank or a higher one waits."""
-        return bool(self._tickets) and self._tickets[0].rank <= rank
+        return bool(self._requests) and self._requests[0].rank <= rank
--- a/libs/dispatch/src/berylwalk/dispatch/_requested_backoff.py
+++ b/libs/dispatch/src/berylwalk/dispatch/_requested_backoff.py
@@ -5,11 +5,11 @@
 and twice as many with each that it takes: what waited for it must not all come at once.
 """
 
-RETRIAL_S = 0.5
+RETRY_PROBE_S = 0.5
 """Time after which a target that has rested is sent one more request though it has not
 taken the last one: that may have been lost on its way."""
 
-SAME_REST_S = 0.1
+SAME_BACKOFF_S = 0.1
 """Difference up to which two ends of a rest are taken for one, where it is told."""
 
 
@@ -36,12 +36,12 @@
         are refused at once tell the same.
         """
         until = now + duration_s
-        is_news = until > self.until + SAME_REST_S
+        is_extended = until > self.until + SAME_BACKOFF_S
         self.until = max(self.until, until)
         if duration_s > 0:
             self.sends_left = 1
             self._sent_at = float("-inf")
-        return is_news
+        return is_extended
 
     def note_sent(self, now: float) -> None:
         """Count a request that is sent."""
@@ -77,4 +77,4 @@
     def may_send(self, now: float) -> bool:
         """Return whether one more may be sent after its rest."""
         is_unbounded = self.sends_left is None or self.sends_left > 0
-        return is_unbounded or now - self._sent_at >= RETRIAL_S
+        return is_unbounded or now - self._sent_at >= RETRY_PROBE_S
--- a/libs/dispatch/src/berylwalk/dispatch/_retry_after.py
+++ b/libs/dispatch/src/berylwalk/dispatch/_retry_after.py
@@ -10,16 +10,16 @@
 from math import isinf
 from random import uniform
 
-SOONEST_S = 0.1
+MIN_DELAY_S = 0.1
 """What is full now is seldom free before."""
-LATEST_S = 1.2
+MAX_DELAY_S = 1.2
 """A few latency objectives of interactive requests."""
-SHARE_OF_TIME_LEFT = 1 / 3
+MAX_REMAINING_SHARE = 1 / 3
 """Part of their time left up to which callers wait as told."""
 
 
 def retry_after_s(
-    left_s: float,
+    remaining_s: float,
     *,
     available_in_s: float = 0.0,
     draw: Callable[[float, float], float] = uniform,
@@ -38,7 +38,7 @@
     draw : callable
         Draws a number between two bounds.
     """
-    latest_s = min(LATEST_S, left_s * SHARE_OF_TIME_LEFT)
-    after_s = draw(min(SOONEST_S, latest_s), latest_s)
+    latest_s = min(MAX_DELAY_S, remaining_s * MAX_REMAINING_SHARE)
+    delay_s = draw(min(MIN_DELAY_S, latest_s), latest_s)
     # Another router may have a place sooner than this one, but none at once.
-    return after_s if isinf(available_in_s) else max(available_in_s, 0.0) + after_s
+    return delay_s if isinf(available_in_s) else max(available_in_s, 0.0) + delay_s
--- a/libs/dispatch/src/berylwalk/dispatch/_retry_budget.py
+++ b/libs/dispatch/src/berylwalk/dispatch/_retry_budget.py
@@ -2,7 +2,7 @@
 
 from collections import deque
 
-SAFETY = 0.8
+SAFETY_FACTOR = 0.8
 """Part of the bound that is used; the rest covers counts that cross a window."""
 STEP_S = 0.5
 """Resolution of the window, in seconds."""
@@ -53,12 +53,12 @@
     """
 
     def __init__(self, *, ratio: float, slack: float, window_s: float) -> None:
-        self._ratio = ratio * SAFETY
-        self._slack = slack * SAFETY
+        self._ratio = ratio * SAFETY_FACTOR
+        self._slack = slack * SAFETY_FACTOR
         self._window_s = window_s
         self._routers = 1
         self._requests_by_service: dict[str, WindowCount] = {}
-        self._repeats_by_service: dict[str, WindowCount] = {}
+        self._retries_by_service: dict[str, WindowCount] = {}
 
     def set_routers(self, routers: int) -> None:
         """Tell how many routers share the fixed allowance."""
@@ -71,15 +71,15 @@
     def left(self, service: str, now: float) -> float:
         """Return the repeated sends that are allowed now."""
         requests = self._count(self._requests_by_service, service).total(now)
-        repeats = self._count(self._repeats_by_service, service)
+        retries = self._count(self._retries_by_service, service)
         allowed = self._ratio * requests + self._slack / self._routers
-        return allowed - repeats.total(now, margin_s=STEP_S)
+        return allowed - retries.total(now, margin_s=STEP_S)
 
     def take(self, service: str, now: float) -> bool:
         """Take one repeated send; False if none is left."""
         if self.left(service, now) < 1:
             return False
-        self._count(self._repeats_by_service, service).add(now)
+        self._count(self._retries_by_service, service).add(now)
         return True
 
     def _count(self, counts: dict[str, WindowCount], service: str) -> WindowCount:
--- a/libs/dispatch/src/berylwalk/dispatch/_target.py
+++ b/libs/dispatch/src/berylwalk/dispatch/_target.py
@@ -13,41 +13,41 @@
 )
 from berylwalk.dispatch._target_signals import NO_SIGNALS, TargetSignals
 
-FIRST_ASIDE_S = 0.4
+INITIAL_BACKOFF_S = 0.4
 """First time that a failing target is set aside, in seconds; doubled each time."""
-LONGEST_ASIDE_S = 3.0
+MAX_BACKOFF_S = 3.0
 """Bound of the time set aside: a target that came back is soon tried again."""
 ERROR_WEIGHT = 0.12
 """Weight of one answer in the moving share of errors: some eight answers count."""
-ERRONEOUS_SHARE = 0.3
+ERROR_RATE_THRESHOLD = 0.3
 """A target with more errors than this gets only trial requests."""
-TRIAL_GAP_S = 0.5
+PROBE_INTERVAL_S = 0.5
 """Time between trial requests at an erroneous target, in seconds."""
 SPEED_WEIGHT = 0.12
 """Weight of one answer in the moving means of times: some eight answers count."""
-WAITED_WEIGHT = 0.03
+QUEUED_SPEED_WEIGHT = 0.03
 """The same in the fixed time, for an answer that had to wait for a slot: its own part
 of the time is less certain."""
-OUTPUT_TOKENS_KNOWN = 400
+HALF_WEIGHT_TOKENS = 400
 """Output tokens whose weight in the moving speed is one half: one long answer, or a few
 short ones, tell the speed of a target."""
-LEAST_OUTPUT_TOKENS = 30
+MIN_OUTPUT_TOKENS = 30
 """Output tokens from which an answer tells something of a target's speed."""
-LEAST_SLOT_S = 0.001
+MIN_SLOT_S = 0.001
 """Least time that a request is taken to keep its slot, in seconds: an answer whose
 events come all at once tells of none, and others are divided by it."""
-LONGEST_LEARNED_S = 3600.0
+MAX_PLAUSIBLE_S = 3600.0
 """Bound of what is believed of a noted time, in seconds: no request takes longer."""
-LEAST_OWN_SHARE = 0.2
+MIN_FIXED_SHARE = 0.2
 """Least part of the time to a first event that is not put down to waiting."""
-SILENT_AFTER_S = 0.6
+SILENCE_TIMEOUT_S = 0.6
 """A target that owes events and sent no byte for this long is taken for dark."""
 SILENCE_FACTOR = 2.0
 """Margin over the expected time of reading prompts, in which nothing is sent."""
-UNKNOWN_TOKEN_S = 0.004
+DEFAULT_TOKEN_S = 0.004
 """Time for an output token of a target of which nothing is known, in seconds: engines
 take some milliseconds for a step."""
-UNKNOWN_FACTOR = 3.0
+UNKNOWN_SPEED_FACTOR = 3.0
 """How much slower a target may be of which nothing is known, when its silence is
 judged."""
 
@@ -60,7 +60,7 @@
     ----------
     fixed_s : float
         What each request takes there, in seconds.
-    reading_s : float
+    prefill_s : float
         Reading of the prompts ahead of it and of its own, in seconds.
     slot_wait_s : float
         Wait for a slot, in seconds.
@@ -71,7 +71,7 @@
     """
 
     fixed_s: float
-    reading_s: float
+    prefill_s: float
     slot_wait_s: float
     ahead_tokens: int
     own_tokens: int
@@ -79,7 +79,7 @@
     @property
     def total_s(self) -> float:
         """Time from the sending to the first event, in seconds."""
-        return self.fixed_s + self.reading_s + self.slot_wait_s
+        return self.fixed_s + self.prefill_s + self.slot_wait_s
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
@@ -104,7 +104,7 @@
     def is_possible(self) -> bool:
         """Whether a target can have this speed: others divide by its times."""
         times = (self.fixed_s, self.slot_s, self.output_token_s, self.event_s)
-        are_times = all(time is None or 0 < time < LONGEST_LEARNED_S for time in times)
+        are_times = all(time is None or 0 < time < MAX_PLAUSIBLE_S for time in times)
         return are_times and 0 <= self.paused_share <= 1
 
 
@@ -178,8 +178,8 @@
 
     def notify_incarnation_ended(self) -> None:
         """Tell all that wait for it that this life of the target has ended."""
-        for tell in list(self.on_incarnation_ended):
-            tell()
+        for callback in list(self.on_incarnation_ended):
+            callback()
 
     @property
     def total_in_flight(self) -> int:
@@ -187,7 +187,7 @@
         return self.in_flight + self.peer_in_flight
 
     @property
-    def unread_tokens(self) -> int:
+    def queued_prompt_tokens(self) -> int:
         """Prompt tokens of all routers at the target that are not read yet."""
         return self.waiting_tokens + self.peer_tokens
 
@@ -205,9 +205,11 @@
 
         One that reads long prompts and has no other request sends nothing.
         """
-        token_s = self.output_token_s or UNKNOWN_FACTOR * UNKNOWN_TOKEN_S
-        reading_s = self.first_event_model.reading_s(token_s, 0, self.unread_tokens)
-        return SILENT_AFTER_S + SILENCE_FACTOR * reading_s
+        token_s = self.output_token_s or UNKNOWN_SPEED_FACTOR * DEFAULT_TOKEN_S
+        prefill_s = self.first_event_model.prefill_s(
+            token_s, 0, self.queued_prompt_tokens
+        )
+        return SILENCE_TIMEOUT_S + SILENCE_FACTOR * prefill_s
 
     def is_available(self, now: float) -> bool:
         """Return whether a request may be sent, its number in flight aside."""
@@ -223,8 +225,8 @@
             return IneligibilityReason.BACKOFF
         if self.is_silent(now):
             return IneligibilityReason.SILENT
-        is_erroneous = self.error_rate > ERRONEOUS_SHARE
-        if is_erroneous and now - self.last_sent_at < TRIAL_GAP_S:
+        is_erroneous = self.error_rate > ERROR_RATE_THRESHOLD
+        if is_erroneous and now - self.last_sent_at < PROBE_INTERVAL_S:
             return IneligibilityReason.ERRORS
         return self.flow_control.ineligibility_reason(now)
 
@@ -252,15 +254,15 @@
             Time from the sending to the first event, in seconds.
         """
         self.waiting_tokens -= work.prompt_tokens
-        rest_s = taken_s - start.slot_wait_s - start.reading_s
-        sample = max(rest_s, taken_s * LEAST_OWN_SHARE)
+        remainder_s = taken_s - start.slot_wait_s - start.prefill_s
+        sample = max(remainder_s, taken_s * MIN_FIXED_SHARE)
         had_free_slot = start.slot_wait_s == 0
         if had_free_slot and self.output_token_s is not None:
-            self.first_event_model.note(
+            self.first_event_model.observe(
                 self.output_token_s, start.ahead_tokens, start.own_tokens, taken_s
             )
-        weight = SPEED_WEIGHT if had_free_slot else WAITED_WEIGHT
-        self.fixed_s = _moved(self.fixed_s, sample, weight)
+        weight = SPEED_WEIGHT if had_free_slot else QUEUED_SPEED_WEIGHT
+        self.fixed_s = _moving_mean(self.fixed_s, sample, weight)
 
     def note_output(self, tokens: int, events: int, taken_s: float) -> None:
         """Learn from the time that some output tokens took.
@@ -272,11 +274,13 @@
         taken_s : float
             Time between that event and the last one, in seconds.
         """
-        if tokens < LEAST_OUTPUT_TOKENS:
+        if tokens < MIN_OUTPUT_TOKENS:
             return
-        weight = tokens / (tokens + OUTPUT_TOKENS_KNOWN)
-        self.output_token_s = _moved(self.output_token_s, taken_s / tokens, weight)
-        self.event_s = _moved(self.event_s, taken_s / events, weight)
+        weight = tokens / (tokens + HALF_WEIGHT_TOKENS)
+        self.output_token_s = _moving_mean(
+            self.output_token_s, taken_s / tokens, weight
+        )
+        self.event_s = _moving_mean(self.event_s, taken_s / events, weight)
 
     def note_paused(self, was_too_long: bool) -> None:
         """Learn whether a stream had a pause that was too long."""
@@ -301,7 +305,7 @@
         if self.fixed_s is None:
             self.fixed_s = speed.fixed_s
         if self.slot_s is None and speed.slot_s is not None:
-            self.slot_s = max(speed.slot_s, LEAST_SLOT_S)
+            self.slot_s = max(speed.slot_s, MIN_SLOT_S)
         if self.output_token_s is None:
             self.output_token_s = speed.output_token_s
             self.event_s = speed.event_s
@@ -309,8 +313,8 @@
 
     def note_slot_time(self, taken_s: float) -> None:
         """Learn from the time that an answered request kept its slot."""
-        sample = max(taken_s, LEAST_SLOT_S)
-        self.slot_s = _moved(self.slot_s, sample, SPEED_WEIGHT)
+        sample = max(taken_s, MIN_SLOT_S)
+        self.slot_s = _moving_mean(self.slot_s, sample, SPEED_WEIGHT)
 
     def note_heard(self, now: float) -> None:
         """Note that bytes came."""
@@ -344,10 +348,8 @@
     def note_unreachable(self, now: float) -> None:
         """Set the target aside after its connection failed."""
         self.consecutive_failures += 1
-        pause_s = FIRST_ASIDE_S * 2 ** min(self.consecutive_failures - 1, 4)
-        self.backoff_until = max(
-            self.backoff_until, now + min(pause_s, LONGEST_ASIDE_S)
-        )
+        pause_s = INITIAL_BACKOFF_S * 2 ** min(self.consecutive_failures - 1, 4)
+        self.backoff_until = max(self.backoff_until, now + min(pause_s, MAX_BACKOFF_S))
 
     def note_replaced(self) -> None:
         """Send nothing more: what answers at its address is another life.
@@ -366,5 +368,5 @@
         self.backoff_until = max(self.backoff_until, now + pause_s)
 
 
-def _moved(mean: float | None, sample: float, weight: float) -> float:
+def _moving_mean(mean: float | None, sample: float, weight: float) -> float:
     return sample if mean is None else mean + weight * (sample - mean)
--- a/libs/dispatch/src/berylwalk/dispatch/_target_entries.py
+++ b/libs/dispatch/src/berylwalk/dispatch/_target_entries.py
@@ -3,7 +3,7 @@
 from dataclasses import dataclass
 from enum import StrEnum
 
-LIFE_MARKS = 1 << 16
+START_MARK_MODULUS = 1 << 16
 """Marks by which lives of one target are told apart."""
 
 
@@ -93,7 +93,7 @@
         """
         if self.started_ms is None:
             return self.target_id
-        return f"{self.target_id}~{self.started_ms % LIFE_MARKS:x}"
+        return f"{self.target_id}~{self.started_ms % START_MARK_MODULUS:x}"
 
 
 @dataclass(frozen=True, slots=True)
--- a/libs/dispatch/tests/test_dispatch_lives.py
+++ b/libs/dispatch/tests/test_dispatch_lives.py
@@ -46,7 +46,11 @@
         targets.replace_peer_loads("peer", {former.entry.incarnation_id: (2, 800)})
         targets.update(entry(2000), NOW)
         new = targets.by_id["a"]
-        assert (new.total_in_flight, new.unread_tokens, new.error_rate) == (0, 0, 0.0)
+        assert (new.total_in_flight, new.queued_prompt_tokens, new.error_rate) == (
+            0,
+            0,
+            0.0,
+        )
         assert (new.output_token_s, new.awaiting_since) == (None, None)
         assert targets.pop_ended_incarnations() == [former]
         assert targets.pop_ended_incarnations() == []
--- a/libs/dispatch/tests/test_dispatch_outcomes.py
+++ b/libs/dispatch/tests/test_dispatch_outcomes.py
@@ -49,7 +49,7 @@
         """Requests that may run only once end there."""
         attempts = Attempts()
         attempts.note(end)
-        assert not attempts.may_repeat(of_kind, end)
+        assert not attempts.may_retry(of_kind, end)
         assert attempts.final_status(end) in (502, 504)
 
     @pytest.mark.parametrize("of_kind", [ONCE, STREAM, REPEATABLE, RESUMABLE])
@@ -58,7 +58,7 @@
         """A request that no target ran may go on, and 503 is true of it."""
         attempts = Attempts()
         attempts.note(end)
-        assert attempts.may_repeat(of_kind, end)
+        assert attempts.may_retry(of_kind, end)
         assert attempts.final_status(end) == 503
 
     @pytest.mark.parametrize("of_kind", [REPEATABLE, RESUMABLE])
@@ -66,9 +66,9 @@
         """As many targets as the route allows, and no more."""
         attempts = Attempts()
         attempts.note(AttemptEnd.BROKEN)
-        assert attempts.may_repeat(of_kind, AttemptEnd.BROKEN)
+        assert attempts.may_retry(of_kind, AttemptEnd.BROKEN)
         attempts.note(AttemptEnd.BROKEN)
-        assert not attempts.may_repeat(of_kind, AttemptEnd.BROKEN)
+        assert not attempts.may_retry(of_kind, AttemptEnd.BROKEN)
 
     def test_no_promise_after_one_target_may_have_run_it(self):
         """A refusal later does not undo what came before."""
@@ -82,7 +82,7 @@
         attempts = Attempts()
         for _ in range(4):
             attempts.note(AttemptEnd.REFUSED)
-        assert not attempts.may_repeat(ONCE, AttemptEnd.REFUSED)
+        assert not attempts.may_retry(ONCE, AttemptEnd.REFUSED)
 
 
 class TestReturnTime:
--- a/libs/dispatch/tests/test_dispatch_prefix_reads.py
+++ b/libs/dispatch/tests/test_dispatch_prefix_reads.py
@@ -12,7 +12,7 @@
     Work,
     estimate_first_event,
 )
-from berylwalk.dispatch._prefix_cache_index import MOST_NEWS, REMEMBERED
+from berylwalk.dispatch._prefix_cache_index import MAX_PENDING_UPDATES, MAX_PREFIXES
 
 NOW = 100.0
 PROMPT = Work(6_000, 100, SharedPrefix(7, 5_000))
@@ -102,12 +102,12 @@
         whole = estimate_first_event(target, PROMPT)
         rest = estimate_first_event(target, PROMPT, cached_tokens=5_000)
         assert (whole.own_tokens, rest.own_tokens) == (6_000, 1_000)
-        assert rest.reading_s < 0.2 * whole.reading_s
+        assert rest.prefill_s < 0.2 * whole.prefill_s
 
     def test_model_learns_from_what_was_read(self):
         """A start that is short since parts were held tells of no fast reading."""
         _, targets = dispatcher(entry("a"), entry("b"))
-        reading_s = {}
+        prefill_s = {}
         for target_id, cached_tokens in (("a", 5_000), ("b", 0)):
             target = targets.by_id[target_id]
             target.first_event_model = type(target.first_event_model)()
@@ -119,8 +119,8 @@
                 )
                 target.note_first_event(PROMPT, start, start.total_s)
                 target.note_finished(PROMPT, had_first_event=True)
-            reading_s[target_id] = target.first_event_model.reading_s(0.004, 0, 6_000)
-        assert reading_s["a"] == pytest.approx(reading_s["b"], rel=0.1)
+            prefill_s[target_id] = target.first_event_model.prefill_s(0.004, 0, 6_000)
+        assert prefill_s["a"] == pytest.approx(prefill_s["b"], rel=0.1)
 
 
 class TestReads:
@@ -145,9 +145,9 @@
     def test_memory_and_news_are_bounded(self):
         """Callers choose the ids of parts."""
         reads = PrefixCacheIndex()
-        for key in range(3 * REMEMBERED):
+        for key in range(3 * MAX_PREFIXES):
             reads.note_sent(Work(6_000, 10, SharedPrefix(key, 5_000)), "b")
-        assert len(reads._history) == REMEMBERED
-        assert len(reads.take_updates()) == MOST_NEWS
+        assert len(reads._history) == MAX_PREFIXES
+        assert len(reads.take_updates()) == MAX_PENDING_UPDATES
         oldest = Work(6_000, 10, SharedPrefix(0, 5_000))
         assert reads.cached_tokens(oldest) == {}
--- a/libs/dispatch/tests/test_dispatch_start_model.py
+++ b/libs/dispatch/tests/test_dispatch_start_model.py
@@ -26,8 +26,8 @@
 
 def start_s(token_s, tokens, *, fixed_s, token_ratio, pair_ratio):
     """Return the time of an engine to a first event."""
-    reading_s = token_ratio * token_s * tokens + pair_ratio * token_s * tokens**2
-    return fixed_s + reading_s
+    prefill_s = token_ratio * token_s * tokens + pair_ratio * token_s * tokens**2
+    return fixed_s + prefill_s
 
 
 ENGINES = [
@@ -50,7 +50,7 @@
             taken_s = start_s(token_s, tokens, **engine)
             model.note(token_s, 0, tokens, taken_s * random.uniform(0.95, 1.2))
         for tokens in (500, 6_000, 20_000):
-            expected_s = model.fixed_s + model.reading_s(0.003, 0, tokens)
+            expected_s = model.fixed_s + model.prefill_s(0.003, 0, tokens)
             assert expected_s == pytest.approx(
                 start_s(0.003, tokens, **engine), rel=0.3
             )
@@ -58,8 +58,8 @@
     def test_prompts_ahead_are_read_first(self):
         """They delay the first event like the own tokens, but for attention."""
         model = FirstEventModel()
-        assert model.reading_s(0.003, 5_000, 100) > model.reading_s(0.003, 0, 100)
-        assert model.reading_s(0.003, 5_000, 100) < model.reading_s(0.003, 0, 5_100)
+        assert model.prefill_s(0.003, 5_000, 100) > model.prefill_s(0.003, 0, 100)
+        assert model.prefill_s(0.003, 5_000, 100) < model.prefill_s(0.003, 0, 5_100)
 
 
 class TestCongestion:
@@ -83,7 +83,7 @@
             start = estimate_first_event(target, Work(500, 100))
             assert start.slot_wait_s > 0
             target.waiting_tokens += 500
-            taken_s = 0.055 + start.reading_s + start.slot_wait_s
+            taken_s = 0.055 + start.prefill_s + start.slot_wait_s
             longest_s = max(longest_s, taken_s)
             target.note_first_event(Work(500, 100), start, taken_s)
         for _ in range(14):
@@ -107,4 +107,4 @@
         fast = estimate_first_event(
             Target(ENTRY), Work(5_000, 1), typical_token_s=0.001
         )
-        assert typical.reading_s == pytest.approx(10 * fast.reading_s)
+        assert typical.prefill_s == pytest.approx(10 * fast.prefill_s)
--- a/libs/dispatch/tests/test_dispatch_urgent_demand.py
+++ b/libs/dispatch/tests/test_dispatch_urgent_demand.py
@@ -77,7 +77,7 @@
         demand = UrgentDemand()
         for tick in range(10_000):
             demand.record("a", URGENT, 100.0, tick / 10)
-        assert len(demand._asked_by_account["a"].steps) <= 25
+        assert len(demand._demand_by_account["a"].steps) <= 25
 
 
 class TestReserve:
