--- a/libs/dispatch/src/berylwalk/dispatch/__init__.py
+++ b/libs/dispatch/src/berylwalk/dispatch/__init__.py
@@ -1,4 +1,4 @@
-"""Decisions of a router that forwards straight to targets; pure, without I/O."""
+"""Placement and quota decisions of a direct router; pure, without I/O."""
 
 from berylwalk.dispatch._access import (
     Allowed,
--- a/libs/dispatch/src/berylwalk/dispatch/_access.py
+++ b/libs/dispatch/src/berylwalk/dispatch/_access.py
@@ -1,4 +1,4 @@
-"""Whether the configuration in force allows a request."""
+"""Authorization of requests by the current configuration."""
 
 from dataclasses import dataclass
 from enum import StrEnum
@@ -7,7 +7,7 @@
 
 
 class DenialReason(StrEnum):
-    """Why a request is not taken."""
+    """Reason why a request is denied."""
 
     NO_CONFIGURATION = "no-configuration"
     STALE_CONFIGURATION = "stale-configuration"
@@ -25,29 +25,28 @@
 
 @dataclass(frozen=True, slots=True)
 class Denied:
-    """The request is not allowed."""
+    """Denied request."""
 
     reason: DenialReason
 
     @property
     def status(self) -> int:
-        """HTTP status of the answer."""
+        """HTTP status of the response."""
         return STATUS_BY_REASON[self.reason]
 
 
 @dataclass(frozen=True, slots=True)
 class Allowed:
-    """The request is allowed; the account is None where no key is needed."""
+    """Allowed request; the account is None if no key is needed."""
 
     route: Route
     account: Account | None
 
     @property
     def rank(self) -> tuple[int, int]:
-        """Rank of the request, the lowest first.
+        """Priority of the request; the lowest goes first.
 
-        An account's rank goes before that of a route, by which the requests
-        of accounts of the same rank are told apart.
+        The priority of the account precedes that of the route.
         """
         if self.account is not None and self.account.priority is not None:
             return self.account.priority, self.route.priority
@@ -55,17 +54,15 @@
 
 
 class ConfigurationState:
-    """The configuration in force, and until when its keys may be trusted.
+    """Current configuration, and how long its keys may be trusted.
 
-    Versions only rise for the life of the process: a read that was overtaken
-    by a newer one must not bring an older version back.
+    Versions never decrease within a process, so a late read can't restore an older one.
 
     Parameters
     ----------
     key_trust_s : float
-        Time after the last confirming read for which keys are accepted. A key
-        that was taken away must stop working within a bound that holds for
-        routers that cannot reach the store, too.
+        Time after the last confirming read for which keys are accepted, in seconds.
+        Bounds how long a revoked key works on a router that can't reach the store.
     """
 
     def __init__(self, *, key_trust_s: float) -> None:
@@ -74,14 +71,14 @@
         self._key_trust_s = key_trust_s
 
     def confirm(self, configuration: Configuration | None, asked_at: float) -> bool:
-        """Take what a read of the store brought; returns whether it is newer.
+        """Apply the result of a store read; returns whether it is newer.
 
         Parameters
         ----------
         configuration : Configuration or None
-            None if the store still holds the version in force.
+            None if the store still holds the current version.
         asked_at : float
-            When the read was sent: the store may have changed since.
+            When the read was sent, in seconds.
         """
         current = self.current
         if configuration is None:
@@ -96,7 +93,7 @@
         return is_newer
 
     def age_s(self, now: float) -> float:
-        """Return the time since the last confirming read was sent."""
+        """Return the time since the last confirming read was sent, in seconds."""
         return now - self.confirmed_at
 
     def trusts_keys(self, now: float) -> bool:
@@ -106,14 +103,14 @@
     def check(
         self, host: str, path: str, key: str | None, now: float
     ) -> Allowed | Denied:
-        """Decide on a request by its host, path and key."""
+        """Authorize a request by its host, path and key."""
         configuration = self.current
         if configuration is None:
             return Denied(DenialReason.NO_CONFIGURATION)
         route = configuration.route_for(host, path)
         if route is None:
             if not self.trusts_keys(now):
-                # A route that was added since can't be told from none.
+                # The route may have been added since the last read.
                 return Denied(DenialReason.STALE_CONFIGURATION)
             return Denied(DenialReason.NO_ROUTE)
         if route.public or configuration.accounts_by_key is None:
--- a/libs/dispatch/src/berylwalk/dispatch/_advertised_rate_limit.py
+++ b/libs/dispatch/src/berylwalk/dispatch/_advertised_rate_limit.py
@@ -1,122 +1,114 @@
-"""A rate that a target names for all routers together, and one router's part of it.
+"""Rate limit that a target advertises for all routers, and the local share.
 
-Load pattern: a target in need names a few requests a second, and many routers have
-callers for it. Each of them at the whole rate sends it many times what it takes; each
-at an equal part of a small rate lets a burst through that is as large as the fleet. So
-few routers send to a target with a small rate, each a part, and no message between
-routers has to arrive for the sum to hold.
-
-Parts of a limit for each of several senders are known from leases of capacity (Doorman)
-and from distributed rate limits; the part itself is a token bucket.
+Each router enforces its share with a token bucket, so the sum holds without messages
+between routers. Targets with a low rate are assigned to few routers: equal shares of
+all routers would allow a burst as large as the fleet.
 """
 
 MIN_RATE_PER_S = 0.25
-"""Rate at which a target is asked again that names none or next to none, in requests
-a second: only by its answers can it say that it takes more."""
+"""Minimum rate at which a target is sent requests, per second. Only its responses can
+raise the limit."""
 MIN_SENDERS = 2
-"""Routers that send to a target with next to no rate: one may have no callers."""
+"""Minimum number of routers that send to a target; a single one may have no requests
+for it."""
 MAX_BURST = 1.5
-"""Requests that a router may have saved up. More would let the sum over the routers
-burst after a calm second."""
+"""Capacity of the token bucket, in requests."""
 BURST_S = 0.1
-"""The same in seconds of a high rate: lines are looked at some ten times a second."""
+"""Capacity of the token bucket at high rates, in seconds of the rate."""
 PEER_AGE_MARGIN_S = 0.5
-"""How much later another router's observation has to be to count as the newer one: ages
-are told with the time that a message takes, through relays too."""
+"""Minimum age difference for one observation to count as newer than another router's,
+in seconds; covers message delays."""
 UPDATE_TTL_S = 20.0
-"""Time for which an own observation is told: some requests at the least rate."""
+"""Time for which own observations are sent to peers, in seconds."""
 
 
 def max_senders(per_s: float) -> int:
-    """Return how many routers send to a target that names a limit.
-
-    So few that one request of each besides the rate stays small against it.
-    """
+    """Return how many routers may send to a target with a rate limit."""
     return MIN_SENDERS + int(per_s)
 
 
 class AdvertisedRateLimit:
-    """What is believed of a target's limit, and how much of it is left here.
+    """Rate limit of a target, and the token bucket for the local share.
 
     Attributes
     ----------
     per_s : float or None
-        Requests a second of all routers together; None without a limit.
-    said_at : float
-        When the newest answer said so, in seconds: one with a limit when it came, one
-        without when its request was sent.
+        Requests per second over all routers; None without a limit.
+    observed_at : float
+        Time of the newest observation, in seconds: the arrival of a response with a
+        limit, or the sending of a request whose response has none.
     observed : (float or None, float) or None
-        What own answers said last, and when; None if they never named a limit.
+        Last own observation, and its time; None without any.
     share : float
-        This router's part of the rate.
+        This router's share of the rate, in [0, 1].
     """
 
     def __init__(self) -> None:
         self.per_s: float | None = None
-        self.said_at = float("-inf")
+        self.observed_at = float("-inf")
         self.observed: tuple[float | None, float] | None = None
         self.share = 0.0
         self._tokens = 0.0
         self._refilled_at = 0.0
 
     def note_answer(self, per_s: float | None, *, sent_at: float, now: float) -> bool:
-        """Take what an answer names; returns whether the belief has changed.
+        """Apply the limit in a response; returns whether the limit has changed.
 
-        Answers overtake each other. One whose request was on its way when the limit was
-        last named may lower it, but neither raise nor end it.
+        A response to a request sent before the last observation may lower the limit,
+        but neither raise nor remove it.
 
         Parameters
         ----------
         per_s : float or None
-            The limit, or None if the answer names none.
+            Advertised limit; None if the response has none.
         sent_at, now : float
-            When its request was sent and its head came, in seconds.
+            When the request was sent and the response head arrived, in seconds.
         """
         previous = self.per_s
-        is_newer = sent_at > self.said_at
+        is_newer = sent_at > self.observed_at
         if per_s is None:
             if previous is None and self.observed is None:
                 return False
             if not is_newer:
                 return False
             self._set_limit(None, now)
-            self.said_at = sent_at
+            self.observed_at = sent_at
         else:
             if not is_newer and previous is not None and per_s > previous:
-                # No word for the lower one either: it would never be raised where
-                # answers take longer than the time between two of them.
+                # `observed_at` stays, too: otherwise the limit could never be raised if
+                # responses take longer than the time between two of them.
                 return False
             self._set_limit(per_s, now)
-            self.said_at = max(self.said_at, now)
-        self.observed = (self.per_s, self.said_at)
+            self.observed_at = max(self.observed_at, now)
+        self.observed = (self.per_s, self.observed_at)
         return self.per_s != previous
 
-    def apply_update(self, per_s: float | None, said_at: float, now: float) -> bool:
-        """Take what another router observed; returns whether the belief has changed.
+    def apply_update(self, per_s: float | None, observed_at: float, now: float) -> bool:
+        """Apply a peer's observation; returns whether the limit has changed.
 
-        What is about as old as the own belief may only lower it.
+        An observation of about the same age may only lower the limit.
         """
-        if said_at < self.said_at - PEER_AGE_MARGIN_S:
+        if observed_at < self.observed_at - PEER_AGE_MARGIN_S:
             return False
         previous = self.per_s
-        is_newer = said_at > self.said_at + PEER_AGE_MARGIN_S
+        is_newer = observed_at > self.observed_at + PEER_AGE_MARGIN_S
         is_lower = per_s is not None and (previous is None or per_s < previous)
         if not is_newer and not is_lower:
             return False
         self._set_limit(per_s, now)
-        self.said_at = max(self.said_at, said_at)
+        self.observed_at = max(self.observed_at, observed_at)
         return self.per_s != previous
 
     def pending_update(self, now: float) -> tuple[float | None, float] | None:
-        """Return what own answers said last and how long ago, while it is news."""
+        """Return the last own observation and its age while it is sent to peers."""
         if self.observed is None:
             return None
-        per_s, said_at = self.observed
-        age_s = max(0.0, now - said_at)
+        per_s, observed_at = self.observed
+        age_s = max(0.0, now - observed_at)
         return (per_s, age_s) if age_s <= UPDATE_TTL_S else None
 
     def set_share(self, share: float, now: float) -> None:
-        """Tell this router's part of the rate, from 0 to 1."""
+        """Set this router's share of the rate, in [0, 1]."""
         if share != self.share:
             self._refill(now)
             self.share = share
@@ -129,7 +121,7 @@
         return self._tokens >= 1.0
 
     def available_at(self, now: float) -> float:
-        """Return when a request may be sent, in seconds; infinite if others send."""
+        """Return when a request may be sent, in seconds; infinite without a share."""
         if self.may_send(now):
             return now
         rate = self._local_rate()
@@ -142,7 +134,7 @@
             self._tokens -= 1.0
 
     def note_not_sent(self, now: float) -> None:
-        """Take back a request that was counted and won't be sent."""
+        """Return the token of a request that is not sent after all."""
         if self.per_s is not None:
             self._refill(now)
             self._tokens = min(self._max_tokens(), self._tokens + 1.0)
@@ -157,7 +149,7 @@
 
     def _set_limit(self, per_s: float | None, now: float) -> None:
         if self.per_s is None:
-            # Nobody knows what the others have sent: nothing is saved up yet.
+            # The requests of other routers are unknown, so start with an empty bucket.
             self._tokens = 0.0
             self._refilled_at = now
         else:
--- a/libs/dispatch/src/berylwalk/dispatch/_concurrency_limits.py
+++ b/libs/dispatch/src/berylwalk/dispatch/_concurrency_limits.py
@@ -1,8 +1,4 @@
-"""How many requests may be at a target, and why it may get none.
-
-Load pattern: bursts of two to three times the usual, with some engines gone. All
-places are taken then, and what decides is who gets those that fall free.
-"""
+"""Concurrency limits of targets, and why a target is not eligible."""
 
 from collections.abc import Collection
 
@@ -10,26 +6,25 @@
 from berylwalk.dispatch._target_entries import IneligibilityReason
 
 MAX_SLOT_WAIT_S = 0.15
-"""Longest wait for a slot inside a target, in seconds: less than half of the
-objectives of interactive requests."""
+"""Longest expected wait for a slot in a target's own queue, in seconds."""
 MAX_QUEUED_AT_TARGET = 4
-"""Bound of the requests at a target beyond those that it works on."""
+"""Maximum number of requests queued at a target beyond its slots."""
 MAX_QUEUED_AT_UNKNOWN_TARGET = 2
-"""The same while nothing is known of a target's speed."""
+"""Same, for a target of unknown speed."""
 RESERVED_REQUESTS = 2
-"""Places at each target that are left to the most urgent requests of its service.
-Routers know only their own lines: without it, a place that falls free goes to whatever
-waits where that is seen first."""
+"""Capacity per target that is reserved for the highest rank of its service. Routers
+know only their own queues, so without it freed capacity would go to lower ranks of
+other routers."""
 RESERVED_SHARE = 0.25
-"""Bound of the same as a part of the slots, for targets with few."""
+"""Upper bound of the reserved capacity as a share of the slots."""
 
 
 def concurrency_limit(target: Target, *, is_most_urgent: bool = True) -> int:
-    """Return how many requests may be at a target, of all routers.
+    """Return the maximum number of requests at a target, over all routers.
 
-    As many more than it works on as get their turn within a short time, so
-    that it has no pause between two. What waits in a target can't be put in
-    order any more, and at a slow one it waits for long.
+    The limit exceeds the slots by as many requests as get a slot within a short time,
+    so that slots don't idle between requests. Requests queued at a target can't be
+    reordered by rank.
     """
     slots = target.entry.slots
     reserved = (
--- a/libs/dispatch/src/berylwalk/dispatch/_configuration.py
+++ b/libs/dispatch/src/berylwalk/dispatch/_configuration.py
@@ -1,4 +1,4 @@
-"""The configuration of routes, services and client accounts, ready for look-up."""
+"""Configuration of routes, services and client accounts, indexed for look-up."""
 
 from collections.abc import Iterable
 from dataclasses import dataclass, field
@@ -7,7 +7,7 @@
 
 
 class RouteKind(StrEnum):
-    """What may be done with a request of a route."""
+    """Retry semantics of the requests of a route."""
 
     IDEMPOTENT = "idempotent"
     NON_IDEMPOTENT = "non-idempotent"
@@ -16,7 +16,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ServiceShare:
-    """The part of a route's requests that a service gets."""
+    """Share of a route's requests that a service receives."""
 
     service: str
     weight: float
@@ -24,30 +24,30 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Route:
-    """How requests for one host and path prefix are treated.
+    """Handling of requests for one host and path prefix.
 
     Parameters
     ----------
     name, hostname, path_prefix : str
-        The prefix begins and ends with a slash.
+        Name, host and path prefix; the prefix begins and ends with a slash.
     kind : RouteKind
-        What may be repeated.
+        Retry semantics.
     timeout_s : float
-        Longest time that a request may be kept waiting, in seconds.
+        Maximum duration of a request, in seconds.
     objective_s : float
-        Time within which an answer, or its first event, has its full worth.
+        Latency objective of the response or its first event, in seconds.
     longest_pause_s : float
-        Longest pause between two events of an answer on time, in seconds.
+        Longest allowed pause between stream events, in seconds; 0 for no bound.
     priority : int
-        Rank, 0 is the highest.
+        Priority; 0 is the highest.
     shares : tuple of ServiceShare
-        Services and their parts.
+        Services and their shares.
     max_attempts : int
-        Targets that one request may be sent to.
+        Maximum number of targets that may execute one request.
     public : bool
         Whether no key is needed.
     resumable : bool
-        Whether a stream may go on at another target.
+        Whether a stream may be resumed at another target.
     """
 
     name: str
@@ -65,13 +65,13 @@
 
     @property
     def repeatable(self) -> bool:
-        """Whether a request that may have run may be sent again."""
+        """Whether a request that may have been executed may be sent again."""
         if self.kind is RouteKind.STREAMING:
             return self.resumable
         return self.kind is RouteKind.IDEMPOTENT
 
     def service_for(self, draw: float) -> str:
-        """Return the service for a number drawn from 0 up to 1."""
+        """Return the service for a random number in [0, 1)."""
         total = sum(share.weight for share in self.shares)
         left = draw * total
         for share in self.shares:
@@ -83,20 +83,20 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Service:
-    """A group of equal targets.
+    """Group of interchangeable targets.
 
     Parameters
     ----------
     name : str
-        Its name.
+        Name of the service.
     max_connections : int
         Connections that one target accepts from all routers.
     engine_slots : int
-        Requests that a model engine batches; 0 for a plain service.
+        Batch size of a model engine; 0 for a plain service.
     kv_capacity : int
-        Tokens that fit in an engine's memory.
+        Capacity of an engine's KV cache, in tokens.
     tokens_per_event : int
-        Output tokens in one event of an engine's stream.
+        Output tokens per stream event.
     """
 
     name: str
@@ -113,22 +113,22 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Account:
-    """A client account.
+    """Client account.
 
     Parameters
     ----------
     name : str
-        Its name.
+        Name of the account.
     keys : frozenset of str
-        Keys that its callers send.
+        API keys.
     priority : int or None
-        Rank that goes before the route's.
+        Priority that precedes the route's.
     counts_tokens : bool
-        Whether the allowance is counted in tokens.
+        Whether the quota is counted in tokens.
     plain_cost : int
-        Tokens of a request that names none.
+        Cost in tokens of a request that states none.
     rate_per_s, burst : float
-        The allowance; a rate of 0 means no limit.
+        Quota in units; a rate of 0 means no limit.
     """
 
     name: str
@@ -142,9 +142,9 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class CallerLimits:
-    """What a caller may send, and how long it may take.
+    """Limits on the size and duration of callers' requests.
 
-    The defaults hold until a configuration is known.
+    The defaults apply until a configuration is loaded.
     """
 
     max_header_bytes: int = 16 * 1024
@@ -155,20 +155,20 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Configuration:
-    """One version of the configuration, whole.
+    """One version of the configuration.
 
     Parameters
     ----------
     version : int
-        Grows with each change.
+        Increases with each change.
     services_by_name : dict
         All services.
     accounts_by_key : dict or None
-        Client accounts by each of their keys; None if no keys are in use.
+        Client accounts by API key; None if no keys are in use.
     limits : CallerLimits
-        Bounds for callers.
+        Limits for callers.
     routes_by_host : dict
-        Routes of a host by their path prefix.
+        Routes by host and path prefix.
     """
 
     version: int
@@ -207,12 +207,12 @@
 
     @property
     def accounts(self) -> list[Account]:
-        """All client accounts that have a key, each once."""
+        """All client accounts that have a key."""
         by_name = {each.name: each for each in (self.accounts_by_key or {}).values()}
         return list(by_name.values())
 
     def route_for(self, host: str, path: str) -> Route | None:
-        """Return the route with the longest prefix that begins a path."""
+        """Return the route with the longest matching path prefix, or None."""
         by_prefix = self.routes_by_host.get(_hostname(host))
         if by_prefix is None:
             return None
--- a/libs/dispatch/src/berylwalk/dispatch/_dispatcher.py
+++ b/libs/dispatch/src/berylwalk/dispatch/_dispatcher.py
@@ -1,4 +1,4 @@
-"""Gives requests their places at targets."""
+"""Assignment of requests to targets, with queueing."""
 
 from collections.abc import Callable, Collection, Sequence
 from random import random
@@ -19,27 +19,29 @@
 from berylwalk.rollout import ExposureRules, Rollouts
 
 RANK_RESERVATION_S = 5.0
-"""Time for which places are reserved for a rank after its last request, in seconds."""
+"""Time after the last request of a rank during which capacity stays reserved for it, in
+seconds."""
 
 
 class Dispatcher:
-    """Places requests at once or keeps them waiting.
+    """Assigns requests to targets, or queues them while no target is free.
 
     Parameters
     ----------
     targets : TargetTable
-        What is known of the targets.
+        Known targets.
     failure_domain : str
-        Where this router runs.
+        Failure domain of this router.
     draw : callable
-        Draws from 0 up to 1.
+        Returns a random number in [0, 1).
     rollouts : Rollouts or None
-        What may go to which version of a service; anything to all if left out.
+        Restricts which requests may go to which version of a service; no
+        restrictions if omitted.
 
     Attributes
     ----------
-    prefix_reads : PrefixReads
-        Which targets have read what prompts share.
+    prefix_cache_index : PrefixCacheIndex
+        Shared prompt prefixes cached by targets.
     """
 
     def __init__(
@@ -60,23 +62,23 @@
         self._seen_at_by_rank: dict[tuple[str, tuple[int, int]], float] = {}
 
     def set_relayed(self, is_relayed: bool) -> None:
-        """Tell whether loads of other failure domains are heard through relays."""
+        """Set whether loads of other failure domains arrive through relays."""
         self._remote_factor = RELAYED_REMOTE_FACTOR if is_relayed else REMOTE_FACTOR
 
     def queue_length(self, service: str) -> int:
-        """Return how many requests wait for a service."""
+        """Return the number of queued requests of a service."""
         queue = self._queues_by_service.get(service)
         return 0 if queue is None else len(queue)
 
     def queue_lengths(self) -> dict[str, int]:
-        """Return how many requests wait, by service."""
+        """Return the number of queued requests by service."""
         return {name: len(queue) for name, queue in self._queues_by_service.items()}
 
     def submit(self, pending: PendingRequest, now: float) -> Target | None:
-        """Return a target, or None if the request has to wait.
+        """Return a target, or queue the request and return None.
 
-        The caller counts the request at the target with `Target.note_sent`
-        before it yields.
+        The caller must count the request with `Target.note_sent` before it yields to
+        the event loop.
         """
         queue = self._queues_by_service.get(pending.service)
         if queue is None:
@@ -90,22 +92,22 @@
         return None
 
     def cancel(self, pending: PendingRequest) -> bool:
-        """Take a waiting request out; False if it has got its place."""
+        """Remove a queued request; returns False if it is not queued."""
         queue = self._queues_by_service.get(pending.service)
         return queue is not None and queue.remove(pending)
 
     def dispatch_queued(self, service: str, now: float) -> None:
-        """Give free places of a service to those that wait."""
+        """Assign queued requests of a service to free targets."""
         queue = self._queues_by_service.get(service)
         if not queue:
             return
         for pending in queue:
             if not self._has_free_target(pending, now):
-                # Another one may be more urgent or have other targets.
+                # Requests behind it may have other eligible targets.
                 continue
             target = self._choose(pending, now)
             if target is None:
-                # Another one may have more time to begin.
+                # Requests behind it may have a later start deadline.
                 continue
             queue.remove(pending)
             pending.on_placed(target)
@@ -119,7 +121,7 @@
         )
 
     def _candidates(self, pending: PendingRequest, now: float) -> Sequence[Target]:
-        """Return the targets of a service whose versions a request may go to."""
+        """Return the targets whose version the request may use."""
         service, rollouts = pending.service, self._rollouts
         targets = self._targets.of_service(service)
         if not rollouts.restricts(service):
@@ -131,7 +133,7 @@
         ]
 
     def _is_most_urgent(self, pending: PendingRequest, now: float) -> bool:
-        """Return whether no higher rank was seen lately at the same service."""
+        """Return whether the service has no recent request of a higher rank."""
         return not any(
             service == pending.service
             and rank < pending.rank
@@ -140,14 +142,14 @@
         )
 
     def dispatch_all_queued(self, now: float) -> None:
-        """Give free places of all services to those that wait."""
+        """Assign queued requests of all services to free targets."""
         for service in self._queues_by_service:
             self.dispatch_queued(service, now)
 
     def ineligibility_reasons(
         self, pending: PendingRequest, now: float
     ) -> dict[str, IneligibilityReason]:
-        """Return why each target of a service can't be chosen, by target id."""
+        """Return why targets of the service can't be chosen, by target id."""
         targets = self._candidates(pending, now)
         request = self._request(pending, now)
         too_late = targets_too_late(targets, request, now)
@@ -167,20 +169,21 @@
         return found
 
     def available_at(self, pending: PendingRequest, now: float) -> float:
-        """Return when the first target takes requests again, in seconds.
+        """Return the earliest time at which a target accepts requests, in seconds.
 
-        Now, unless each of them has said from when on, or how seldom, it takes any.
-        Those that were tried for the request count if there are no others: its caller
-        may come back to them.
+        This is a time after `now` only if every target has announced a backoff, a rate
+        limit or its shutdown. Excluded targets count only if no others exist, since the
+        caller may retry at them.
         """
         targets = self._candidates(pending, now)
         untried = [each for each in targets if not _is_tried(each, pending)]
         return min((each.available_at(now) for each in untried or targets), default=now)
 
     def has_candidate(self, pending: PendingRequest, now: float) -> bool:
-        """Return whether a target is left for a request that waits.
+        """Return whether a queued request may still be assigned to a target.
 
-        Where all were tried, one that takes requests may still be replaced soon.
+        If all targets are excluded, one that accepts requests may soon be replaced by a
+        new incarnation.
         """
         targets = self._candidates(pending, now)
         return not targets or any(
@@ -191,16 +194,18 @@
     def choose_among(
         self, pending: PendingRequest, incarnations: Collection[str], now: float
     ) -> Target | None:
-        """Return one of some targets, whatever waits for others; None if all are full.
+        """Return one of the given targets, or None if all are full.
+
+        Queued requests for other targets are not considered.
 
         Parameters
         ----------
-        ticket : Ticket
-            The request; it is counted at the target as after `submit`.
-        lives : collection of str
-            Lives of the targets.
+        pending : PendingRequest
+            Request to place, to be counted by the caller as after `submit`.
+        incarnations : collection of str
+            Incarnation ids of the targets.
         now : float
-            Time in seconds.
+            Current time in seconds.
         """
         targets = self._targets.of_service(pending.service)
         candidates = [
--- a/libs/dispatch/src/berylwalk/dispatch/_first_event_model.py
+++ b/libs/dispatch/src/berylwalk/dispatch/_first_event_model.py
@@ -1,50 +1,47 @@
-"""How long targets of a service take to a first event, learned from their answers.
+"""Model of the time to the first event, fitted per service.
 
-Load pattern: prompts from a few tokens to tens of thousands meet engines whose speeds
-differ several times. A model with constants of one engine put the fixed part of each
-answer down to slowness, took long prompts for three times as long as they are, and
-passed over targets that would have begun them in time.
+The time is the sum of a fixed part, a part linear in the tokens to prefill, and a part
+quadratic in the length of the own prompt (attention). The last two scale with the time
+per output token of the target, which is observable under full load, too, when the time
+to the first event mostly consists of queueing.
 
-The time is a fixed part, a part that grows with the tokens to be read, and one that
-grows with the square of the own prompt (attention). The last two scale with the speed
-of the target, which shows in its output tokens: those come steadily, also while the
-target is full, when the time to a first event tells of waiting only.
+The coefficients are fitted by ridge regression over exponentially decayed observations.
 """
 
 from collections.abc import Sequence
 
 TOKEN_SCALE = 3e-3
-"""Reading of one prompt token, in output tokens of the same target, before anything
-is observed: batched reading is some hundred times faster than writing."""
+"""Initial prefill time of one prompt token, as a multiple of the time per output token.
+"""
 PAIR_SCALE = 6e-8
-"""The same for each pair of tokens of one prompt."""
+"""Initial attention time per pair of prompt tokens, as the same multiple."""
 FIXED_S = 0.03
-"""Fixed part before anything is observed, in seconds."""
+"""Initial fixed time in seconds."""
 PRIOR = (FIXED_S, 1.0, 1.0)
 """Coefficients before any observation."""
 PRIOR_WEIGHTS = (0.5, 0.002, 0.002)
-"""Their weight, which is never forgotten, so that a part on which the observations say
-nothing stays where it was. The first counts as half an observation; the others, in
-seconds squared, as some prompts of ten thousand tokens."""
+"""Regularization weights of the coefficients. They don't decay, so that coefficients
+without evidence stay at the prior."""
 DECAY = 0.99
-"""Factor on the weight of earlier observations: some hundred count."""
+"""Decay factor of the weight of earlier observations."""
 WEIGHT_FLOOR_S = 0.05
-"""Times are weighted by their inverse, those below this all alike, in seconds."""
+"""Observations are weighted by the inverse square of their time, with times below this
+value weighted alike, in seconds."""
 SOLVE_INTERVAL = 8
-"""Observations between two solutions."""
+"""Number of observations between two solutions."""
 MIN_SCALE, MAX_SCALE = 0.1, 10.0
-"""Bounds of what is learned, as multiples of the values before any observation."""
+"""Bounds of the fitted scales, as multiples of their initial values."""
 
 Row = list[float]
 
 
 class FirstEventModel:
-    """Fixed time and reading time of a service's targets.
+    """Fixed time and prefill time of the targets of one service.
 
     Attributes
     ----------
     fixed_s : float
-        Time to a first event without a prompt, in seconds.
+        Time to the first event of an empty prompt, in seconds.
     """
 
     def __init__(self) -> None:
@@ -56,29 +53,29 @@
 
     @property
     def fixed_s(self) -> float:
-        """Time to a first event without a prompt, in seconds."""
+        """Time to the first event of an empty prompt, in seconds."""
         return self._coefficients[0]
 
     @property
     def coefficients(self) -> tuple[float, float, float]:
-        """Fixed time in seconds, and the scales of reading and of attention."""
+        """Fixed time in seconds, and scales of prefill and attention."""
         fixed_s, reading, attention = self._coefficients
         return fixed_s, reading, attention
 
     def adopt(self, coefficients: tuple[float, float, float]) -> None:
-        """Take what an earlier life learned, in place of the values before any."""
+        """Use the coefficients of an earlier process as the prior."""
         self._prior = coefficients
         self._solve()
 
     def prefill_s(self, token_s: float, ahead_tokens: int, prompt_tokens: int) -> float:
-        """Return the time for reading a prompt and those before it, in seconds.
+        """Return the time to prefill a prompt and those ahead of it, in seconds.
 
         Parameters
         ----------
         token_s : float
-            Time of the target for an output token, in seconds.
+            Time per output token of the target, in seconds.
         ahead_tokens, prompt_tokens : int
-            Tokens of the prompts before it, and of its own.
+            Tokens of the prompts ahead of it, and of its own prompt.
         """
         row = _features(token_s, ahead_tokens, prompt_tokens)
         return self._coefficients[1] * row[1] + self._coefficients[2] * row[2]
@@ -86,16 +83,16 @@
     def observe(
         self, token_s: float, ahead_tokens: int, prompt_tokens: int, taken_s: float
     ) -> None:
-        """Learn from a first event of a target that had a free slot.
+        """Add an observation from a target that had a free slot.
 
         Parameters
         ----------
         token_s : float
-            Time of the target for an output token, in seconds.
+            Time per output token of the target, in seconds.
         ahead_tokens, prompt_tokens : int
-            Tokens of the prompts before it, and of its own.
+            Tokens of the prompts ahead of it, and of its own prompt.
         taken_s : float
-            Time from the sending to the first event, in seconds.
+            Time from sending the request to the first event, in seconds.
         """
         row = _features(token_s, ahead_tokens, prompt_tokens)
         weight = (WEIGHT_FLOOR_S / max(WEIGHT_FLOOR_S, taken_s)) ** 2
@@ -128,14 +125,14 @@
 
 
 def solve(matrix: Sequence[Sequence[float]], values: Sequence[float]) -> list[float]:
-    """Return the solution of a small symmetric positive system of equations.
+    """Solve a small symmetric positive definite system of linear equations.
 
     Parameters
     ----------
     matrix : sequence of sequences of float, shape (n, n)
-        The products.
+        Coefficient matrix.
     values : sequence of float, shape (n,)
-        The right side.
+        Right-hand side.
     """
     size = len(values)
     rows = [[*row, value] for row, value in zip(matrix, values, strict=True)]
--- a/libs/dispatch/src/berylwalk/dispatch/_flow_control.py
+++ b/libs/dispatch/src/berylwalk/dispatch/_flow_control.py
@@ -1,4 +1,4 @@
-"""What one life of a target has said that it takes; every send asks it."""
+"""Flow control state of a target incarnation, checked before each request."""
 
 from dataclasses import dataclass, field
 from enum import StrEnum
@@ -10,7 +10,7 @@
 
 
 class FlowControlSignal(StrEnum):
-    """What a target may say of itself."""
+    """Kinds of flow control signals."""
 
     LIMIT = "limit"
     BACKOFF = "rest"
@@ -19,16 +19,17 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class FlowControlUpdate:
-    """What own answers of one target said, to be told to other routers.
+    """Own observations of a target, to be sent to peers.
 
     Parameters
     ----------
     limit_per_s : float or None
-        Requests a second that it takes of all routers; None if it names no limit.
+        Advertised rate limit over all routers, in requests per second; None without
+        a limit.
     limit_age_s : float or None
-        How long ago they said so, in seconds; None if they never named one.
+        Age of the observation in seconds; None without any.
     is_leaving : bool
-        Whether it leaves.
+        Whether the target shuts down.
     """
 
     limit_per_s: float | None = None
@@ -38,20 +39,20 @@
 
 @dataclass(slots=True)
 class FlowControl:
-    """What a target has said, and what of it is left for this router.
+    """Flow control state of a target, as it applies to this router.
 
-    A rest is between the target and one router; a limit and its leaving concern all.
+    A requested backoff applies to one router; a rate limit and a shutdown apply to all.
 
     Attributes
     ----------
-    limit : StatedLimit
-        The requests a second that it takes of all routers together.
+    limit : AdvertisedRateLimit
+        Rate limit over all routers.
     backoff : RequestedBackoff
-        For how long it wants nothing of this router.
+        Backoff requested of this router.
     is_leaving : bool
-        Whether it leaves; a life that said so doesn't take it back.
-    said_leaving : bool
-        Whether an own answer said so.
+        Whether the target shuts down; never reset within an incarnation.
+    observed_leaving : bool
+        Whether an own response announced the shutdown.
     """
 
     limit: AdvertisedRateLimit = field(default_factory=AdvertisedRateLimit)
@@ -60,7 +61,7 @@
     observed_leaving: bool = False
 
     def ineligibility_reason(self, now: float) -> IneligibilityReason | None:
-        """Return why no request may be sent."""
+        """Return why no request may be sent, or None."""
         if self.is_leaving:
             return IneligibilityReason.LEAVING
         if self.backoff.is_on(now):
@@ -72,13 +73,13 @@
         return None
 
     def accepts_placed(self, now: float) -> bool:
-        """Return whether a request that has its place there may still be sent."""
+        """Return whether a request already assigned to the target may be sent."""
         return not self.is_leaving and not self.backoff.is_on(now)
 
     def available_at(self, now: float) -> float:
-        """Return when requests are taken again, in seconds, as far as it was said.
+        """Return when requests are accepted again, in seconds, as far as announced.
 
-        Now, where what keeps them back may end at any moment; never, where it leaves.
+        The current time if unknown; infinite if the target shuts down.
         """
         match self.ineligibility_reason(now):
             case IneligibilityReason.LEAVING:
@@ -95,32 +96,32 @@
         self.backoff.note_sent(now)
 
     def note_not_sent(self, now: float) -> None:
-        """Take back a request that was counted and won't be sent."""
+        """Undo the count of a request that is not sent after all."""
         self.limit.note_not_sent(now)
         self.backoff.note_not_sent()
 
     def note_answer(
-        self, statement: TargetSignals, *, sent_at: float, now: float
+        self, signals: TargetSignals, *, sent_at: float, now: float
     ) -> list[FlowControlSignal]:
-        """Take what the head of an answer states; returns what is new of it.
+        """Apply the signals of a response; returns the changed ones.
 
         Parameters
         ----------
-        statement : TargetStatement
-            Of the head.
+        signals : TargetSignals
+            Signals in the response head.
         sent_at, now : float
-            When its request was sent and the head came, in seconds.
+            When the request was sent and the response head arrived, in seconds.
         """
         changed = []
-        if statement.limit_is_readable and self.limit.note_answer(
-            statement.limit_per_s, sent_at=sent_at, now=now
+        if signals.limit_is_readable and self.limit.note_answer(
+            signals.limit_per_s, sent_at=sent_at, now=now
         ):
             changed.append(FlowControlSignal.LIMIT)
-        if statement.retry_after_s is not None and self.backoff.note_requested(
-            statement.retry_after_s, now
+        if signals.retry_after_s is not None and self.backoff.note_requested(
+            signals.retry_after_s, now
         ):
             changed.append(FlowControlSignal.BACKOFF)
-        if statement.is_leaving:
+        if signals.is_leaving:
             self.observed_leaving = True
             if not self.is_leaving:
                 self.is_leaving = True
@@ -130,11 +131,11 @@
     def apply_update(
         self, update: FlowControlUpdate, now: float
     ) -> list[FlowControlSignal]:
-        """Take what another router observed; returns what is new of it."""
+        """Apply a peer's observations; returns the changed signals."""
         changed = []
         if update.limit_age_s is not None:
-            said_at = now - update.limit_age_s
-            if self.limit.apply_update(update.limit_per_s, said_at, now):
+            observed_at = now - update.limit_age_s
+            if self.limit.apply_update(update.limit_per_s, observed_at, now):
                 changed.append(FlowControlSignal.LIMIT)
         if update.is_leaving and not self.is_leaving:
             self.is_leaving = True
@@ -142,7 +143,7 @@
         return changed
 
     def pending_update(self, now: float) -> FlowControlUpdate | None:
-        """Return what own answers said, while it is news."""
+        """Return own observations to be sent to peers, or None."""
         observed = self.limit.pending_update(now)
         if observed is None and not self.observed_leaving:
             return None
--- a/libs/dispatch/src/berylwalk/dispatch/_outcomes.py
+++ b/libs/dispatch/src/berylwalk/dispatch/_outcomes.py
@@ -1,4 +1,4 @@
-"""What an attempt's end means: the one table of statuses and repeats."""
+"""Outcomes of attempts, and whether a request may be retried."""
 
 from dataclasses import dataclass
 from enum import StrEnum
@@ -7,29 +7,29 @@
 
 
 class AttemptEnd(StrEnum):
-    """How one attempt at a target ended."""
+    """Outcome of one attempt at a target."""
 
     ANSWERED = "answered"
-    """A whole answer, of the target's own status."""
+    """Complete response with a status other than a server error."""
 
     NOT_SENT = "not-sent"
-    """No connection was made: the target has not seen the request."""
+    """Connection failed; the target has not received the request."""
 
     REFUSED = "refused"
-    """The target says that it did not run the request."""
+    """The target states that it did not execute the request."""
 
     FAILED = "failed"
-    """A whole answer with a server error: the request has run."""
+    """Complete response with a server error; the request was executed."""
 
     BROKEN = "broken"
-    """The connection ended, or its bytes made no answer: it may have run."""
+    """Connection closed or invalid response; the request may have been executed."""
 
     SILENT = "silent"
-    """The target sent nothing for too long: it may have run."""
+    """Timeout without a byte; the request may have been executed."""
 
 
 class Executed(StrEnum):
-    """Whether the request has run at a target."""
+    """Whether the request was executed at a target."""
 
     NO = "no"
     MAYBE = "maybe"
@@ -45,22 +45,22 @@
 }
 
 MAX_REFUSALS = 3
-"""Targets that may refuse one request before it is given up."""
+"""Maximum number of targets that may refuse one request before it fails."""
 
 
 @dataclass(slots=True)
 class Attempts:
-    """What has become of one request so far.
+    """Attempts of one request so far.
 
     Attributes
     ----------
     sent : int
-        Targets that have seen the request.
+        Targets that received the request.
     may_have_run : int
-        Targets at which it may have run.
+        Targets that may have executed it.
     refused : int
-        Targets that said that they didn't run it.
-    unreached : int
+        Targets that refused it.
+    unreachable : int
         Targets to which no connection was made.
     """
 
@@ -70,7 +70,7 @@
     unreachable: int = 0
 
     def note(self, end: AttemptEnd) -> None:
-        """Count the end of one attempt."""
+        """Count the outcome of one attempt."""
         if end is AttemptEnd.NOT_SENT:
             self.unreachable += 1
             return
@@ -81,9 +81,10 @@
             self.may_have_run += 1
 
     def may_retry(self, route: Route, end: AttemptEnd) -> bool:
-        """Return whether another target may be tried after an end.
+        """Return whether another target may be tried after an outcome.
 
-        A request that can't be repeated goes on only if it surely has not run.
+        A request that is not repeatable is retried only if it was certainly not
+        executed.
         """
         if end is AttemptEnd.ANSWERED:
             return False
@@ -94,9 +95,9 @@
         return route.repeatable and self._has_attempts(route)
 
     def final_status(self, end: AttemptEnd) -> int:
-        """Return the status for a request that is given up after an end.
+        """Return the status of a request that failed with an outcome.
 
-        503 promises that the request has not run and never will.
+        503 guarantees that the request was not executed.
         """
         if self.may_have_run:
             return 504 if end is AttemptEnd.SILENT else 502
--- a/libs/dispatch/src/berylwalk/dispatch/_peer_table.py
+++ b/libs/dispatch/src/berylwalk/dispatch/_peer_table.py
@@ -1,4 +1,4 @@
-"""Which routers are there, and which of them are heard."""
+"""Membership and liveness of the other routers."""
 
 from collections.abc import Callable
 from dataclasses import dataclass
@@ -8,41 +8,42 @@
 from berylwalk.affinity import parts_hash
 
 PEER_TIMEOUT_S = 0.7
-"""A peer without a message for this long, in seconds, is taken for silent."""
+"""Time without a message after which a direct peer is no longer alive, in seconds."""
 
 RELAYED_PEER_TIMEOUT_S = 1.3
-"""The same for a peer whose news are passed on by others: their relay may have to be
-replaced first."""
+"""Same for peers behind a relay, which may have to be replaced first."""
 
 MAX_FULL_MESH_PEERS = 5
-"""Peers up to which each router tells each other one itself. More are told by
-failure domain: the messages would grow with the square of their number."""
+"""Maximum number of peers for a full mesh. In larger fleets, updates cross failure
+domains through relays, since the number of messages grows with the square of the peers.
+"""
 
 STALE_INCARNATION_S = 0.3
-"""A late message of a life that has ended must not bring it back, in seconds."""
+"""Time for which messages of another incarnation are ignored after a message of the
+current one, in seconds; they may be late."""
 
 MAX_CACHED_SHARES = 10_000
-"""Bound of the parts that are remembered; targets come and go."""
+"""Maximum number of cached rate shares."""
 
 
 @dataclass(slots=True)
 class Peer:
-    """One other router.
+    """Another router.
 
     Parameters
     ----------
     name : str
         Name of its VM.
     host, port : str, int
-        Where it takes messages of its peers.
-    life : str
-        Identifies one life of the process.
+        Address for peer messages.
+    incarnation : str
+        Identifies the process; changes with each restart.
     failure_domain : str
-        Where its VM is.
-    heard_at : float
-        When its last message came.
+        Failure domain of its VM.
+    last_heard_at : float
+        Time of its last message, in seconds.
     sequence : int
-        Number of its last message.
+        Sequence number of its last message.
     """
 
     name: str
@@ -55,14 +56,14 @@
 
 
 class PeerTable:
-    """The other routers by name.
+    """Other routers by name.
 
     Parameters
     ----------
     own_name : str
-        Name of this router, which is left out.
+        Name of this router.
     failure_domain : str
-        Where this router runs.
+        Failure domain of this router.
     """
 
     def __init__(self, own_name: str, failure_domain: str = "") -> None:
@@ -74,17 +75,17 @@
         self._shares: dict[tuple[str, int], float] = {}
 
     def is_direct(self, peer: Peer) -> bool:
-        """Return whether a peer is told directly and often."""
+        """Return whether messages are sent to a peer directly."""
         if len(self.by_name) <= MAX_FULL_MESH_PEERS:
             return True
         return peer.failure_domain == self._failure_domain
 
     def direct_peers(self) -> list[Peer]:
-        """Return the peers that are told directly and often."""
+        """Return the peers to which messages are sent directly."""
         return [peer for peer in self.by_name.values() if self.is_direct(peer)]
 
     def relayed_domains(self) -> set[str]:
-        """Return the failure domains whose routers are told through a relay."""
+        """Return the failure domains that are reached through a relay."""
         return {
             peer.failure_domain
             for peer in self.by_name.values()
@@ -92,22 +93,22 @@
         }
 
     def is_alive(self, peer: Peer, now: float) -> bool:
-        """Return whether a peer has given a sign of life not long ago."""
+        """Return whether a peer has sent a message within its timeout."""
         within_s = PEER_TIMEOUT_S if self.is_direct(peer) else RELAYED_PEER_TIMEOUT_S
         return now - peer.last_heard_at <= within_s
 
     def is_relay(self, now: float) -> bool:
-        """Return whether it is for this router to speak for its failure domain."""
+        """Return whether this router is the relay of its failure domain."""
         first = self.first_direct_peer(now)
         return first is None or self._own_name <= first.name
 
     def first_direct_peer(self, now: float) -> Peer | None:
-        """Return the first of the near peers that are heard, or None."""
+        """Return the live direct peer with the lowest name, or None."""
         alive = [peer for peer in self.direct_peers() if self.is_alive(peer, now)]
         return min(alive, key=lambda peer: peer.name, default=None)
 
     def is_leader(self, now: float) -> bool:
-        """Return whether it is for this router to do what one does for all."""
+        """Return whether this router has the lowest name of the live routers."""
         names = [
             peer.name for peer in self.by_name.values() if self.is_alive(peer, now)
         ]
@@ -120,9 +121,9 @@
         *,
         pick: Callable[[list[Peer]], Peer] = choice,
     ) -> Peer | None:
-        """Return the router that passes news on in another failure domain.
+        """Return the relay of another failure domain, or None.
 
-        While none of them is heard, any may be the one that is there.
+        If no router of the domain is alive, `pick` chooses one of them.
         """
         peers = [
             peer
@@ -135,7 +136,7 @@
         return pick(peers) if peers else None
 
     def replace(self, listed: list[Peer], now: float) -> list[Peer]:
-        """Take the list of routers; returns the lives that have ended."""
+        """Apply the list of routers; returns the incarnations that have ended."""
         listed_by_name = {
             peer.name: peer for peer in listed if peer.name != self._own_name
         }
@@ -143,7 +144,7 @@
         for name, peer in list(self.by_name.items()):
             new = listed_by_name.get(name)
             if new is None and self.is_alive(peer, now):
-                # It has begun to tell before its entry was listed.
+                # It sends messages, but is not listed yet.
                 continue
             if new is None or (
                 new.incarnation != peer.incarnation and not self.is_alive(peer, now)
@@ -155,10 +156,10 @@
         return ended
 
     def record_message(self, sender: Peer, now: float) -> bool:
-        """Note a message; False if it is an old one.
+        """Record a message; returns False if it is outdated.
 
-        A router is known from its first message on, before it is listed. One
-        that says nothing any more may have been replaced by a new life.
+        A router may send messages before it is listed. A new incarnation replaces the
+        known one once that has been silent for a moment.
         """
         peer = self.by_name.get(sender.name)
         if peer is not None and peer.incarnation != sender.incarnation:
@@ -176,7 +177,7 @@
     def record_heartbeat(
         self, name: str, incarnation: str, sequence: int, now: float
     ) -> bool:
-        """Note a short message of a peer; False if it is old, or of no known life."""
+        """Record a heartbeat; returns False if it is outdated or of an unknown peer."""
         peer = self.by_name.get(name)
         if peer is None or peer.incarnation != incarnation or sequence <= peer.sequence:
             return False
@@ -185,20 +186,20 @@
         return True
 
     def rate_share(self, incarnation_id: str, senders: int, now: float) -> float:
-        """Return this router's part of what a target takes of all routers.
+        """Return this router's share of a target's rate limit.
 
-        Few of them send: those that come first by a hash of their names and the
-        target's life, so that none needs to be told. Routers that are not heard keep
-        their part, for they may send it behind a cut.
+        The senders are chosen by rendezvous hashing, without coordination. Routers that
+        are not alive keep their share, since they may still send behind a network
+        partition.
 
         Parameters
         ----------
         incarnation_id : str
-            The life of the target.
+            Incarnation id of the target.
         senders : int
-            How many routers send to it.
+            Number of routers that send to it.
         now : float
-            Time in seconds.
+            Current time in seconds.
         """
         names = self._alive_names(now)
         key = (incarnation_id, senders)
@@ -213,9 +214,9 @@
         return self._shares[key] * len(names) / self.known_count()
 
     def _alive_names(self, now: float) -> list[str]:
-        """Return the names of the routers that are heard, this one included.
+        """Return the names of the live routers, including this one.
 
-        Many targets are asked about at one moment, and seldom are other ones heard.
+        Cached, since shares of many targets are looked up at the same time.
         """
         if now != self._names_at:
             names = [self._own_name]
@@ -228,9 +229,9 @@
         return self._names
 
     def known_count(self) -> int:
-        """Return the number of routers, this one included."""
+        """Return the number of known routers, including this one."""
         return len(self.by_name) + 1
 
     def alive_count(self, now: float) -> int:
-        """Return the number of routers that are heard, this one included."""
+        """Return the number of live routers, including this one."""
         return 1 + sum(self.is_alive(peer, now) for peer in self.by_name.values())
--- a/libs/dispatch/src/berylwalk/dispatch/_placement.py
+++ b/libs/dispatch/src/berylwalk/dispatch/_placement.py
@@ -1,8 +1,8 @@
-"""Which target gets a request: the one that begins it soon and holds nobody up.
+"""Choice of the target that serves a request.
 
-Load pattern: prompts and answers whose sizes differ a hundredfold, at engines whose
-speeds differ several times. What goes to a slow engine keeps its slot for long, may end
-too late, and holds up the streams beside it while it is read.
+The cost of a target is the expected time to the first event, plus a share of the time
+that the request occupies a slot, scaled by penalties for errors, load, long pauses,
+missed deadlines and other failure domains.
 """
 
 from collections.abc import Callable, Collection, Mapping, Sequence
@@ -15,43 +15,39 @@
 from berylwalk.dispatch._target_entries import Work
 
 REMOTE_FACTOR = 1.3
-"""How much dearer a target of another failure domain counts: bytes between
-failure domains are paid for, and an answer takes longer on its way."""
+"""Cost factor for targets in another failure domain: traffic between failure domains is
+billed and adds latency."""
 RELAYED_REMOTE_FACTOR = 3.0
-"""The same in a fleet that tells loads by failure domain: what is known of the others
-is older, and all routers of a domain would go for the same place."""
+"""Same, when the loads of other failure domains arrive through relays: these loads are
+older, and all routers of a domain would pick the same target."""
 SLOT_TIME_WEIGHT = 0.1
-"""Weight of the time that a request keeps its slot against that to its first event: a
-target that is done sooner has sooner a place for the next."""
+"""Weight of the time that a request occupies its slot, relative to its time to the
+first event."""
 LOAD_WEIGHT = 0.1
-"""How much dearer a target counts whose slots are all taken: among equals the one with
-more room."""
+"""Additional relative cost of a target whose slots are all in use."""
 PAUSE_FACTOR = 4.0
-"""How much dearer a target counts where the reading of the prompt is likely to hold up
-its streams for too long, or where all streams had such a pause."""
+"""Additional relative cost of a target where long pauses in streams are certain."""
 PAUSE_BUDGET_SHARE = 0.8
-"""Part of the longest pause allowed within which an expected one should stay."""
+"""Share of the longest allowed pause that an expected pause may use."""
 IDLE_START_FACTOR = 1.5
-"""Multiple of the least time at an idle target that a start may take at least: what
-can't begin in time anywhere is better late than never."""
+"""Multiple of the shortest start time on an idle target. Raises the start deadline if
+no target can meet it."""
 TOO_SLOW_FACTOR = 20.0
-"""How much dearer a target counts at which the answer can't be whole in time."""
+"""Cost factor for targets that are expected to miss the deadline of the request."""
 OUTPUT_MARGIN = 0.85
-"""Part of the time left within which the answer should be whole."""
+"""Share of the remaining time within which the output should be complete."""
 BUSY_SLOT_SHARE = 0.5
-"""Part of a target's slots from which it gets only requests that begin in time. Below,
-a late answer takes nothing from others."""
+"""Share of occupied slots from which the start deadline is enforced. Below it a late
+response delays no other request."""
 CACHED_PREFIX_FACTOR = 0.5
-"""How much cheaper a target counts that has read what the prompt shares with others,
-besides the time that this saves the request: it saves the others there as much. Bytes
-between failure domains cost less than reading again."""
+"""Cost factor for targets that have cached the shared prefix of the prompt, in addition
+to the saved prefill time."""
 ISOLATION_POOL_DIVISOR = 3
-"""Requests that may end their targets go to one of the emptiest; which part of all
-targets that is, as its divisor."""
+"""Isolated requests are spread over the least loaded 1/N of the targets."""
 MIN_ISOLATION_POOL = 2
-"""Targets that such a request is spread over at least."""
+"""Minimum number of targets that isolated requests are spread over."""
 ERROR_FACTOR = 4.0
-"""How much dearer a target counts that fails every answer."""
+"""Additional relative cost of a target whose responses all fail."""
 
 
 def estimate_first_event(
@@ -61,18 +57,18 @@
     cached_tokens: int = 0,
     typical_token_s: float = DEFAULT_TOKEN_S,
 ) -> FirstEventEstimate:
-    """Return when a request that is added should bring its first event.
+    """Estimate the time to the first event if a request is sent to a target.
 
     Parameters
     ----------
     target : Target
-        Where it is added.
+        Target to evaluate.
     work : Work
-        The request.
-    held_tokens : int
-        Tokens of its prompt that the target has read before.
+        Size of the request.
+    cached_tokens : int
+        Prompt tokens that the target has cached.
     typical_token_s : float
-        Time for an output token of a target of which nothing is known, in seconds.
+        Time per output token assumed for a target without observations, in seconds.
     """
     token_s = target.output_token_s or typical_token_s
     model = target.first_event_model
@@ -89,28 +85,28 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class PlacementRequest:
-    """What a choice depends on besides the targets.
+    """Properties of a request that affect its placement.
 
     Parameters
     ----------
     work : Work
-        Its size.
+        Size of the request.
     excluded : collection of str
-        Ids of the targets that were tried for it.
-    held_tokens : mapping of str to int
-        Tokens of its prompt that targets have read before, by their lives.
+        Incarnation ids of targets that must not be chosen.
+    cached_tokens : mapping of str to int
+        Cached prompt tokens by incarnation id.
     is_most_urgent : bool
-        Whether no request of a higher rank goes to the same targets.
+        Whether no request of a higher rank is sent to the same service.
     left_s : float
-        Time within which the answer has to be whole, in seconds.
+        Time left until the deadline of the request, in seconds.
     start_within_s : float
-        Time within which the answer should begin, in seconds. Busy targets where it
-        is expected later are passed over.
+        Time within which the response should start, in seconds. Busy targets with a
+        later estimate are skipped.
     longest_pause_s : float
-        Longest pause of a stream that is on time, in seconds; 0 if there is no bound.
-    apart_as : bytes
-        What tells a request from others that is to run apart from them, for its target
-        may end under it; empty for all that need not.
+        Longest allowed pause between stream events, in seconds; 0 for no bound.
+    isolation_key : bytes
+        Identity of a request that may crash its target and is kept apart from others
+        of its kind; empty for all other requests.
     """
 
     work: Work
@@ -132,22 +128,22 @@
     remote_factor: float = REMOTE_FACTOR,
     draw: Callable[[], float] = random,
 ) -> Target | None:
-    """Return the target with the least cost, or None if no place is fit.
+    """Return the eligible target with the lowest cost, or None.
 
     Parameters
     ----------
     targets : sequence of Target
         Targets of the service.
-    request : PlaceRequest
-        What is to be placed.
+    request : PlacementRequest
+        Request to place.
     failure_domain : str
-        Where this router runs.
+        Failure domain of this router.
     now : float
-        Time in seconds.
+        Current time in seconds.
     remote_factor : float
-        How much dearer a target of another failure domain counts.
+        Cost factor for targets in other failure domains.
     draw : callable
-        Draws from 0 up to 1, to tell equal targets apart.
+        Returns a random number in [0, 1), used to break ties.
     """
     eligible = [
         target
@@ -186,10 +182,10 @@
 
 
 def _isolated_target(eligible: Sequence[Target], isolation_key: bytes) -> Target:
-    """Return the target for a request that may end it.
+    """Return the target for a request that may crash it.
 
-    One of those with the fewest requests, since it takes them along; which one is the
-    request's own, so that two such requests seldom meet and can be told apart.
+    Chooses among the least loaded targets by rendezvous hashing, so that two such
+    requests rarely share a target.
     """
     by_load = sorted(eligible, key=lambda target: target.total_in_flight)
     least_loaded = by_load[
@@ -206,7 +202,7 @@
 def targets_too_late(
     targets: Sequence[Target], request: PlacementRequest, now: float
 ) -> set[str]:
-    """Return the ids of targets that are passed over since they would begin late."""
+    """Return the ids of targets that are skipped for a late start."""
     typical_token_s = mean_token_s(targets)
     max_start_s = _start_bound_s(targets, request, typical_token_s, now)
     return {
@@ -246,7 +242,7 @@
 def _pause_risk(
     target: Target, request: PlacementRequest, estimate: FirstEventEstimate
 ) -> float:
-    """Return the risk of a long pause there, from 0 to 1."""
+    """Return the risk of a pause above the bound, in [0, 1]."""
     bound_s = PAUSE_BUDGET_SHARE * request.longest_pause_s
     expected_s = (target.event_s or 0.0) + estimate.prefill_s
     if target.total_in_flight and expected_s > bound_s:
@@ -260,7 +256,7 @@
     typical_token_s: float,
     now: float,
 ) -> float:
-    """Return within what time a start at a busy target is expected to be useful."""
+    """Return the latest useful start at a busy target, in seconds from now."""
     if request.start_within_s == float("inf"):
         return request.start_within_s
     idle_s = [
@@ -285,7 +281,7 @@
 
 
 def mean_token_s(targets: Sequence[Target]) -> float:
-    """Return the mean time for an output token at some targets, in seconds."""
+    """Return the mean time per output token over targets, in seconds."""
     known = [
         target.output_token_s for target in targets if target.output_token_s is not None
     ]
--- a/libs/dispatch/src/berylwalk/dispatch/_prefix_cache_index.py
+++ b/libs/dispatch/src/berylwalk/dispatch/_prefix_cache_index.py
@@ -1,9 +1,7 @@
-"""Which targets have read the parts that a prompt shares with others.
+"""Index of shared prompt prefixes that targets have cached.
 
-Load pattern: prompts begin with parts that other requests have too. A target that has
-read them keeps them in its memory for some time, and answers in a fraction of the time.
-With many routers each sees a small part of the requests, so that they tell each other
-what was sent where.
+Targets keep the prefill state of recent prompts, so that later requests with the same
+prefix start faster. Routers exchange which prefixes they sent to which target.
 """
 
 from collections import deque
@@ -13,45 +11,44 @@
 from berylwalk.dispatch._target_entries import Work
 
 MAX_PREFIXES = 4_096
-"""Prefixes that are remembered; the least recently sent go first. Targets keep some
-tens to hundreds each."""
+"""Maximum number of prefixes; the least recently used are evicted."""
 MIN_SHARED_TOKENS = 512
-"""Shared tokens from which a target that has read them is preferred: what is shorter
-is read in a few milliseconds."""
+"""Minimum length of an indexed prefix, in tokens; prefill of shorter ones takes a few
+milliseconds."""
 MAX_PENDING_UPDATES = 256
-"""Bound of what is told at once; more is forgotten, the oldest first."""
+"""Maximum number of updates kept for peers; the oldest are dropped."""
 
 PrefixPlacement = tuple[int, str]
-"""Hash of a prefix, and the life of the target that it was sent to."""
+"""Hash of a prefix, and the incarnation id of the target that received it."""
 
 
 class PrefixCacheIndex:
-    """What was sent where, by this router and as others tell."""
+    """Prefixes sent by this router and its peers, by target incarnation."""
 
     def __init__(self) -> None:
         self._history = PlacementHistory(MAX_PREFIXES)
         self._updates: deque[PrefixPlacement] = deque(maxlen=MAX_PENDING_UPDATES)
 
     def note_sent(self, work: Work, incarnation_id: str) -> None:
-        """Note that a target reads the prompt of a request."""
+        """Record that a request is sent to a target."""
         prefix = work.shared_prefix
         if prefix is not None and prefix.tokens >= MIN_SHARED_TOKENS:
             self._history.record((prefix.key,), incarnation_id)
             self._updates.append((prefix.key, incarnation_id))
 
     def merge(self, placements: Iterable[PrefixPlacement]) -> None:
-        """Take what other routers sent."""
+        """Add placements reported by peers."""
         for key, incarnation_id in placements:
             self._history.record((key,), incarnation_id)
 
     def take_updates(self) -> list[PrefixPlacement]:
-        """Return what was sent since the last call, for peers."""
+        """Return the own placements since the last call, for peers."""
         updates = list(self._updates)
         self._updates.clear()
         return updates
 
     def cached_tokens(self, work: Work) -> dict[str, int]:
-        """Return the tokens of a prompt that targets have read, by their lives."""
+        """Return the cached tokens of a prompt by incarnation id."""
         prefix = work.shared_prefix
         if prefix is None or prefix.tokens < MIN_SHARED_TOKENS:
             return {}
--- a/libs/dispatch/src/berylwalk/dispatch/_quotas.py
+++ b/libs/dispatch/src/berylwalk/dispatch/_quotas.py
@@ -1,4 +1,4 @@
-"""Allowances of client accounts, shared by all routers."""
+"""Quotas of client accounts, enforced jointly by all routers."""
 
 from collections import deque
 from collections.abc import Iterable
@@ -10,42 +10,38 @@
 from berylwalk.dispatch._urgent_demand import Demand, UrgentDemand
 
 STEP_S = 0.1
-"""Resolution of the window, in seconds."""
+"""Resolution of the sliding window, in seconds."""
 USED_TOLERANCE_SHARE = 0.5
-"""Part of the tolerance that is given to callers. The rest covers what routers
-spend before they hear of each other."""
+"""Share of the tolerance that is granted to callers. The rest covers what routers spend
+before they learn of each other's spending."""
 BOOTSTRAP_SHARE = 0.35
-"""Part of the unused tolerance that may be spent at once after a start. Twice that
-and what routers spend before they hear of each other stay within the tolerance."""
+"""Share of the ungranted tolerance that may be spent right after a start."""
 BIN_S = 0.5
-"""Resolution in which routers tell what was spent in the window, in seconds."""
+"""Resolution of the spending history that routers exchange, in seconds."""
 MAX_SNAPSHOT_AGE_S = 1.5
-"""Longest time from a note to the end of the routers that spent after it, while the
-store answers."""
+"""Maximum time between a stored snapshot and the end of the routers that spent after
+it, in seconds, while the store is reachable."""
 HEAVY_SPENDING_SHARE = 0.6
-"""Part of an account's allowance from which its spending is noted where a restart
-of all routers does not lose it. An account's usual spending is below."""
+"""Share of its quota from which the spending of an account is stored, to survive a
+restart of all routers."""
 RANK_RESERVE_SHARE = 0.02
-"""Part of the allowance that each rank leaves to the next higher one, besides what the
-most urgent rank asks. Not settled by measurement: against 0.06, which it had before,
-three plays each gave 0.519 and 0.538 for 0.510 and 0.520 on days with one account at
-many times its usual, and 0.858 for 0.875 on a calm day, all within their spread."""
+"""Share of the quota that each rank leaves to the next higher one."""
 LOWEST_RANK = 3
 MAX_URGENT_RESERVE_SHARE = 0.8
-"""Part of an account's pace that is left to its most urgent rank at most: where that
-alone asks more than all, the others still get something."""
+"""Upper bound of the rate reserved for the most urgent rank, as a share of the quota.
+"""
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class QuotaRules:
-    """How an account's spending is judged.
+    """Rules for the enforcement of quotas.
 
     Parameters
     ----------
     window_s : float
-        Length of any span in which it is counted, in seconds.
+        Length of the sliding window, in seconds.
     excess, slack : float
-        Tolerance of the judgement: a share of the allowance, and units.
+        Tolerance: a share of the quota, and additional units.
     """
 
     window_s: float = 8.0
@@ -58,7 +54,7 @@
         return allowance + USED_TOLERANCE_SHARE * self._tolerance(allowance)
 
     def bootstrap_units(self, account: Account) -> float:
-        """Return what may be spent at once by routers that know of nothing."""
+        """Return the units that routers without any history may spend at once."""
         allowance = account.rate_per_s * self.window_s + account.burst
         return BOOTSTRAP_SHARE * (1 - USED_TOLERANCE_SHARE) * self._tolerance(allowance)
 
@@ -67,18 +63,18 @@
 
 
 class HistoryCoverage(IntEnum):
-    """What a router knows of the window before its start."""
+    """What a router knows of spending in the window before its start."""
 
     NONE = 0
     PARTIAL = 1
-    """What was noted of accounts that spent much; others spent less."""
+    """Stored snapshot of the accounts with heavy spending."""
 
     COMPLETE = 2
 
 
 @dataclass(frozen=True, slots=True)
 class _EffectiveLimit:
-    """A limit, and since when it is in force here."""
+    """A limit, and the time since when it applies."""
 
     since: float
     units: float
@@ -86,10 +82,11 @@
 
 @dataclass(slots=True)
 class _Spending:
-    """What one account has spent within the window.
+    """Spending of one account within the window.
 
-    ``prior`` holds what is known from before the start, ``snapshot_units`` its sum when it
-    was learned, ``limits`` those that were in force within the window, oldest first.
+    ``prior`` is the spending known from before the start, ``snapshot_units`` its sum
+    when it was restored, ``limits`` the limits that applied within the window, oldest
+    first.
     """
 
     steps: deque[list[float]] = field(default_factory=deque)
@@ -110,7 +107,7 @@
         self.steps.append([now, 0.0])
 
     def since(self, time: float) -> float:
-        """Return what was spent from the step on that began at a time."""
+        """Return the units spent in steps that began at or after a time."""
         units = 0.0
         for started_at, spent in reversed(self.steps):
             if started_at < time:
@@ -125,18 +122,19 @@
 
 @dataclass(frozen=True, slots=True)
 class QuotaState:
-    """What decides about the requests of an account, in units of the window.
+    """Inputs of the decision on an account's requests, in units per window.
 
     Parameters
     ----------
     limit : float
-        What the account may spend.
+        Units that the account may spend.
     unknown : float
-        What may have been spent before the start without being known.
+        Units that may have been spent before the start without being known.
     counted : float
-        What was spent, as far as is known.
+        Units that are known to be spent.
     share : float
-        Part of the rest that this router may give: the others are silent.
+        Share of the rest that this router may grant; the remainder is left to
+        unreachable routers.
     """
 
     limit: float
@@ -146,19 +144,19 @@
 
 
 class QuotaTracker:
-    """The spending of each account by all routers, in a sliding window.
+    """Spending of each account by all routers, in a sliding window.
 
-    Routers tell each other what they have spent. A peer that is silent may be
-    spending its equal part, so that part is left to it. A router that has just
-    started takes the window to be spent, until a peer that is older than the
-    window tells what was, or a note of it is found.
+    Routers exchange what they have spent. A peer that is not alive may still grant
+    requests, so its equal share is left to it. A router that has just started assumes
+    that the window is spent, until it receives the history of an older peer or a stored
+    snapshot.
 
     Parameters
     ----------
-    rules : AllowanceRules
-        How spending is judged.
+    rules : QuotaRules
+        Rules for the enforcement.
     started_at : float
-        Time of the start.
+        Start time of this router, in seconds.
     """
 
     def __init__(self, rules: QuotaRules, *, started_at: float) -> None:
@@ -172,15 +170,15 @@
         self.urgent_demand = UrgentDemand()
 
     def set_share(self, alive: int, known: int) -> None:
-        """Tell how many of the known routers, this one included, are heard."""
+        """Set how many of the known routers, including this one, are alive."""
         self._share = max(1, alive) / max(1, known)
 
     def set_accounts(self, accounts: Iterable[Account], now: float) -> None:
-        """Take the accounts of a configuration that is in force from now on.
+        """Apply the accounts of a configuration that takes effect now.
 
-        What an account has spent under a higher limit does not count against a lower
-        one: windows that begin later do. Without that, an account whose limit is
-        lowered would be refused all until the window has moved on.
+        Spending under a previous, higher limit does not count against a lower one.
+        Otherwise, an account with a lowered limit would be refused entirely until the
+        window has moved on.
         """
         for account in accounts:
             if account.rate_per_s <= 0:
@@ -192,20 +190,25 @@
                 spending.begin_step(now)
 
     def take(self, account: Account, cost: float, rank: int, now: float) -> float:
-        """Spend a cost; returns 0, or the seconds until it can be spent.
+        """Spend units; returns 0, or the delay until they can be spent.
 
         Nothing is spent if the result is not 0.
 
         Parameters
         ----------
         account : Account
-            Who pays.
+            Account to charge.
         cost : float
             Units of the request.
         rank : int
-            Rank of the request among those of its account, 0 is the highest.
+            Rank of the request within its account; 0 is the highest.
         now : float
-            Time in seconds.
+            Current time in seconds.
+
+        Returns
+        -------
+        float
+            Delay in seconds.
         """
         if account.rate_per_s <= 0:
             return 0.0
@@ -222,7 +225,7 @@
             reserve += _reserve_for(
                 urgent.capped_at(most_per_s), self._expiring(spending, now)
             )
-        # A request dearer than the whole allowance must not wait for ever.
+        # A request above the whole quota must not be delayed forever.
         needed = min(cost, 0.9 * state.limit * state.share - reserve)
         if remaining - reserve < needed:
             per_s = state.limit * state.share / self._rules.window_s
@@ -232,11 +235,11 @@
         return 0.0
 
     def state(self, account: Account, now: float) -> QuotaState:
-        """Return what decides about the requests of an account.
+        """Return the inputs of the decision on an account's requests.
 
-        Of the limits that were in force within the window, the one that leaves least:
-        each counts what was spent since it is in force, against the highest from then
-        on.
+        Of the limits that applied within the window, the one that leaves the least is
+        used. Each is compared with the spending since it took effect, as the highest
+        limit from then on.
         """
         spending = self._spending(account.name)
         limits = self._limits_in_window(account, spending, now)
@@ -263,13 +266,13 @@
         return list(limits) or [_EffectiveLimit(now, self._rules.limit(account))]
 
     def _expiring(self, spending: _Spending, now: float) -> list[tuple[float, float]]:
-        """Return in how many seconds which units leave the window, soonest first."""
+        """Return pairs of delay in seconds and units that leave the window then."""
         window_s = self._rules.window_s + STEP_S
         spent = [*sorted(spending.prior), *spending.steps]
         return [(max(0.0, time + window_s - now), units) for time, units in spent]
 
     def refund(self, account: Account, cost: float, now: float) -> None:
-        """Return the cost of a request that has surely not run."""
+        """Refund the cost of a request that was certainly not executed."""
         spending = self._spending_by_account.get(account.name)
         if spending is not None and account.rate_per_s > 0:
             spending.add(-cost, now)
@@ -284,7 +287,7 @@
         }
 
     def spent_in_window(self, now: float) -> dict[str, float]:
-        """Return what all routers have spent in the window, as far as is known."""
+        """Return the known spending of all routers in the window, by account."""
         return {
             name: self._counted(spending, now)
             for name, spending in self._spending_by_account.items()
@@ -298,19 +301,19 @@
         is_new: bool,
         now: float,
     ) -> None:
-        """Count what a peer has spent since it was last heard.
+        """Count what a peer has spent since its last message.
 
         Parameters
         ----------
-        life : str
-            One life of a peer.
+        incarnation : str
+            Incarnation of the peer.
         spent_by_account : dict
-            Its totals since its start.
+            Units that it has spent since its start, by account.
         is_new : bool
-            Whether that life began after this router's. What an older one
-            spent before it was first heard is not counted.
+            Whether it started after this router. What an older peer spent before its
+            first message is not counted.
         now : float
-            Time in seconds.
+            Current time in seconds.
         """
         is_first = incarnation not in self._incarnations
         self._incarnations.add(incarnation)
@@ -322,19 +325,19 @@
             spending.spent_by_peer[incarnation] = total
 
     def forget_peer(self, incarnation: str) -> None:
-        """Forget the totals of a peer's life that has ended."""
+        """Drop the totals of a peer incarnation that has ended."""
         self._incarnations.discard(incarnation)
         self.urgent_demand.forget_peer(incarnation)
         for spending in self._spending_by_account.values():
             spending.spent_by_peer.pop(incarnation, None)
 
     def spent_by_bin(self, now: float) -> dict[str, list[float]]:
-        """Return the spending of the window for routers that have just started.
+        """Return the spending history of the window, for routers that start.
 
         Returns
         -------
         dict
-            By account, the units of each `BIN_S`, the latest first.
+            By account, the units spent in each `BIN_S`, latest first.
         """
         return {
             name: self._binned(spending, now)
@@ -343,7 +346,7 @@
         }
 
     def heavy_spending_by_bin(self, now: float) -> dict[str, list[float]]:
-        """Return the same of accounts that have spent much of their allowance."""
+        """Return the same for accounts with heavy spending only."""
         binned = self.spent_by_bin(now)
         return {
             name: binned[name]
@@ -355,16 +358,16 @@
     def restore(
         self, bins: dict[str, list[float]], coverage: HistoryCoverage, now: float
     ) -> None:
-        """Take what was spent in the window before the start.
+        """Add the spending in the window before the start.
 
         Parameters
         ----------
         bins : dict
-            As from `spent_by_bin` or `spent_much`; taken to be of this moment.
-        knowledge : Knowledge
-            Whether accounts that are left out have spent nothing.
+            As returned by `spent_by_bin` or `heavy_spending_by_bin`; taken as of now.
+        coverage : HistoryCoverage
+            Whether accounts that are missing have spent nothing.
         now : float
-            Time in seconds.
+            Current time in seconds.
         """
         if coverage <= self._coverage or not self._started_within(now):
             return
@@ -376,8 +379,8 @@
             self._spending(name).snapshot_units = sum(units_by_bin)
             times = [now - BIN_S * number for number in range(len(units_by_bin))]
             if coverage is HistoryCoverage.PARTIAL:
-                # The oldest part may have left the window after the note was
-                # written, and been spent again.
+                # Units in the oldest bins may have left the window and been spent again
+                # since the snapshot was written.
                 earliest = now - self._rules.window_s + MAX_SNAPSHOT_AGE_S
                 times = [now if time < earliest else time for time in times]
             self._spending(name).prior = [
@@ -387,7 +390,7 @@
             ]
 
     def has_full_window(self, now: float) -> bool:
-        """Return whether all that was spent in the window is known."""
+        """Return whether all spending in the window is known."""
         return self._coverage is HistoryCoverage.COMPLETE or not self._started_within(
             now
         )
@@ -411,7 +414,7 @@
         return spending.total + sum(units for _, units in spending.prior)
 
     def _unknown_units(self, account: Account, limit: float, now: float) -> float:
-        """Return what may have been spent before the start without being known."""
+        """Return the units that may have been spent before the start unnoticed."""
         unknown_s = max(0.0, self._rules.window_s - (now - self._started_at))
         if self._coverage is HistoryCoverage.COMPLETE or not unknown_s:
             return 0.0
@@ -419,7 +422,7 @@
         if self._coverage is HistoryCoverage.PARTIAL:
             snapshot_units = self._spending(account.name).snapshot_units
             if snapshot_units:
-                # All the rest may have been spent after the note was written.
+                # All of the rest may have been spent since the snapshot was written.
                 return max(0.0, limit - snapshot_units)
             units = HEAVY_SPENDING_SHARE * limit
         return units * unknown_s / self._rules.window_s
@@ -432,15 +435,15 @@
 
 
 def _reserve_for(demand: Demand, expiring: Iterable[tuple[float, float]]) -> float:
-    """Return the units that have to be left so that a demand is served at any moment.
+    """Return the units to reserve so that a demand can be served at any time.
 
     Parameters
     ----------
     demand : Demand
-        What is asked.
-    leaving : iterable of (float, float)
-        In how many seconds which units leave the window, soonest first: from then on
-        they may be spent again.
+        Expected demand.
+    expiring : iterable of (float, float)
+        Delay in seconds and units that leave the window then, soonest first; these
+        units can be spent again.
     """
     reserve = freed = 0.0
     for in_s, units in expiring:
--- a/libs/dispatch/src/berylwalk/dispatch/_request_deadlines.py
+++ b/libs/dispatch/src/berylwalk/dispatch/_request_deadlines.py
@@ -1,30 +1,29 @@
-"""How long a request may wait for a place, and by when its answer should begin."""
+"""Deadlines for queueing a request and for the start of its response."""
 
 from dataclasses import dataclass
 
 WAIT_SHARE = 0.2
-"""Part of its latency objective that a request may wait for a place. One that is
-refused early can still be served in time when it comes back; the rest is for the way
-from and to the caller."""
+"""Share of the latency objective that a request may spend in the queue. A request that
+is refused early can still be served in time when the caller retries."""
 START_SHARE = 0.7
-"""Part of its latency objective within which an answer should begin at the target that
-is chosen: expectations are often too low."""
+"""Share of the latency objective within which the response should start. Leaves a
+margin because start estimates tend to be too low."""
 MIN_WAIT_S = 0.02
-"""Bound from below of the time for a place: the next message of a peer comes within."""
+"""Minimum queueing time in seconds; long enough for the next message of a peer."""
 RETRY_WAIT_S = 1.0
-"""Time that a request waits for another target after a failed attempt."""
+"""Maximum queueing time after a failed attempt, in seconds."""
 
 
 @dataclass(frozen=True, slots=True)
 class RequestDeadlines:
-    """Until when a request waits, and by when it should begin.
+    """Queueing and start deadlines of one request.
 
     Parameters
     ----------
     wait_until : float
-        When it is refused if it has no place, in seconds.
+        Time at which the request is refused if it is still queued, in seconds.
     start_by : float
-        When its answer should begin, in seconds.
+        Time by which the response should start, in seconds.
     """
 
     wait_until: float
@@ -34,14 +33,14 @@
 def deadlines_at_arrival(
     arrived_at: float, objective_s: float, deadline: float
 ) -> RequestDeadlines:
-    """Return the patience of a request that no target has seen.
+    """Return the deadlines of a request that has not been attempted.
 
     Parameters
     ----------
-    arrived_at, ends_at : float
-        When it came, and when it has to be answered, in seconds.
+    arrived_at, deadline : float
+        Arrival time, and time by which the response must be complete, in seconds.
     objective_s : float
-        Its latency objective, in seconds.
+        Latency objective in seconds.
     """
     wait_s = max(MIN_WAIT_S, WAIT_SHARE * objective_s)
     return RequestDeadlines(
@@ -51,8 +50,8 @@
 
 
 def deadlines_after_failure(now: float, deadline: float) -> RequestDeadlines:
-    """Return the patience of a request that a target has held up.
+    """Return the deadlines of a request after a failed attempt.
 
-    Late is better than not at all.
+    There is no start deadline: a late response is better than none.
     """
     return RequestDeadlines(min(now + RETRY_WAIT_S, deadline), float("inf"))
--- a/libs/dispatch/src/berylwalk/dispatch/_request_queue.py
+++ b/libs/dispatch/src/berylwalk/dispatch/_request_queue.py
@@ -1,4 +1,4 @@
-"""Requests that wait for a place at a target."""
+"""Queue of requests that wait for a target."""
 
 from collections.abc import Callable
 from dataclasses import dataclass, field
@@ -10,44 +10,44 @@
 from berylwalk.dispatch._target_entries import Work
 
 SIZE_WEIGHT = 0.1
-"""Time that a request falls behind its equals for each second that it will keep a
-slot: small ones go first while many wait, and no large one waits for ever."""
+"""Delay in queue order per second of expected slot time: short requests go first, and
+the bounded delay keeps long ones from starving."""
 MAX_SLOT_S = 3.0
 TYPICAL_PROMPT_TOKEN_S = 0.00002
 TYPICAL_OUTPUT_TOKEN_S = 0.0035
-"""Typical times of the engines that this was made for; used for comparison only."""
+"""Typical engine times per token in seconds, used for queue order only."""
 
 
 @dataclass(slots=True, kw_only=True, eq=False)
 class PendingRequest:
-    """One request that wants a place.
+    """Request to be assigned to a target.
 
     Parameters
     ----------
     service : str
-        Where it goes.
+        Service that receives the request.
     rank : tuple of int
-        Lowest first, as `Allowed.rank` gives it.
+        Priority as given by `Allowed.rank`; the lowest goes first.
     work : Work
-        Its size.
-    ends_at : float
-        When its answer has to be whole.
+        Size of the request.
+    deadline : float
+        Time by which the response must be complete, in seconds.
     start_by : float
-        When its answer should begin.
+        Time by which the response should start, in seconds.
     longest_pause_s : float
-        Longest pause of its answer that is on time, in seconds; 0 if unbounded.
-    on_place : callable
-        Called with the target once there is one; not before `submit` returns
-        unless it returns the target.
+        Longest allowed pause between stream events, in seconds; 0 for no bound.
+    on_placed : callable
+        Called with the target when a queued request is assigned. Not called if
+        `submit` returns a target.
     excluded : set of str
-        Targets that it must not go to.
-    apart_as : bytes
-        What tells a request from others that is to run apart from them, for its target
-        may end under it; empty for all that need not.
+        Incarnation ids of targets that must not be chosen.
+    isolation_key : bytes
+        Identity of a request that may crash its target and is kept apart from others
+        of its kind; empty for all other requests.
     arrived_at : float
-        When it arrived.
+        Arrival time in seconds.
     version_draw : float
-        Its number from 0 up to 1, by which versions of a service share requests.
+        Random number in [0, 1) that selects the version of the service.
     """
 
     service: str
@@ -70,13 +70,13 @@
 
 
 def _slot_s(work: Work) -> float:
-    """Return for about how long a request keeps a slot; only compared."""
+    """Return the approximate slot time of a request; only for comparison."""
     prompt_s = work.prompt_tokens * TYPICAL_PROMPT_TOKEN_S
     return prompt_s + work.output_tokens * TYPICAL_OUTPUT_TOKEN_S
 
 
 class RequestQueue:
-    """Waiting requests of one service, by rank, arrival and size."""
+    """Pending requests of one service, ordered by rank, arrival and size."""
 
     def __init__(self) -> None:
         self._requests = SortedKeyList(key=_sort_key)
@@ -89,12 +89,12 @@
         return iter(list(self._requests))
 
     def add(self, pending: PendingRequest) -> None:
-        """Add a ticket behind those of its rank."""
+        """Add a request."""
         pending.number = next(self._numbers)
         self._requests.add(pending)
 
     def remove(self, pending: PendingRequest) -> bool:
-        """Remove a ticket; False if it does not wait."""
+        """Remove a request; returns False if it is not queued."""
         try:
             self._requests.remove(pending)
         except ValueError:
@@ -102,5 +102,5 @@
         return True
 
     def has_rank_up_to(self, rank: tuple[int, int]) -> bool:
-        """Return whether a ticket of the same rank or a higher one waits."""
+        """Return whether a request of the same or a higher rank is queued."""
         return bool(self._requests) and self._requests[0].rank <= rank
--- a/libs/dispatch/src/berylwalk/dispatch/_requested_backoff.py
+++ b/libs/dispatch/src/berylwalk/dispatch/_requested_backoff.py
@@ -1,27 +1,28 @@
-"""The rest that a target asks one router for as it turns a request away.
+"""Backoff that a target requests from one router, and the slow start after it.
 
-Load pattern: a target that turns all requests away at once looks like one with all
-places free, and draws more requests than while it served. After its rest it gets one,
-and twice as many with each that it takes: what waited for it must not all come at once.
+A target that refuses all requests looks idle and would attract more. After the backoff
+it gets one request, and each accepted request allows two more.
 """
 
 RETRY_PROBE_S = 0.5
-"""Time after which a target that has rested is sent one more request though it has not
-taken the last one: that may have been lost on its way."""
+"""Time after which another request is sent during slow start if the last one was not
+accepted, in seconds."""
 
 SAME_BACKOFF_S = 0.1
-"""Difference up to which two ends of a rest are taken for one, where it is told."""
+"""Maximum difference between two end times that count as the same backoff, in seconds.
+"""
 
 
 class RequestedBackoff:
-    """For how long a target wants nothing of this router.
+    """Backoff and slow start of one target.
 
     Attributes
     ----------
     until : float
-        No request is sent before, in seconds.
+        End of the backoff, in seconds.
     sends_left : int or None
-        Requests that may be sent since its rest before it takes one; None for no bound.
+        Requests that may be sent during slow start before one is accepted; None
+        outside slow start.
     """
 
     def __init__(self) -> None:
@@ -30,10 +31,10 @@
         self._sent_at = float("-inf")
 
     def note_requested(self, duration_s: float, now: float) -> bool:
-        """Take a rest that is asked for; returns whether that is news.
+        """Apply a requested backoff; returns whether the end has moved.
 
-        A shorter one that is asked for later takes nothing back. Several requests that
-        are refused at once tell the same.
+        A shorter backoff does not replace a longer one. Requests refused at the same
+        time report the same backoff.
         """
         until = now + duration_s
         is_extended = until > self.until + SAME_BACKOFF_S
@@ -50,19 +51,20 @@
             self._sent_at = now
 
     def note_not_sent(self) -> None:
-        """Take back a request that was counted and won't be sent."""
+        """Undo the count of a request that is not sent after all."""
         if self.sends_left is not None:
             self.sends_left += 1
 
     def note_accepted(self, slots: int, *, sent_at: float) -> None:
-        """Note that the target took a request.
+        """Record that the target accepted a request.
 
         Parameters
         ----------
         slots : int
-            Requests that it works on at the same time.
+            Number of slots of the target.
         sent_at : float
-            When the request was sent: one that it had before its rest says nothing.
+            When the request was sent, in seconds. Requests sent before the end of the
+            backoff are ignored.
         """
         if self.sends_left is None or sent_at < self.until:
             return
@@ -71,10 +73,10 @@
             self.sends_left = None
 
     def is_on(self, now: float) -> bool:
-        """Return whether it wants nothing."""
+        """Return whether the backoff is in effect."""
         return now < self.until
 
     def may_send(self, now: float) -> bool:
-        """Return whether one more may be sent after its rest."""
+        """Return whether slow start allows another request."""
         is_unbounded = self.sends_left is None or self.sends_left > 0
         return is_unbounded or now - self._sent_at >= RETRY_PROBE_S
--- a/libs/dispatch/src/berylwalk/dispatch/_retry_after.py
+++ b/libs/dispatch/src/berylwalk/dispatch/_retry_after.py
@@ -1,9 +1,7 @@
-"""When a refused request should come back.
+"""Retry delay that is sent to refused callers.
 
-Load pattern: bursts of up to twice what engines can bear, from callers who come back
-once. What comes back soon may still be in time; what finds the engines still full is
-turned away. What comes back after seconds is late for sure, and takes the places in
-which others would be in time long after the burst has passed.
+Callers retry once. The delay is short enough for the retry to meet the latency
+objective, and randomized so that simultaneous refusals don't come back at once.
 """
 
 from collections.abc import Callable
@@ -11,11 +9,11 @@
 from random import uniform
 
 MIN_DELAY_S = 0.1
-"""What is full now is seldom free before."""
+"""Minimum delay: capacity is rarely freed sooner."""
 MAX_DELAY_S = 1.2
-"""A few latency objectives of interactive requests."""
+"""Maximum delay, a small multiple of the interactive latency objectives."""
 MAX_REMAINING_SHARE = 1 / 3
-"""Part of their time left up to which callers wait as told."""
+"""Maximum delay as a share of the caller's remaining time."""
 
 
 def retry_after_s(
@@ -24,21 +22,19 @@
     available_in_s: float = 0.0,
     draw: Callable[[float, float], float] = uniform,
 ) -> float:
-    """Return the seconds after which a caller should come back.
-
-    What is refused at the same moment must not come back at the same moment.
+    """Return the randomized retry delay in seconds.
 
     Parameters
     ----------
-    left_s : float
-        Time that the caller still has, in seconds.
-    opens_in_s : float
-        Time until the first target takes requests again, in seconds, where all have
-        said so. Infinite where other routers send to them: any may be asked.
+    remaining_s : float
+        Time left until the caller's deadline, in seconds.
+    available_in_s : float
+        Time until the first target accepts requests, in seconds, if all targets have
+        announced one. Infinite if only other routers may send to them.
     draw : callable
-        Draws a number between two bounds.
+        Returns a random number between two bounds.
     """
     latest_s = min(MAX_DELAY_S, remaining_s * MAX_REMAINING_SHARE)
     delay_s = draw(min(MIN_DELAY_S, latest_s), latest_s)
-    # Another router may have a place sooner than this one, but none at once.
+    # If only other routers may send, the caller may reach one of them sooner.
     return delay_s if isinf(available_in_s) else max(available_in_s, 0.0) + delay_s
--- a/libs/dispatch/src/berylwalk/dispatch/_retry_budget.py
+++ b/libs/dispatch/src/berylwalk/dispatch/_retry_budget.py
@@ -1,15 +1,15 @@
-"""The budget of repeated sends, in a sliding window."""
+"""Retry budget in a sliding window."""
 
 from collections import deque
 
 SAFETY_FACTOR = 0.8
-"""Part of the bound that is used; the rest covers counts that cross a window."""
+"""Share of the bound that is used; the rest covers the resolution of the windows."""
 STEP_S = 0.5
 """Resolution of the window, in seconds."""
 
 
 class WindowCount:
-    """Counts events of the last seconds.
+    """Sliding window counter.
 
     Parameters
     ----------
@@ -37,17 +37,17 @@
 
 
 class WindowedRetryBudget:
-    """Bounds repeated sends to a service by a share of its requests.
+    """Limits retries to a share of the requests of each service.
 
-    Each router keeps within its part of the fixed allowance, so that no
-    message between routers is needed for the sum to hold.
+    The fixed allowance is divided equally among the routers, so that the bound holds
+    without coordination.
 
     Parameters
     ----------
     ratio : float
-        Repeated sends allowed per request.
+        Retries allowed per request.
     slack : float
-        Repeated sends allowed in a window besides, over all routers.
+        Additional retries allowed per window, over all routers.
     window_s : float
         Length of the window, in seconds.
     """
@@ -61,22 +61,22 @@
         self._retries_by_service: dict[str, WindowCount] = {}
 
     def set_routers(self, routers: int) -> None:
-        """Tell how many routers share the fixed allowance."""
+        """Set the number of routers that share the fixed allowance."""
         self._routers = max(1, routers)
 
     def record_request(self, service: str, now: float) -> None:
-        """Count a request that is sent for the first time."""
+        """Count the first attempt of a request."""
         self._count(self._requests_by_service, service).add(now)
 
     def left(self, service: str, now: float) -> float:
-        """Return the repeated sends that are allowed now."""
+        """Return the number of retries that are currently allowed."""
         requests = self._count(self._requests_by_service, service).total(now)
         retries = self._count(self._retries_by_service, service)
         allowed = self._ratio * requests + self._slack / self._routers
         return allowed - retries.total(now, margin_s=STEP_S)
 
     def take(self, service: str, now: float) -> bool:
-        """Take one repeated send; False if none is left."""
+        """Consume one retry; returns False if none is left."""
         if self.left(service, now) < 1:
             return False
         self._count(self._retries_by_service, service).add(now)
--- a/libs/dispatch/src/berylwalk/dispatch/_router_settings.py
+++ b/libs/dispatch/src/berylwalk/dispatch/_router_settings.py
@@ -1,4 +1,4 @@
-"""Settings of one direct router, as its VM tells them."""
+"""Settings of a direct router."""
 
 from dataclasses import dataclass, field
 
@@ -8,7 +8,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SocketAddress:
-    """Where a socket is bound, or what it connects to."""
+    """Address of a socket."""
 
     host: str
     port: int
@@ -16,43 +16,41 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class RouterSettings:
-    """What a direct router needs to know to start.
+    """Startup settings of a direct router.
 
     Parameters
     ----------
     name : str
         Name of its VM.
     failure_domain : str
-        Where it runs.
+        Failure domain of its VM.
     caller_address, readiness_address : SocketAddress
-        Listeners for callers and for the question whether it is ready.
+        Listeners for callers and for readiness probes.
     peer_port : int
-        UDP port for messages of other routers.
+        UDP port for peer messages.
     metrics_port : int
-        TCP port of the metrics.
+        TCP port of the metrics endpoint.
     store_address : SocketAddress
-        The platform's store.
+        Address of the platform's store.
     shortest_lease_s : float
-        Least time to live of a lease in the store, in seconds.
+        Minimum lease duration in the store, in seconds.
     stop_grace_s : float
-        Time from the request to stop until the process is killed, in seconds.
+        Time between the stop signal and the kill signal, in seconds.
     key_revocation_s : float
-        Time after which a key that was taken away must not work, in seconds.
+        Time after which a revoked key must be refused, in seconds.
     drain_s : float
-        Time after which a target that said that it leaves must get no request, in
-        seconds.
+        Time after which a draining target must not get requests, in seconds.
     configuration_s : float
-        Time after which a new version of the configuration must be in force, in
-        seconds.
+        Time after which a new configuration must be in effect, in seconds.
     heartbeat_s : float
-        Time between two renewals of a target's entry, in seconds.
-    allowances : AllowanceRules
-        How the spending of client accounts is judged.
+        Interval between renewals of a target's entry, in seconds.
+    allowances : QuotaRules
+        Rules for the quotas of client accounts.
     retry_ratio, retry_slack, retry_window_s : float
-        Bound of repeated sends over all routers: in a window of so many
-        seconds, the ratio of the requests and a fixed number besides.
+        Retry budget over all routers: retries per request, additional retries per
+        window, and length of the window in seconds.
     exposure : ExposureRules
-        How much a version may get that is not proved.
+        Limits on the traffic to a new version.
     """
 
     name: str
--- a/libs/dispatch/src/berylwalk/dispatch/_target.py
+++ b/libs/dispatch/src/berylwalk/dispatch/_target.py
@@ -1,4 +1,4 @@
-"""What a router believes of one target."""
+"""State and statistics of one target."""
 
 from collections.abc import Callable
 from dataclasses import dataclass, field
@@ -14,60 +14,59 @@
 from berylwalk.dispatch._target_signals import NO_SIGNALS, TargetSignals
 
 INITIAL_BACKOFF_S = 0.4
-"""First time that a failing target is set aside, in seconds; doubled each time."""
+"""First backoff after a connection failure, in seconds; doubled on each failure."""
 MAX_BACKOFF_S = 3.0
-"""Bound of the time set aside: a target that came back is soon tried again."""
+"""Upper bound of the backoff in seconds."""
 ERROR_WEIGHT = 0.12
-"""Weight of one answer in the moving share of errors: some eight answers count."""
+"""Weight of one response in the moving average of the error rate."""
 ERROR_RATE_THRESHOLD = 0.3
-"""A target with more errors than this gets only trial requests."""
+"""Error rate above which a target receives probe requests only."""
 PROBE_INTERVAL_S = 0.5
-"""Time between trial requests at an erroneous target, in seconds."""
+"""Time between probe requests to a target with a high error rate, in seconds."""
 SPEED_WEIGHT = 0.12
-"""Weight of one answer in the moving means of times: some eight answers count."""
+"""Weight of one response in the moving averages of times."""
 QUEUED_SPEED_WEIGHT = 0.03
-"""The same in the fixed time, for an answer that had to wait for a slot: its own part
-of the time is less certain."""
+"""Same for the fixed time of a response that waited for a slot, where the fixed part is
+less certain."""
 HALF_WEIGHT_TOKENS = 400
-"""Output tokens whose weight in the moving speed is one half: one long answer, or a few
-short ones, tell the speed of a target."""
+"""Number of output tokens that gets a weight of 1/2 in the moving average of the speed.
+"""
 MIN_OUTPUT_TOKENS = 30
-"""Output tokens from which an answer tells something of a target's speed."""
+"""Minimum number of output tokens for a speed observation."""
 MIN_SLOT_S = 0.001
-"""Least time that a request is taken to keep its slot, in seconds: an answer whose
-events come all at once tells of none, and others are divided by it."""
+"""Minimum slot time in seconds. Avoids division by zero for responses whose events
+arrive all at once."""
 MAX_PLAUSIBLE_S = 3600.0
-"""Bound of what is believed of a noted time, in seconds: no request takes longer."""
+"""Upper bound of a plausible stored time in seconds."""
 MIN_FIXED_SHARE = 0.2
-"""Least part of the time to a first event that is not put down to waiting."""
+"""Minimum share of the time to the first event that counts as fixed time."""
 SILENCE_TIMEOUT_S = 0.6
-"""A target that owes events and sent no byte for this long is taken for dark."""
+"""Time without any byte after which a target with open requests counts as silent, in
+seconds. The expected prefill time is added."""
 SILENCE_FACTOR = 2.0
-"""Margin over the expected time of reading prompts, in which nothing is sent."""
+"""Safety factor on the expected prefill time, during which nothing is sent."""
 DEFAULT_TOKEN_S = 0.004
-"""Time for an output token of a target of which nothing is known, in seconds: engines
-take some milliseconds for a step."""
+"""Time per output token assumed for a target of unknown speed, in seconds."""
 UNKNOWN_SPEED_FACTOR = 3.0
-"""How much slower a target may be of which nothing is known, when its silence is
-judged."""
+"""Safety factor on the default speed when silence is detected."""
 
 
 @dataclass(frozen=True, slots=True)
 class FirstEventEstimate:
-    """When a request should bring its first event at a target, in parts.
+    """Components of the estimated time to the first event.
 
     Parameters
     ----------
     fixed_s : float
-        What each request takes there, in seconds.
+        Time that every request takes, in seconds.
     prefill_s : float
-        Reading of the prompts ahead of it and of its own, in seconds.
+        Prefill time of the prompts ahead and of the own prompt, in seconds.
     slot_wait_s : float
         Wait for a slot, in seconds.
     ahead_tokens : int
-        Prompt tokens ahead of it.
+        Prompt tokens ahead of the request.
     own_tokens : int
-        Prompt tokens of its own that the target has to read.
+        Own prompt tokens that are not cached.
     """
 
     fixed_s: float
@@ -78,20 +77,20 @@
 
     @property
     def total_s(self) -> float:
-        """Time from the sending to the first event, in seconds."""
+        """Time from sending the request to the first event, in seconds."""
         return self.fixed_s + self.prefill_s + self.slot_wait_s
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class TargetSpeed:
-    """What was learned of a target's speed, to be kept beyond one life of a router.
+    """Observed speed of a target, stored across restarts of the router.
 
     Parameters
     ----------
     fixed_s, slot_s, output_token_s, event_s : float or None
         As in `Target`, in seconds.
     paused_share : float
-        Share of streams with a pause that was too long.
+        Share of streams with a pause above the bound.
     """
 
     fixed_s: float | None
@@ -102,7 +101,7 @@
 
     @property
     def is_possible(self) -> bool:
-        """Whether a target can have this speed: others divide by its times."""
+        """Whether all values are plausible; others divide by the times."""
         times = (self.fixed_s, self.slot_s, self.output_token_s, self.event_s)
         are_times = all(time is None or 0 < time < MAX_PLAUSIBLE_S for time in times)
         return are_times and 0 <= self.paused_share <= 1
@@ -110,47 +109,52 @@
 
 @dataclass(slots=True)
 class Target:
-    """One target and what was observed of it.
+    """A target and its statistics.
 
     Attributes
     ----------
-    start_model : StartModel
-        What is known of the starts of all targets of the service.
+    entry : TargetEntry
+        Entry in the list of targets.
+    first_event_model : FirstEventModel
+        Model shared by all targets of the service.
     in_flight, waiting_tokens : int
-        Own requests at the target, and prompt tokens of those that have not
-        brought a first event.
+        Requests of this router at the target, and prompt tokens of those without a
+        first event.
     peer_in_flight, peer_tokens : int
-        The same of the other routers, as last heard.
+        Same for the other routers, as last reported.
     fixed_s : float or None
-        Moving mean of the time to a first event besides reading and waiting, in
-        seconds.
+        Moving average of the time to the first event without prefill and queueing,
+        in seconds.
     slot_s : float or None
-        Moving mean of the time that a request keeps its slot, in seconds.
+        Moving average of the time that a request occupies a slot, in seconds.
     output_token_s : float or None
-        Moving mean of the time that an output token takes, in seconds.
+        Moving average of the time per output token, in seconds.
     event_s : float or None
-        The same of an event of a stream.
+        Moving average of the time per stream event, in seconds.
     paused_share : float
-        Moving share of streams with a pause that was too long.
-    errors : float
-        Moving share of failed answers.
-    failures : int
-        Failures in a row.
-    aside_until : float
-        No request is sent before this time.
-    heard_at : float
-        When any byte last came from the target.
-    owes_since : float or None
-        Since when requests are there without any byte of the target.
+        Moving average of the share of streams with a pause above the bound.
+    error_rate : float
+        Moving average of the share of failed responses.
+    consecutive_failures : int
+        Connection failures in a row.
+    backoff_until : float
+        End of the backoff, in seconds; no request is sent before.
+    last_sent_at : float
+        Time of the last request, in seconds.
+    last_heard_at : float
+        Time of the last byte from the target, in seconds.
+    awaiting_since : float or None
+        Time since which requests are open without a byte from the target.
+    unlisted_since : float or None
+        Time since which the target is missing from the list of targets.
     is_replaced : bool
-        Whether another life was found to answer at its address.
-    stated : TargetStatement
-        What its last answer stated of it.
-    needs : StatedNeeds
-        What it has said that it takes.
-    on_life_ended : set of callable
-        Called when the target turns out to have started again: what it held is
-        gone, and requests in flight there won't be answered.
+        Whether another incarnation answers at its address.
+    last_signals : TargetSignals
+        Flow control signals of the last response.
+    flow_control : FlowControl
+        Flow control state from all responses.
+    on_incarnation_ended : set of callable
+        Called when the target has restarted; its open requests get no response.
     """
 
     entry: TargetEntry
@@ -177,22 +181,22 @@
     on_incarnation_ended: set[Callable[[], None]] = field(default_factory=set)
 
     def notify_incarnation_ended(self) -> None:
-        """Tell all that wait for it that this life of the target has ended."""
+        """Notify all subscribers that this incarnation has ended."""
         for callback in list(self.on_incarnation_ended):
             callback()
 
     @property
     def total_in_flight(self) -> int:
-        """Requests at the target of all routers."""
+        """Requests of all routers at the target."""
         return self.in_flight + self.peer_in_flight
 
     @property
     def queued_prompt_tokens(self) -> int:
-        """Prompt tokens of all routers at the target that are not read yet."""
+        """Prompt tokens of all routers that the target has not prefilled."""
         return self.waiting_tokens + self.peer_tokens
 
     def is_silent(self, now: float) -> bool:
-        """Return whether the target owes an event for too long."""
+        """Return whether the target has exceeded its silence timeout."""
         if self.awaiting_since is None:
             return False
         return (
@@ -201,9 +205,9 @@
         )
 
     def silence_timeout_s(self) -> float:
-        """Return for how long a sound target may send nothing, in seconds.
+        """Return how long a healthy target may send nothing, in seconds.
 
-        One that reads long prompts and has no other request sends nothing.
+        A target that prefills long prompts and has no other request sends nothing.
         """
         token_s = self.output_token_s or UNKNOWN_SPEED_FACTOR * DEFAULT_TOKEN_S
         prefill_s = self.first_event_model.prefill_s(
@@ -212,11 +216,11 @@
         return SILENCE_TIMEOUT_S + SILENCE_FACTOR * prefill_s
 
     def is_available(self, now: float) -> bool:
-        """Return whether a request may be sent, its number in flight aside."""
+        """Return whether a request may be sent, regardless of the load."""
         return self.ineligibility_reason(now) is None
 
     def ineligibility_reason(self, now: float) -> IneligibilityReason | None:
-        """Return why no request may be sent, its number in flight aside."""
+        """Return why no request may be sent, regardless of the load, or None."""
         if self.entry.state is not TargetState.READY:
             return IneligibilityReason.DRAINING
         if self.is_replaced:
@@ -242,16 +246,16 @@
     def note_first_event(
         self, work: Work, start: FirstEventEstimate, taken_s: float
     ) -> None:
-        """Learn from the time to a first event.
+        """Update the statistics with the time to a first event.
 
         Parameters
         ----------
         work : Work
-            The request.
-        start : ExpectedStart
-            What was expected at the sending.
+            Size of the request.
+        start : FirstEventEstimate
+            Estimate made when the request was sent.
         taken_s : float
-            Time from the sending to the first event, in seconds.
+            Time from sending the request to the first event, in seconds.
         """
         self.waiting_tokens -= work.prompt_tokens
         remainder_s = taken_s - start.slot_wait_s - start.prefill_s
@@ -265,14 +269,14 @@
         self.fixed_s = _moving_mean(self.fixed_s, sample, weight)
 
     def note_output(self, tokens: int, events: int, taken_s: float) -> None:
-        """Learn from the time that some output tokens took.
+        """Update the output speed.
 
         Parameters
         ----------
         tokens, events : int
-            Tokens after the first event, and events in which they came.
+            Tokens after the first event, and the number of their events.
         taken_s : float
-            Time between that event and the last one, in seconds.
+            Time between the first and the last event, in seconds.
         """
         if tokens < MIN_OUTPUT_TOKENS:
             return
@@ -283,12 +287,12 @@
         self.event_s = _moving_mean(self.event_s, taken_s / events, weight)
 
     def note_paused(self, was_too_long: bool) -> None:
-        """Learn whether a stream had a pause that was too long."""
+        """Record whether a stream had a pause above the bound."""
         sample = 1.0 if was_too_long else 0.0
         self.paused_share += SPEED_WEIGHT * (sample - self.paused_share)
 
     def speed(self) -> TargetSpeed:
-        """Return what was learned of its speed."""
+        """Return the observed speed."""
         return TargetSpeed(
             fixed_s=self.fixed_s,
             slot_s=self.slot_s,
@@ -298,10 +302,7 @@
         )
 
     def adopt_speed(self, speed: TargetSpeed) -> None:
-        """Take what an earlier life or another router learned, where nothing is known.
-
-        What is observed from now on moves it, as it moves what is learned here.
-        """
+        """Use a stored speed for values without own observations."""
         if self.fixed_s is None:
             self.fixed_s = speed.fixed_s
         if self.slot_s is None and speed.slot_s is not None:
@@ -312,24 +313,24 @@
             self.paused_share = speed.paused_share
 
     def note_slot_time(self, taken_s: float) -> None:
-        """Learn from the time that an answered request kept its slot."""
+        """Update the slot time with that of an answered request."""
         sample = max(taken_s, MIN_SLOT_S)
         self.slot_s = _moving_mean(self.slot_s, sample, SPEED_WEIGHT)
 
     def note_heard(self, now: float) -> None:
-        """Note that bytes came."""
+        """Record that bytes arrived."""
         self.last_heard_at = now
         if self.awaiting_since is not None:
             self.awaiting_since = now
 
     def note_suspended(self, suspended_s: float) -> None:
-        """Take the time of a suspension of this router for no silence."""
+        """Exclude a suspension of this router from the silence timeout."""
         self.last_heard_at += suspended_s
         if self.awaiting_since is not None:
             self.awaiting_since += suspended_s
 
     def note_finished(self, work: Work, *, had_first_event: bool) -> None:
-        """Count a request out that was sent, however it ended."""
+        """Stop counting a request as in flight, whatever its outcome."""
         self.in_flight -= 1
         if not had_first_event:
             self.waiting_tokens -= work.prompt_tokens
@@ -337,34 +338,34 @@
             self.awaiting_since = None
 
     def note_success(self) -> None:
-        """Note a proper answer."""
+        """Record a successful response."""
         self.consecutive_failures = 0
         self.error_rate -= ERROR_WEIGHT * self.error_rate
 
     def note_error(self) -> None:
-        """Note an answer that failed though the target is there."""
+        """Record a failed response from a reachable target."""
         self.error_rate += ERROR_WEIGHT * (1 - self.error_rate)
 
     def note_unreachable(self, now: float) -> None:
-        """Set the target aside after its connection failed."""
+        """Back off after a connection failure."""
         self.consecutive_failures += 1
         pause_s = INITIAL_BACKOFF_S * 2 ** min(self.consecutive_failures - 1, 4)
         self.backoff_until = max(self.backoff_until, now + min(pause_s, MAX_BACKOFF_S))
 
     def note_replaced(self) -> None:
-        """Send nothing more: what answers at its address is another life.
+        """Stop sending: another incarnation answers at this address.
 
-        Its entry lapses some heartbeats after its end, while the next life is long
-        there; an address that refuses at once looks like one with all places free.
+        The old entry stays listed until its lease expires, and its refused requests
+        would make it look idle.
         """
         self.is_replaced = True
 
     def available_at(self, now: float) -> float:
-        """Return when it takes requests again, in seconds, as far as it has said."""
+        """Return when the target accepts requests, in seconds, as far as announced."""
         return self.flow_control.available_at(now)
 
     def note_refused(self, now: float, pause_s: float) -> None:
-        """Leave the target alone for a moment after it refused work."""
+        """Back off for a given time after the target refused a request."""
         self.backoff_until = max(self.backoff_until, now + pause_s)
 
 
--- a/libs/dispatch/src/berylwalk/dispatch/_target_entries.py
+++ b/libs/dispatch/src/berylwalk/dispatch/_target_entries.py
@@ -1,59 +1,59 @@
-"""Targets as they are listed, and the size of work for them."""
+"""Entries of targets, and sizes of requests."""
 
 from dataclasses import dataclass
 from enum import StrEnum
 
 START_MARK_MODULUS = 1 << 16
-"""Marks by which lives of one target are told apart."""
+"""Modulus of start times in incarnation ids."""
 
 
 class TargetState(StrEnum):
-    """What a target says of itself."""
+    """State that a target publishes in its entry."""
 
     READY = "ready"
     DRAINING = "draining"
 
 
 class IneligibilityReason(StrEnum):
-    """Why a target gets no request."""
+    """Reason why a target gets no request."""
 
     DRAINING = "draining"
     BACKOFF = "aside"
-    """Its connection failed, or it refused work, a short time ago."""
+    """Backoff after a connection failure or a refused request."""
 
     REPLACED = "replaced"
-    """Another life answers at its address: it has ended, whatever its entry says."""
+    """Another incarnation answers at its address."""
 
     RETRY_AFTER = "resting"
-    """It has asked this router for rest."""
+    """The target requested a backoff of this router."""
 
     SLOW_START = "returning"
-    """It has rested, and takes a few requests at first."""
+    """The target accepts only a few requests after a requested backoff."""
 
     LEAVING = "leaving"
-    """It says in its answers that it leaves."""
+    """The target announced its shutdown in a response."""
 
     RATE_LIMITED = "limited"
-    """It names a limit, and this router's part of it is used."""
+    """This router's share of the advertised rate limit is used up."""
 
     SILENT = "silent"
     ERRORS = "errors"
     FULL = "full"
     TOO_LATE = "too-late"
-    """It is busy, and the answer would begin later than it should."""
+    """The target is busy, and the response would start too late."""
 
     EXCLUDED = "excluded"
-    """It was tried for this request."""
+    """The target is excluded for this request."""
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class TargetEntry:
-    """One target as the list of targets has it.
+    """Entry of one target in the list of targets.
 
     Parameters
     ----------
     target_id : str
-        Identifies the target; it may start again under the same id.
+        Identifies the target; stays the same across restarts.
     service : str
         Service that it belongs to.
     host : str
@@ -61,16 +61,16 @@
     port : int
         TCP port.
     failure_domain : str
-        Where it runs.
+        Failure domain of the target.
     slots : int
-        Requests that it works on at the same time.
+        Number of requests that it processes concurrently.
     state : TargetState
-        Whether it takes new work.
+        Whether it accepts new requests.
     started_ms : int or None
-        When this life of it started, as it says, in milliseconds since the epoch.
-        None where targets don't say: there an id stands for one life.
+        Start time of this incarnation as published, in milliseconds since the epoch.
+        If None, the id stands for a single incarnation.
     version : str
-        Version of its software; empty if it does not say.
+        Version of its software; empty if unknown.
     """
 
     target_id: str
@@ -85,11 +85,10 @@
 
     @property
     def incarnation_id(self) -> str:
-        """Identifies one life of the target, also towards other routers.
+        """Identifies one incarnation of the target, also in peer messages.
 
-        Only the end of the start's time is told, since ids are in each message:
-        two lives of one target are taken for one if they started a multiple of
-        65.5 s apart to the millisecond.
+        The start time is shortened, since each message contains many ids. Two
+        incarnations share an id if their start times differ by a multiple of 65.536 s.
         """
         if self.started_ms is None:
             return self.target_id
@@ -98,14 +97,14 @@
 
 @dataclass(frozen=True, slots=True)
 class SharedPrefix:
-    """Start of a prompt that other requests have too.
+    """Prefix of a prompt that other requests share.
 
     Parameters
     ----------
     key : int
-        Hash of its parts, 32 bits.
+        32-bit hash of its parts.
     tokens : int
-        Its length.
+        Length in tokens.
     """
 
     key: int
@@ -119,11 +118,11 @@
     Parameters
     ----------
     prompt_tokens : int
-        Tokens to be read before the first event; 0 for a plain call.
+        Tokens to prefill; 0 for a plain call.
     output_tokens : int
-        Tokens that the answer is expected to have, or its most.
+        Expected or maximum number of output tokens.
     shared_prefix : SharedPrefix or None
-        Start of the prompt that other requests have too.
+        Prefix of the prompt that other requests share.
     """
 
     prompt_tokens: int = 0
--- a/libs/dispatch/src/berylwalk/dispatch/_target_signals.py
+++ b/libs/dispatch/src/berylwalk/dispatch/_target_signals.py
@@ -1,24 +1,24 @@
-"""What a target states of itself in an answer."""
+"""Flow control signals in the response head of a target."""
 
 from dataclasses import dataclass
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class TargetSignals:
-    """What the head of one answer states of the target that gave it.
+    """Flow control signals of one response.
 
     Parameters
     ----------
     limit_per_s : float or None
-        Requests a second that it takes of all routers together; None without a limit.
+        Rate limit over all routers, in requests per second; None without a limit.
     is_leaving : bool
-        Whether it leaves and wants no new requests.
-    rest_s : float or None
-        Time for which it wants no request of this router, in seconds.
+        Whether the target shuts down and wants no new requests.
+    retry_after_s : float or None
+        Backoff requested of this router, in seconds.
     problem : str
-        What of it can't be read, and why; empty if all can.
+        Description of unreadable signals; empty if all are readable.
     limit_is_readable : bool
-        Whether ``limit_per_s`` is what the target meant.
+        Whether ``limit_per_s`` could be parsed.
     """
 
     limit_per_s: float | None = None
@@ -29,9 +29,9 @@
 
     @property
     def is_empty(self) -> bool:
-        """Whether it states nothing."""
+        """Whether there are no signals."""
         return self == NO_SIGNALS
 
 
 NO_SIGNALS = TargetSignals()
-"""Most answers."""
+"""Signals of a response without flow control headers."""
--- a/libs/dispatch/src/berylwalk/dispatch/_target_table.py
+++ b/libs/dispatch/src/berylwalk/dispatch/_target_table.py
@@ -1,4 +1,4 @@
-"""All targets that a router knows."""
+"""Table of all targets known to a router."""
 
 from collections.abc import Iterable
 
@@ -8,33 +8,33 @@
 from berylwalk.dispatch._target_entries import TargetEntry
 
 Coefficients = tuple[float, float, float]
-"""Those of a start model."""
+"""Coefficients of a first event model."""
 
 REMOVED_ENTRY_TTL_S = 60.0
-"""Time for which the start of a target that is gone is remembered: an entry of an
-earlier life may be written late."""
+"""Time for which the start time of a removed target is kept, in seconds, to detect late
+entries of earlier incarnations."""
 
 ABSENCE_GRACE_S = 2.0
-"""Time after an outage of the store within which lapsed entries come back."""
+"""Time after a store outage during which expired entries may reappear, in seconds."""
 
 
 class TargetTable:
-    """All targets by id, kept in step with the list of targets.
+    """Targets by id, synchronized with the list of targets in the store.
 
     Parameters
     ----------
     absence_grace_s : float
-        Time for which a target is kept that is missing after an outage of the
-        store, during which entries may have lapsed, in seconds.
+        Time after a store outage for which missing targets are kept, in seconds.
+        Leases may have expired during the outage.
 
     Attributes
     ----------
     by_id : dict
-        All targets by their ids.
-    by_life_id : dict
-        The same by the ids of their lives.
+        Targets by target id.
+    by_incarnation_id : dict
+        Targets by incarnation id.
     confirmed_at : float
-        When the store last told what is there, in seconds.
+        Time of the last confirmed listing from the store, in seconds.
     """
 
     def __init__(self, *, absence_grace_s: float = ABSENCE_GRACE_S) -> None:
@@ -57,23 +57,22 @@
         return self._by_service.get(service, [])
 
     def note_confirmed(self, listed_at: float) -> None:
-        """Tell when the store told what targets there are."""
+        """Record the time of a confirmed listing."""
         self.confirmed_at = max(self.confirmed_at, listed_at)
 
     def note_outage_ended(self, now: float) -> None:
-        """Tell that entries may have lapsed while the store was away."""
+        """Start the grace period for entries that expired during a store outage."""
         self._lapse_grace_until = now + self.absence_grace_s
 
     def note_no_lapse(self, now: float) -> None:
-        """Tell that entries did not lapse: those that are missing have left."""
+        """End the grace period: missing entries were removed, not expired."""
         self._lapse_grace_until = min(self._lapse_grace_until, now)
 
     def replace(self, entries: Iterable[TargetEntry], now: float) -> list[str]:
-        """Take a whole list of targets; returns the ids that are gone.
+        """Apply a full listing; returns the ids of removed targets.
 
-        A missing target is gone at once, but for a time after an outage of the
-        store: there entries may have lapsed of targets that are alive, and
-        those reappear within a bound.
+        A missing target is removed at once, except during the grace period after a
+        store outage.
         """
         entries_by_id = {entry.target_id: entry for entry in entries}
         gone = []
@@ -92,7 +91,7 @@
         return gone
 
     def update(self, entry: TargetEntry, now: float) -> None:
-        """Take one changed entry."""
+        """Apply one changed entry."""
         self._put(entry, now)
         target = self.by_id.get(entry.target_id)
         if target is not None:
@@ -100,17 +99,17 @@
         self._reindex()
 
     def note_suspended(self, suspended_s: float) -> None:
-        """Take the time of a suspension of this router for no silence of targets."""
+        """Exclude a suspension of this router from the silence timeouts."""
         for target in self.by_id.values():
             target.note_suspended(suspended_s)
 
     def pop_ended_incarnations(self) -> list[Target]:
-        """Return the lives that ended since the last look: targets started again."""
+        """Return the incarnations replaced by a restart since the last call."""
         ended, self._ended_incarnations = self._ended_incarnations, []
         return ended
 
     def remove(self, target_id: str, now: float) -> bool:
-        """Take a removed entry; returns whether the target is gone for good."""
+        """Apply the removal of an entry; returns whether the target was dropped."""
         target = self.by_id.get(target_id)
         if target is None:
             return False
@@ -122,7 +121,7 @@
         return True
 
     def discard(self, target_id: str, now: float) -> bool:
-        """Use a target no more, whatever the state of the store."""
+        """Drop a target regardless of the state of the store."""
         target = self.by_id.get(target_id)
         if target is None:
             return False
@@ -133,10 +132,14 @@
     def replace_peer_loads(
         self, peer: str, loads_by_id: dict[str, tuple[int, int]]
     ) -> None:
-        """Take the requests in flight and waiting tokens of a peer, whole.
-
-        They go by the ids of lives, and replace what was heard before under the same
-        name.
+        """Replace all loads reported by a peer.
+
+        Parameters
+        ----------
+        peer : str
+            Name of the peer.
+        loads_by_id : dict
+            Requests in flight and waiting prompt tokens by incarnation id.
         """
         previous = self._peer_loads_by_name.get(peer, {})
         for target_id, (count, tokens) in previous.items():
@@ -151,7 +154,7 @@
     def update_peer_loads(
         self, peer: str, loads_by_id: dict[str, tuple[int, int]]
     ) -> None:
-        """Take what a peer has at some targets; of the others nothing is new."""
+        """Update the loads that a peer reports for some targets."""
         known = self._peer_loads_by_name.setdefault(peer, {})
         for incarnation_id, (count, tokens) in loads_by_id.items():
             previous_count, previous_tokens = known.get(incarnation_id, (0, 0))
@@ -161,14 +164,14 @@
             known[incarnation_id] = (count, tokens)
 
     def speeds_by_id(self) -> dict[str, TargetSpeed]:
-        """Return what was learned of the speeds of all targets, by life."""
+        """Return the observed speeds by incarnation id."""
         return {
             incarnation_id: target.speed()
             for incarnation_id, target in self.by_incarnation_id.items()
         }
 
     def first_event_models_by_service(self) -> dict[str, Coefficients]:
-        """Return what was learned of starts."""
+        """Return the coefficients of the first event models by service."""
         return {
             service: model.coefficients
             for service, model in self._start_models_by_service.items()
@@ -179,7 +182,7 @@
         speeds_by_id: dict[str, TargetSpeed],
         first_event_models_by_service: dict[str, Coefficients],
     ) -> None:
-        """Take what an earlier life learned, also of targets that are listed later."""
+        """Use stored speeds and coefficients, also for targets listed later."""
         self._adopted_speeds_by_id = speeds_by_id
         for service, coefficients in first_event_models_by_service.items():
             self._model_for(service).adopt(coefficients)
@@ -188,11 +191,11 @@
                 target.adopt_speed(speeds_by_id[incarnation_id])
 
     def peers_with_loads(self) -> list[str]:
-        """Return the names under which loads of others are counted."""
+        """Return the names of peers whose loads are counted."""
         return list(self._peer_loads_by_name)
 
     def own_loads(self) -> dict[str, tuple[int, int]]:
-        """Return the own requests in flight and waiting tokens by life."""
+        """Return own requests in flight and waiting tokens by incarnation id."""
         return {
             incarnation_id: (target.in_flight, target.waiting_tokens)
             for incarnation_id, target in self.by_incarnation_id.items()
@@ -200,7 +203,7 @@
         }
 
     def total_loads(self, peers: Iterable[str]) -> dict[str, tuple[int, int]]:
-        """Return the sum of the own loads and those heard of some peers."""
+        """Return the sum of own loads and those of some peers."""
         loads = self.own_loads()
         for peer in peers:
             for target_id, load in self._peer_loads_by_name.get(peer, {}).items():
@@ -209,11 +212,11 @@
         return loads
 
     def note_flow_controlled(self, target: Target) -> None:
-        """Note that a target has said what it takes, or was said to."""
+        """Record that a target has flow control state."""
         self._flow_controlled.add(target.entry.incarnation_id)
 
     def flow_controlled(self) -> list[Target]:
-        """Return the targets that have said so; few of many do."""
+        """Return the targets with flow control state."""
         self._flow_controlled &= self.by_incarnation_id.keys()
         return [
             self.by_incarnation_id[incarnation_id]
@@ -221,7 +224,7 @@
         ]
 
     def in_flight_other_versions(self, service: str, version: str) -> int:
-        """Return the own requests at a service's targets of all versions but one."""
+        """Return own requests in flight at all versions of a service but one."""
         return sum(
             target.in_flight
             for target in self.of_service(service)
@@ -250,7 +253,7 @@
         if entry.incarnation_id in self._adopted_speeds_by_id:
             new.adopt_speed(self._adopted_speeds_by_id[entry.incarnation_id])
         if entry.incarnation_id in self._removed_flow_controls:
-            # Its entry was gone for a time; the life that said it was not.
+            # The entry was missing for a time, but the incarnation is the same.
             new.flow_control, _ = self._removed_flow_controls.pop(entry.incarnation_id)
             self.note_flow_controlled(new)
         self._sum_peer_loads(new)
@@ -259,7 +262,7 @@
             target.notify_incarnation_ended()
 
     def _is_stale(self, entry: TargetEntry, now: float) -> bool:
-        """Return whether an entry came late: a later life is or was known."""
+        """Return whether a newer incarnation is or was known."""
         if entry.started_ms is None:
             return False
         target = self.by_id.get(entry.target_id)
@@ -296,7 +299,7 @@
                 del self._removed_flow_controls[incarnation_id]
 
     def _sum_peer_loads(self, target: Target) -> None:
-        """Count what all peers said of this life of a target."""
+        """Sum the loads that all peers report for this incarnation."""
         loads = [
             loads_by_id.get(target.entry.incarnation_id, (0, 0))
             for loads_by_id in self._peer_loads_by_name.values()
@@ -317,8 +320,8 @@
 
 
 def _is_same_incarnation(known: TargetEntry, entry: TargetEntry) -> bool:
-    """Return whether two entries with the same id are of one life.
+    """Return whether two entries with one id are the same incarnation.
 
-    A target that did not say when it started may say so later.
+    The start time of a target may be added to its entry later.
     """
     return known.started_ms in (None, entry.started_ms)
--- a/libs/dispatch/src/berylwalk/dispatch/_urgent_demand.py
+++ b/libs/dispatch/src/berylwalk/dispatch/_urgent_demand.py
@@ -1,9 +1,8 @@
-"""What an account's most urgent requests will still need of its allowance.
+"""Demand of the most urgent rank of each account.
 
-Load pattern: one account sends several times its usual for many seconds. Its allowance
-is spent within some of them by whatever comes first, and then nothing of it is served,
-urgent or not, until the window has moved on. What the most urgent rank asks a second
-shows what it will need until enough of the window has moved on; so much is left to it.
+An account that sends far above its quota would spend it on less urgent requests first.
+The recent demand of the most urgent rank determines how much of the quota is reserved
+for it.
 """
 
 from collections import deque
@@ -12,39 +11,37 @@
 from typing import Self
 
 STEP_S = 0.1
-"""Resolution, in seconds."""
+"""Resolution of the window, in seconds."""
 DEMAND_WINDOW_S = 2.0
-"""Time over which the demand a second is taken, in seconds: shorter than the time in
-which an account at several times its usual spends its allowance, and long enough for
-some requests of a large account."""
+"""Window over which the demand rate is computed, in seconds."""
 COST_WEIGHT = 0.1
-"""Weight of one request in the moving mean of what they cost: some ten count."""
+"""Weight of one request in the moving average of the cost."""
 
 
 @dataclass(frozen=True, slots=True)
 class Demand:
-    """What requests of one rank ask.
+    """Demand of the requests of one rank.
 
     Parameters
     ----------
     per_s : float
-        Units a second, of all routers.
+        Units per second over all routers.
     typical_units : float
-        Units of one request, as this router saw them.
+        Average units of one request at this router.
     """
 
     per_s: float
     typical_units: float
 
     def capped_at(self, per_s: float) -> Self:
-        """Return the same demand with a bound of its units a second."""
+        """Return the same demand with an upper bound of its rate."""
         return replace(self, per_s=min(self.per_s, per_s))
 
     def max_within(self, seconds: float) -> float:
-        """Return the units that may be asked within some seconds.
+        """Return the units that are likely to be requested within some seconds.
 
-        The mean and one standard deviation of a Poisson process of requests that cost
-        the same (square-root staffing).
+        This is the mean plus one standard deviation of a Poisson process of requests of
+        equal cost (square-root staffing).
         """
         mean = self.per_s * seconds
         return mean + sqrt(mean * self.typical_units)
@@ -52,7 +49,7 @@
 
 @dataclass(slots=True)
 class _RankDemand:
-    """What was asked of one account by its most urgent rank."""
+    """Demand of the most urgent rank of one account."""
 
     rank: int
     total: float = 0.0
@@ -78,9 +75,9 @@
         self._demand_by_account: dict[str, _RankDemand] = {}
 
     def record(self, account: str, rank: int, units: float, now: float) -> None:
-        """Note what a request asks, whether it is taken or not.
+        """Record a request, whether it is admitted or not.
 
-        The most urgent rank seen of an account is the one that counts.
+        Only the most urgent rank seen of an account is kept.
         """
         entry = self._demand_by_account.get(account)
         if entry is None or rank < entry.rank:
@@ -91,9 +88,9 @@
             entry.typical_units += COST_WEIGHT * (units - entry.typical_units)
 
     def demand_above(self, account: str, rank: int, now: float) -> Demand | None:
-        """Return the demand of the most urgent rank, for a request of another one.
+        """Return the demand of the most urgent rank, for a request of a lower one.
 
-        None if nothing more urgent is asked.
+        None if there is no such demand.
         """
         entry = self._demand_by_account.get(account)
         if entry is None or rank <= entry.rank:
@@ -105,7 +102,7 @@
         return Demand(per_s=units / DEMAND_WINDOW_S, typical_units=entry.typical_units)
 
     def totals(self) -> dict[str, tuple[int, float]]:
-        """Return rank and units asked since the start, by account, for peers."""
+        """Return the rank and the units requested since the start, by account."""
         return {
             name: (entry.rank, entry.total)
             for name, entry in self._demand_by_account.items()
@@ -115,7 +112,7 @@
     def record_peer_totals(
         self, incarnation: str, totals: dict[str, tuple[int, float]], now: float
     ) -> None:
-        """Count what a peer was asked since it was last heard."""
+        """Count the demand at a peer since its last message."""
         for name, (rank, total) in totals.items():
             entry = self._demand_by_account.get(name)
             if entry is None or rank < entry.rank:
@@ -128,6 +125,6 @@
             entry.totals_by_incarnation[incarnation] = total
 
     def forget_peer(self, incarnation: str) -> None:
-        """Forget the totals of a peer's life that has ended."""
+        """Drop the totals of a peer incarnation that has ended."""
         for entry in self._demand_by_account.values():
             entry.totals_by_incarnation.pop(incarnation, None)
