--- a/libs/direct/src/berylwalk/direct/_gauges.py
+++ b/libs/direct/src/berylwalk/direct/_gauges.py
@@ -1,16 +1,16 @@
-"""What is believed, written into the gauges when they are asked for."""
+"""Updates the gauges from the state of the router before each scrape."""
 
 from berylwalk.direct._context import RouterContext
 from berylwalk.dispatch import Target
 
 MAX_AGE_S = 1e6
-"""Shown for what was never heard."""
+"""Reported for values that were never received."""
 NO_LIMIT = -1.0
-"""Shown for a target that names none: a limit of 0 is one."""
+"""Reported for a target without a limit, because 0 is a valid limit."""
 
 
 def refresh_gauges(context: RouterContext) -> None:
-    """Write the present beliefs of a router into its gauges."""
+    """Update all gauges from the current state of a router."""
     metrics = context.metrics
     now = context.clock()
     age_s = min(context.configuration.age_s(now), MAX_AGE_S)
@@ -25,9 +25,9 @@
         metrics.peer_in_flight.labels(target_id).set(target.peer_in_flight)
         metrics.target_token_s.labels(target_id).set(target.output_token_s or 0.0)
         metrics.target_errors.labels(target_id).set(target.error_rate)
-        heard_s = min(now - target.last_heard_at, MAX_AGE_S)
-        metrics.target_heard_age_s.labels(target_id).set(heard_s)
-        _refresh_needs(context, target, now)
+        silent_s = min(now - target.last_heard_at, MAX_AGE_S)
+        metrics.target_heard_age_s.labels(target_id).set(silent_s)
+        _refresh_flow_control(context, target, now)
     for name, spent in context.quotas.spent_in_window(now).items():
         metrics.allowance_spent.labels(name).set(spent)
     quarantine = context.quarantine
@@ -40,18 +40,20 @@
     metrics.log_lines_dropped.set(context.log.dropped)
 
 
-def _refresh_needs(context: RouterContext, target: Target, now: float) -> None:
-    metrics, needs, target_id = (
+def _refresh_flow_control(context: RouterContext, target: Target, now: float) -> None:
+    metrics, flow_control, target_id = (
         context.metrics,
         target.flow_control,
         target.entry.target_id,
     )
-    limit = needs.limit
+    limit = flow_control.limit
     limit_per_s = NO_LIMIT if limit.per_s is None else limit.per_s
     metrics.target_limit_per_s.labels(target_id).set(limit_per_s)
     metrics.target_limit_share.labels(target_id).set(limit.share)
-    metrics.target_rest_s.labels(target_id).set(max(0.0, needs.backoff.until - now))
-    metrics.target_leaving.labels(target_id).set(needs.is_leaving)
+    metrics.target_rest_s.labels(target_id).set(
+        max(0.0, flow_control.backoff.until - now)
+    )
+    metrics.target_leaving.labels(target_id).set(flow_control.is_leaving)
 
 
 def _refresh_rollouts(context: RouterContext) -> None:
--- a/libs/direct/src/berylwalk/direct/_target_feed.py
+++ b/libs/direct/src/berylwalk/direct/_target_feed.py
@@ -1,4 +1,4 @@
-"""Keeps the list of targets up to date with the platform's store."""
+"""Synchronizes the table of targets with the platform's store."""
 
 from berylwalk.direct._context import RouterContext
 from berylwalk.direct._invalid_items import InvalidItemLog
@@ -24,35 +24,35 @@
 )
 
 LIST_INTERVAL_AFTER_OUTAGE_S = 0.6
-"""Time between lists while entries that lapsed in an outage may come back."""
+"""Interval between lists while entries that lapsed in an outage may return."""
 CHANGE_BATCH_S = 0.2
-"""Time for which changes gather at the store before they are asked for again: a
-replaced target makes several in a row, and each answer is paid for."""
+"""How long changes are batched at the store between watch calls: a replaced target
+writes several in a row, and each response is billed."""
 ROUNDING_TOLERANCE_S = 1e-6
-MISSING_START_DETAIL = "the target has told when it started, and this entry does not"
+MISSING_START_DETAIL = "start time missing, although reported before"
 
 
 class TargetFeed:
-    """Mirrors the entries of targets into the table of targets.
+    """Mirrors the target entries in the store to the table of targets.
 
-    A target that leaves must get no request some time after the store has its word,
-    so that what is known of the entries is never older than that.
+    A target that is draining must get no requests after a bounded time, so entries
+    older than that bound are not used.
 
     Parameters
     ----------
     context : RouterContext
-        The router's state.
+        Shared state of the router.
     store : KeyValueClient
-        The platform's store.
-    store_health : StoreReach
-        Notes how calls end.
-    role : ReadingRole
-        Whether this router reads the store for itself only.
+        Client of the platform's store.
+    store_health : StoreHealth
+        Tracks the results of store calls.
+    role : ReadRole
+        Whether this router shares store reads with its peers.
 
     Attributes
     ----------
     mirror : MirroredPrefix
-        What is known of the entries.
+        The mirrored entries.
     """
 
     def __init__(
@@ -71,7 +71,7 @@
             name="targets",
             bound_s=context.settings.drain_s,
             batch_s=CHANGE_BATCH_S,
-            list_gap_s=self._list_gap_s,
+            list_interval_s=self._list_interval_s,
             peer_data_max_age_s=peer_data_max_age_s(
                 context.settings.drain_s, CHANGE_BATCH_S
             ),
@@ -88,32 +88,34 @@
         )
 
     async def run(self) -> None:
-        """List and watch for ever."""
+        """List and watch forever."""
         self._log_short_bound()
         await self.mirror.run()
 
     def _log_short_bound(self) -> None:
-        """Tell operators of a bound that can't be kept when an answer is lost."""
+        """Log a staleness bound that can't be kept if a watch response is lost."""
         bound_s = self._context.settings.drain_s
-        may_be_s = max_age_s(bound_s, CHANGE_BATCH_S)
-        if may_be_s > bound_s + ROUNDING_TOLERANCE_S:
+        worst_age_s = max_age_s(bound_s, CHANGE_BATCH_S)
+        if worst_age_s > bound_s + ROUNDING_TOLERANCE_S:
             self._context.log.process(
                 "bound-too-short",
                 setting="drain_s",
                 bound_ms=round(bound_s * 1000),
-                may_be_ms=round(may_be_s * 1000),
+                may_be_ms=round(worst_age_s * 1000),
             )
 
-    def _list_gap_s(self) -> float | None:
+    def _list_interval_s(self) -> float | None:
         entries_may_return = self._store_health.entries_may_return(
             self._context.targets.absence_grace_s
         )
         return LIST_INTERVAL_AFTER_OUTAGE_S if entries_may_return else None
 
-    def _apply_all(self, items: list[KeyValue], revision: int, asked_at: float) -> None:
+    def _apply_all(
+        self, items: list[KeyValue], revision: int, requested_at: float
+    ) -> None:
         context = self._context
         now = context.clock()
-        context.targets.note_confirmed(asked_at)
+        context.targets.note_confirmed(requested_at)
         entries = []
         for item in items:
             entry = self._decode_usable(item)
@@ -123,7 +125,7 @@
         self._invalid_items.keep_only({item.key.decode() for item in items})
         for target_id in context.targets.replace(entries, now):
             self._on_target_removed(target_id, "not listed", revision)
-        self._process_ended_lives(revision)
+        self._process_ended_incarnations(revision)
         context.dispatcher.dispatch_all_queued(now)
 
     def _confirm(self, items: list[KeyValue], known_at: float) -> None:
@@ -142,7 +144,7 @@
         if entry is not None:
             self._log_change(entry, item.mod_revision)
             self._context.targets.update(entry, self._context.clock())
-            self._process_ended_lives(item.mod_revision)
+            self._process_ended_incarnations(item.mod_revision)
             self._context.dispatcher.dispatch_queued(
                 entry.service, self._context.clock()
             )
@@ -154,7 +156,7 @@
             self._on_target_removed(target_id, "removed", item.mod_revision)
 
     def _decode_usable(self, item: KeyValue) -> TargetEntry | None:
-        """Return the entry if it names a target; one that does not ends its use."""
+        """Decode an entry; an invalid one removes its target and yields None."""
         entry = decode_target(item)
         if isinstance(entry, TargetEntry):
             versions = self._context.rollouts.versions
@@ -168,21 +170,19 @@
             return entry
         self._invalid_items.report(item.key.decode(), entry.problem, entry.detail)
         if self._context.targets.discard(entry.target_id, self._context.clock()):
-            self._on_target_removed(
-                entry.target_id, "entry not usable", item.mod_revision
-            )
+            self._on_target_removed(entry.target_id, "invalid entry", item.mod_revision)
         return None
 
     def _is_missing_start(self, entry: TargetEntry) -> bool:
-        """Return whether an entry misses the start that its target has told before."""
+        """Return whether an entry lacks a start time that was reported before."""
         known = self._context.targets.by_id.get(entry.target_id)
-        has_told = known is not None and known.entry.started_ms is not None
-        return has_told and entry.started_ms is None
+        was_reported = known is not None and known.entry.started_ms is not None
+        return was_reported and entry.started_ms is None
 
     def _check_service(self, entry: TargetEntry) -> None:
-        """Tell of an entry whose service no configuration names: it gets no work.
+        """Report an entry whose service is not configured.
 
-        It is kept, since the next version may name the service.
+        The target is kept because the next configuration may add the service.
         """
         current = self._context.configuration.current
         if current is not None and entry.service not in current.services_by_name:
@@ -190,7 +190,7 @@
                 entry.target_id, "unknown-service", entry.service
             )
 
-    def _process_ended_lives(self, revision: int) -> None:
+    def _process_ended_incarnations(self, revision: int) -> None:
         for target in self._context.targets.pop_ended_incarnations():
             self._context.log.process(
                 "target-started-again",
@@ -199,11 +199,11 @@
                 in_flight=target.in_flight,
                 revision=revision,
             )
-        self._context.pool.keep_only(self._context.targets.by_incarnation_id)
+        self._context.pool.retain(self._context.targets.by_incarnation_id)
 
     def _on_target_removed(self, target_id: str, detail: str, revision: int) -> None:
         self._unknown_services.clear(target_id)
-        self._context.pool.keep_only(self._context.targets.by_incarnation_id)
+        self._context.pool.retain(self._context.targets.by_incarnation_id)
         self._context.metrics.forget_target(target_id)
         self._context.log.process(
             "target-gone", target=target_id, detail=detail, revision=revision
--- a/libs/direct/tests/virtual_rollout.py
+++ b/libs/direct/tests/virtual_rollout.py
@@ -296,7 +296,7 @@
             quarantine=Quarantine(),
             rollouts=self.rollouts,
             peers=peers,
-            pool=SimpleNamespace(keep_only=lambda lives: None),
+            pool=SimpleNamespace(retain=lambda incarnation_ids: None),
             metrics=RouterMetrics(),
             log=SimpleNamespace(process=self._log),
             note_suspension=lambda: None,
@@ -345,8 +345,8 @@
         async with create_task_group() as tasks:
             for each in (
                 *(feed.run for feed in self.feeds),
-                self.peering._tell,
-                self.peering._relay,
+                self.peering._send_loop,
+                self.peering._relay_loop,
                 self.peering.shared_reads.run,
                 self.note.run,
             ):
--- a/libs/direct/tests/virtual_statements.py
+++ b/libs/direct/tests/virtual_statements.py
@@ -123,7 +123,7 @@
             ),
             log=DecisionLog(name, write=self._write, clock=clock, wall_clock=clock),
             metrics=RouterMetrics(),
-            suspension=SuspensionDetector(clock, steady=clock),
+            suspension=SuspensionDetector(clock, monotonic=clock),
             clock=clock,
         )
         store = SimpleNamespace()
@@ -132,8 +132,8 @@
             sendto=self._send, is_closing=lambda: False
         )
         self.context.on_placed = self.peering.announce_placement
-        if hasattr(self.context, "on_statement_news"):
-            self.context.on_statement_change = self.peering.send_soon
+        if hasattr(self.context, "on_signals_changed"):
+            self.context.on_signals_changed = self.peering.send_soon
 
     def _note_bytes(self, incarnation_id):
         target = self.context.targets.by_incarnation_id.get(incarnation_id)
@@ -158,7 +158,11 @@
         entries = [target.entry() for target in self.play.targets]
         self.context.targets.replace(entries, self.clock())
         async with create_task_group() as tasks:
-            for each in (self.peering._tell, self.peering._relay, self._sweep):
+            for each in (
+                self.peering._send_loop,
+                self.peering._relay_loop,
+                self._sweep,
+            ):
                 tasks.start_soon(each)
 
     async def _sweep(self):
@@ -172,7 +176,7 @@
         headers = [(b"Attempt-Id", request_id), (b"X-Router", self.name.encode())]
         admitted = Admitted(
             request=CallerRequest(b"GET", b"/", headers, b"", b"", now, True),
-            facts=parse_request_headers(headers),
+            parsed_headers=parse_request_headers(headers),
             route=self.play.route,
             account=None,
             rank=(0, 0),
