--- a/libs/dispatch/tests/listed_targets.py
+++ b/libs/dispatch/tests/listed_targets.py
@@ -1,10 +1,10 @@
-"""Entries of targets, as a list of them would have."""
+"""Target entries for tests."""
 
 from berylwalk.dispatch import TargetEntry, TargetState
 
 
 def entry(target_id, **changes):
-    """Return an entry of a ready target."""
+    """Return the entry of a ready target."""
     values = {
         "target_id": target_id,
         "service": "s",
--- a/libs/dispatch/tests/test_dispatch_access.py
+++ b/libs/dispatch/tests/test_dispatch_access.py
@@ -1,4 +1,4 @@
-"""Which requests the configuration in force allows."""
+"""Authorization by the current configuration."""
 
 import pytest
 
@@ -46,14 +46,14 @@
 
 
 def state_with(current, *, at=0.0):
-    """Return a state that a read at a time confirmed."""
+    """Return a state confirmed by a read at the given time."""
     state = ConfigurationState(key_trust_s=4.5)
     state.confirm(current, at)
     return state
 
 
 class TestRoutes:
-    """Look-up of routes."""
+    """Route look-up."""
 
     @pytest.mark.parametrize(
         ("path", "expected"),
@@ -67,14 +67,14 @@
             ("/r", None),
         ],
     )
-    def test_longest_prefix_that_begins_the_path(self, path, expected):
-        """Prefixes end with a slash; the query does not count."""
+    def test_longest_matching_prefix_wins(self, path, expected):
+        """Prefixes end with a slash; the query string is ignored."""
         known = configuration(1, route("short", "/r/"), route("long", "/r/s/"))
         found = known.route_for(f"{HOST.upper()}:8080", path)
         assert (None if found is None else found.name) == expected
 
     def test_split_by_weight(self):
-        """A draw falls to services by their weights."""
+        """Requests are split among services in proportion to the weights."""
         split = route(
             "r", "/r/", shares=(ServiceShare("old", 90), ServiceShare("new", 10))
         )
@@ -83,51 +83,51 @@
 
 
 class TestVersions:
-    """Versions only rise for the life of a process."""
+    """Versions never decrease within a process."""
 
-    def test_older_version_never_comes_back(self):
-        """A read that was overtaken changes nothing, and confirms nothing."""
+    def test_older_version_is_ignored(self):
+        """A late read changes nothing and confirms nothing."""
         state = state_with(configuration(7), at=1.0)
         assert state.confirm(configuration(5), 3.0) is False
         assert state.current.version == 7
         assert state.confirmed_at == 1.0
 
-    def test_same_version_confirms(self):
-        """A read that finds the version in force makes it trusted for longer."""
+    def test_unchanged_version_extends_trust(self):
+        """A read without a new version confirms the current one."""
         state = state_with(configuration(7), at=1.0)
         state.confirm(None, 2.0)
         assert state.confirmed_at == 2.0
 
 
 class TestKeys:
-    """Keys fail closed."""
+    """Keys are refused if their validity is unknown."""
 
-    def test_without_configuration_nothing_is_refused_for_good(self):
-        """A router that knows nothing asks to come back."""
+    def test_missing_configuration_is_retryable(self):
+        """A router without configuration answers 503."""
         denied = ConfigurationState(key_trust_s=4.5).check(HOST, "/r/", "k1", 0.0)
         assert denied == Denied(DenialReason.NO_CONFIGURATION)
         assert denied.status == 503
 
     @pytest.mark.parametrize(("now", "status"), [(4.4, None), (4.6, 503)])
-    def test_keys_are_trusted_for_a_bounded_time(self, now, status):
-        """A key may have been taken away since the last confirming read."""
+    def test_keys_expire_without_confirmation(self, now, status):
+        """A key may have been revoked since the last confirming read."""
         result = state_with(configuration(1), at=0.0).check(HOST, "/r/", "k1", now)
         assert getattr(result, "status", None) == status
 
-    def test_public_route_needs_no_trust(self):
-        """A route without keys is served however old the configuration is."""
+    def test_public_route_ignores_staleness(self):
+        """A route without keys is served whatever the age of the configuration."""
         state = state_with(configuration(1, route("r", "/r/", public=True)))
         assert isinstance(state.check(HOST, "/r/", None, 1000.0), Allowed)
 
-    def test_missing_route_is_no_404_while_stale(self):
-        """It may have been added since."""
+    def test_unknown_route_is_retryable_while_stale(self):
+        """The route may have been added since, so the status is 503 rather than 404."""
         state = state_with(configuration(1))
         assert state.check(HOST, "/x/", "k1", 10.0).status == 503
         assert state.check(HOST, "/x/", "k1", 1.0).status == 404
 
     @pytest.mark.parametrize("key", [None, "", "k2"])
     def test_unknown_key(self, key):
-        """No key and a key that was taken away are refused alike."""
+        """Missing and revoked keys are refused with 401."""
         denied = state_with(configuration(1)).check(HOST, "/r/", key, 1.0)
         assert denied == Denied(DenialReason.UNKNOWN_KEY)
         assert denied.status == 401
@@ -136,8 +136,8 @@
 class TestRank:
     """Ranks of accounts and routes."""
 
-    def test_account_goes_before_route(self):
-        """The route's rank tells requests of equal accounts apart."""
+    def test_account_priority_precedes_route_priority(self):
+        """The route's priority orders requests of accounts with the same priority."""
         urgent = route("u", "/u/", priority=0)
         plain = route("p", "/p/", priority=2)
         state = state_with(configuration(1, urgent, plain, priority=1))
--- a/libs/dispatch/tests/test_dispatch_allowances.py
+++ b/libs/dispatch/tests/test_dispatch_allowances.py
@@ -1,4 +1,4 @@
-"""Allowances over all routers."""
+"""Quotas over all routers."""
 
 import pytest
 
@@ -8,16 +8,16 @@
 ACCOUNT = Account(name="a", keys=frozenset(), rate_per_s=1000.0, burst=1000.0)
 ALLOWANCE = 1000.0 * 8 + 1000.0
 BOUND = ALLOWANCE * 1.1 + 1000.0
-"""What all routers together must never pass within a window."""
+"""Upper bound of the spending of all routers within a window."""
 
 
-def allowances(*, started_at=-100.0):
-    """Return the allowances of one router."""
+def tracker(*, started_at=-100.0):
+    """Return the quota tracker of one router."""
     return QuotaTracker(RULES, started_at=started_at)
 
 
 def spend_all(router, now, *, cost=100.0):
-    """Spend until refused; returns the sum."""
+    """Spend until refused; returns the units spent."""
     spent = 0.0
     while router.take(ACCOUNT, cost, 0, now) == 0:
         spent += cost
@@ -25,15 +25,15 @@
 
 
 class TestWindow:
-    """One router."""
+    """A single router."""
 
-    def test_whole_allowance_and_no_more_than_the_bound(self):
-        """What an account is owed can be spent at once, within the bound."""
-        assert ALLOWANCE <= spend_all(allowances(), 0.0) <= BOUND
+    def test_whole_quota_is_spendable_within_the_bound(self):
+        """The whole quota can be spent at once, but not more than the bound."""
+        assert ALLOWANCE <= spend_all(tracker(), 0.0) <= BOUND
 
-    def test_any_window_stays_within_the_bound(self):
-        """Spending is counted in every span of the window's length."""
-        router = allowances()
+    def test_every_window_stays_within_the_bound(self):
+        """The bound applies to every window, not only to aligned ones."""
+        router = tracker()
         spent_at = [
             (tick * 0.25, spend_all(router, tick * 0.25)) for tick in range(120)
         ]
@@ -41,108 +41,108 @@
             inside = sum(spent for at, spent in spent_at if start <= at < start + 8.0)
             assert inside <= BOUND
 
-    def test_refusal_tells_when(self):
-        """The time told is enough for the refused cost."""
-        router = allowances()
+    def test_refusal_returns_delay(self):
+        """The delay of a refused request is positive and at most a window."""
+        router = tracker()
         spend_all(router, 0.0)
         wait_s = router.take(ACCOUNT, 100.0, 0, 0.0)
         assert 0 < wait_s <= 8.0
 
-    def test_request_dearer_than_all_is_taken_when_the_window_is_empty(self):
-        """It must not wait for ever."""
-        assert allowances().take(ACCOUNT, 10 * BOUND, 0, 0.0) == 0
+    def test_request_above_the_quota_is_admitted_in_an_empty_window(self):
+        """Such a request must not be refused forever."""
+        assert tracker().take(ACCOUNT, 10 * BOUND, 0, 0.0) == 0
 
-    def test_lower_ranks_leave_a_part(self):
-        """An account's urgent requests find something left."""
-        router = allowances()
+    def test_lower_ranks_leave_a_reserve(self):
+        """Requests of higher ranks are admitted after lower ranks were refused."""
+        router = tracker()
         while router.take(ACCOUNT, 100.0, 2, 0.0) == 0:
             pass
         assert router.take(ACCOUNT, 100.0, 1, 0.0) == 0
         assert router.take(ACCOUNT, 100.0, 0, 0.0) == 0
 
-    def test_no_rate_is_no_limit(self):
-        """An account without a rate is never refused."""
+    def test_account_without_rate_is_unlimited(self):
+        """A rate of 0 means no limit."""
         free = Account(name="f", keys=frozenset())
-        assert allowances().take(free, 1e12, 0, 0.0) == 0
+        assert tracker().take(free, 1e12, 0, 0.0) == 0
 
-    def test_given_back(self):
-        """What has surely not run is not counted."""
-        router = allowances()
+    def test_refund(self):
+        """The cost of requests that were not executed can be spent again."""
+        router = tracker()
         spent = spend_all(router, 0.0)
         router.refund(ACCOUNT, spent, 0.0)
         assert spend_all(router, 0.0) == spent
 
-    def test_start_takes_the_window_for_spent(self):
-        """Before and after two restarts of all routers the bound holds."""
-        total = spend_all(allowances(), 0.0)
+    def test_restarts_of_all_routers_stay_within_the_bound(self):
+        """Routers without history must not grant the whole quota again."""
+        total = spend_all(tracker(), 0.0)
         for started_at in (0.5, 1.0):
-            router = allowances(started_at=started_at)
+            router = tracker(started_at=started_at)
             total += spend_all(router, started_at)
         assert total <= BOUND
         assert spend_all(router, 5.0) <= BOUND / 2
 
     @pytest.mark.parametrize("rank", [0, 1, 2])
-    def test_usual_requests_are_served_soon_after_a_start(self, rank):
-        """A router that knows nothing does not refuse all for seconds."""
-        router = allowances(started_at=0.0)
+    def test_requests_are_admitted_right_after_a_start(self, rank):
+        """A router without history must not refuse all requests for a window."""
+        router = tracker(started_at=0.0)
         assert router.take(ACCOUNT, 100.0, rank, 0.05) == 0
 
-    def test_newcomer_is_told_what_was_spent(self):
-        """With an older peer's word it serves as if it had not restarted."""
-        router = allowances(started_at=0.0)
+    def test_history_of_a_peer_ends_the_restriction(self):
+        """With the complete history the whole quota is available."""
+        router = tracker(started_at=0.0)
         router.restore({}, HistoryCoverage.COMPLETE, 0.05)
         assert spend_all(router, 0.05) >= 0.95 * ALLOWANCE
 
     @pytest.mark.parametrize(
-        "knowledge", [HistoryCoverage.COMPLETE, HistoryCoverage.PARTIAL]
+        "coverage", [HistoryCoverage.COMPLETE, HistoryCoverage.PARTIAL]
     )
-    def test_newcomer_keeps_the_window_of_a_sudden_spending(self, knowledge):
-        """What was spent just before the start counts for the whole window."""
-        older = allowances()
+    def test_restored_spending_counts_for_the_whole_window(self, coverage):
+        """Spending just before the start must not leave the window early."""
+        older = tracker()
         spent = spend_all(older, 0.0)
-        router = allowances(started_at=0.2)
-        router.restore(older.heavy_spending_by_bin(0.3), knowledge, 0.3)
+        router = tracker(started_at=0.2)
+        router.restore(older.heavy_spending_by_bin(0.3), coverage, 0.3)
         for now in (1.0, 3.0, 5.0, 7.5):
             spent += spend_all(router, now)
         assert spent <= BOUND
         assert spend_all(router, 8.5) >= 0.9 * ALLOWANCE
 
-    def test_what_was_spent_after_the_last_note_counts(self):
-        """A noted account may have spent all the rest just before the restart."""
-        older = allowances()
+    def test_spending_after_the_snapshot_is_assumed(self):
+        """An account in the snapshot may have spent the rest of its quota since."""
+        older = tracker()
         spent = 0.0
         while spent < 0.7 * ALLOWANCE:
             older.take(ACCOUNT, 100.0, 0, 0.0)
             spent += 100.0
-        note = older.heavy_spending_by_bin(0.1)
+        snapshot = older.heavy_spending_by_bin(0.1)
         spent += spend_all(older, 0.4)
-        router = allowances(started_at=1.0)
-        router.restore(note, HistoryCoverage.PARTIAL, 1.1)
+        router = tracker(started_at=1.0)
+        router.restore(snapshot, HistoryCoverage.PARTIAL, 1.1)
         for now in (1.2, 3.0, 5.0, 7.9):
             spent += spend_all(router, now)
         assert spent <= BOUND
 
-    def test_what_took_the_place_of_older_spending_counts(self):
-        """After the note the oldest part may have left the window and been spent."""
-        older = allowances()
+    def test_expired_units_in_the_snapshot_may_be_spent_again(self):
+        """The oldest units may have expired and been spent after the snapshot."""
+        older = tracker()
         spend_all(older, 0.0)
-        note = older.heavy_spending_by_bin(7.5)
+        snapshot = older.heavy_spending_by_bin(7.5)
         spent = spend_all(older, 8.2)
-        router = allowances(started_at=8.7)
-        router.restore(note, HistoryCoverage.PARTIAL, 8.8)
+        router = tracker(started_at=8.7)
+        router.restore(snapshot, HistoryCoverage.PARTIAL, 8.8)
         for now in (8.9, 10.0, 12.0, 14.0, 16.1):
             spent += spend_all(router, now)
         assert spent <= BOUND
 
-    def test_accounts_that_are_not_noted_go_on_after_a_start(self):
-        """They spent less than what is noted, so a part is surely left."""
-        router = allowances(started_at=0.0)
+    def test_accounts_missing_from_the_snapshot_are_served(self):
+        """Their spending was below the threshold, so part of the quota is available."""
+        router = tracker(started_at=0.0)
         router.restore({}, HistoryCoverage.PARTIAL, 0.05)
         assert spend_all(router, 0.05) >= 0.35 * ALLOWANCE
 
-    def test_only_much_is_noted(self):
-        """Usual spending causes no note."""
-        router = allowances()
+    def test_light_spending_is_not_stored(self):
+        """Only accounts above the threshold are part of the snapshot."""
+        router = tracker()
         router.take(ACCOUNT, 0.5 * ALLOWANCE, 0, 0.0)
         assert router.heavy_spending_by_bin(0.1) == {}
         router.take(ACCOUNT, 0.2 * ALLOWANCE, 0, 0.0)
@@ -152,24 +152,24 @@
 
 
 class TestLoweredLimit:
-    """A configuration that lowers the limit of an account that spends much."""
+    """A new configuration lowers the limit of an account."""
 
     LOWER = Account(name="a", keys=frozenset(), rate_per_s=300.0, burst=300.0)
     LOWER_BOUND = 300.0 * 9 * 1.1 + 1000.0
 
     def lowered(self, *, lowered_at=4.0):
-        """Return a router whose account spent all it might before it was lowered."""
-        router = allowances()
+        """Return a router whose account spent its quota before, and the units."""
+        router = tracker()
         router.set_accounts([ACCOUNT], -50.0)
         spent = spend_all(router, 0.0)
         router.set_accounts([self.LOWER], lowered_at)
         return router, spent
 
-    def test_what_was_spent_under_the_former_limit_is_not_held_against_it(self):
-        """The account gets what the new limit allows from the first moment on."""
+    def test_spending_under_the_previous_limit_is_not_charged(self):
+        """Spending that was allowed before must not exhaust the lower limit."""
         router, _ = self.lowered()
         assert router.take(self.LOWER, 100.0, 0, 4.1) > 0
-        router = allowances()
+        router = tracker()
         router.set_accounts([ACCOUNT], -50.0)
         for _ in range(60):
             router.take(ACCOUNT, 100.0, 0, 0.0)
@@ -177,8 +177,8 @@
         assert router.take(self.LOWER, 100.0, 0, 4.1) == 0
 
     @pytest.mark.parametrize("lowered_at", [0.5, 1.0, 4.0, 7.9])
-    def test_both_limits_hold(self, lowered_at):
-        """The former in windows that began before, the lower in later ones."""
+    def test_each_window_obeys_its_limit(self, lowered_at):
+        """The previous limit bounds windows that began before the change."""
         router, spent = self.lowered(lowered_at=lowered_at)
         spends = [(0.0, spent)]
         for tick in range(80):
@@ -191,9 +191,9 @@
             inside = sum(units for at, units in spends if start <= at < start + 8.0)
             assert inside <= (BOUND if start < lowered_at else self.LOWER_BOUND)
 
-    def test_raised_limit_holds_at_once(self):
-        """What was spent under the lower one counts, against the higher one."""
-        router = allowances()
+    def test_raised_limit_applies_at_once(self):
+        """Spending under the lower limit counts against the higher one."""
+        router = tracker()
         router.set_accounts([self.LOWER], -50.0)
         spent = 0.0
         while router.take(self.LOWER, 50.0, 0, 0.0) == 0:
@@ -202,15 +202,15 @@
         spent += spend_all(router, 1.1)
         assert ALLOWANCE <= spent <= BOUND
 
-    def test_limit_that_goes_down_and_up_again_holds_nobody_up(self):
-        """Only the highest of the limits since then binds."""
+    def test_temporarily_lowered_limit_has_no_lasting_effect(self):
+        """Only the highest limit since then applies."""
         router, _ = self.lowered(lowered_at=1.0)
         router.set_accounts([ACCOUNT], 2.0)
         assert spend_all(router, 8.2) >= 0.9 * ALLOWANCE
 
-    def test_first_configuration_lowers_nothing(self):
-        """A router that has just started has spent nothing under another limit."""
-        router = allowances(started_at=0.0)
+    def test_first_configuration_is_no_lowered_limit(self):
+        """The first configuration after a start grants the whole quota."""
+        router = tracker(started_at=0.0)
         router.restore({}, HistoryCoverage.COMPLETE, 0.0)
         router.set_accounts([self.LOWER], 0.1)
         spent = 0.0
@@ -218,9 +218,9 @@
             spent += 50.0
         assert 300.0 * 9 <= spent <= self.LOWER_BOUND
 
-    def test_what_is_remembered_of_limits_is_bounded(self):
-        """A storm of configurations ends with one of them."""
-        router = allowances()
+    def test_limit_history_is_bounded(self):
+        """Frequent configurations must not accumulate limits."""
+        router = tracker()
         for number in range(100):
             account = Account(
                 name="a", keys=frozenset(), rate_per_s=1000.0 + number, burst=0.0
@@ -233,9 +233,9 @@
 class TestPeers:
     """Several routers."""
 
-    def test_what_peers_spent_is_counted_once(self):
-        """Totals of a peer's life are counted by their growth."""
-        first, second = allowances(), allowances()
+    def test_repeated_peer_totals_are_counted_once(self):
+        """Only the increase of a peer's totals is counted."""
+        first, second = tracker(), tracker()
         spent = spend_all(first, 0.0)
         for _ in range(3):
             second.record_peer_totals(
@@ -244,27 +244,27 @@
         assert second.spent_in_window(0.0) == {"a": spent}
         assert second.take(ACCOUNT, 100.0, 0, 0.0) > 0
 
-    def test_older_life_counts_from_when_it_is_heard(self):
-        """What it spent long ago is no spending of this window."""
-        router = allowances()
+    def test_spending_before_the_first_message_is_ignored(self):
+        """The totals of an older peer contain spending from before the window."""
+        router = tracker()
         router.record_peer_totals("p/1", {"a": 1e9}, is_new=False, now=0.0)
         assert router.take(ACCOUNT, 100.0, 0, 0.0) == 0
         router.record_peer_totals("p/1", {"a": 1e9 + ALLOWANCE}, is_new=False, now=0.1)
         assert router.take(ACCOUNT, 2000.0, 0, 0.1) > 0
 
-    def test_first_spending_after_the_first_message_counts(self):
-        """An account that an older life had not named has spent all of it since."""
-        router = allowances()
+    def test_new_account_in_peer_totals_counts_entirely(self):
+        """An account that is missing from earlier totals has spent all of it since."""
+        router = tracker()
         router.record_peer_totals("p/1", {}, is_new=False, now=0.0)
         router.record_peer_totals("p/1", {"a": ALLOWANCE}, is_new=False, now=0.1)
         assert router.spent_in_window(0.1) == {"a": ALLOWANCE}
 
     @pytest.mark.parametrize("routers", [2, 4, 31])
-    def test_routers_that_do_not_hear_each_other_stay_within_the_bound(self, routers):
-        """Each keeps to its equal part."""
+    def test_partitioned_routers_stay_within_the_bound(self, routers):
+        """Routers without contact grant equal shares only."""
         total = 0.0
         for _ in range(routers):
-            router = allowances()
+            router = tracker()
             router.set_share(1, routers)
             total += spend_all(router, 0.0, cost=10.0)
         assert 0.9 * ALLOWANCE <= total <= BOUND
--- a/libs/dispatch/tests/test_dispatch_lives.py
+++ b/libs/dispatch/tests/test_dispatch_lives.py
@@ -1,4 +1,4 @@
-"""One life of a target is its id and when it started."""
+"""Incarnations of a target: same id, different start times."""
 
 from hypothesis import given, settings
 from hypothesis import strategies as st
@@ -12,7 +12,7 @@
 
 
 def entry(started_ms, *, target_id="a", port=1, state=TargetState.READY):
-    """Return an entry of a life."""
+    """Return the entry of an incarnation."""
     return TargetEntry(
         target_id=target_id,
         service="s",
@@ -26,24 +26,24 @@
 
 
 def table(*entries):
-    """Return a table that has taken entries one after the other."""
+    """Return a table to which entries were applied in order."""
     targets = TargetTable()
     for each in entries:
         targets.update(each, NOW)
     return targets
 
 
-class TestNewLife:
-    """A target starts again under its id."""
+class TestRestart:
+    """A target restarts under the same id."""
 
-    def test_nothing_of_the_former_life_is_left(self):
-        """Places counted, errors, silence and speed are those of a new target."""
+    def test_state_is_reset(self):
+        """Load, error rate, silence and speed must not carry over."""
         targets = table(entry(1000))
-        former = targets.by_id["a"]
-        former.note_sent(Work(500, 10), NOW)
-        former.note_error()
-        former.adopt_speed(FAST)
-        targets.replace_peer_loads("peer", {former.entry.incarnation_id: (2, 800)})
+        previous = targets.by_id["a"]
+        previous.note_sent(Work(500, 10), NOW)
+        previous.note_error()
+        previous.adopt_speed(FAST)
+        targets.replace_peer_loads("peer", {previous.entry.incarnation_id: (2, 800)})
         targets.update(entry(2000), NOW)
         new = targets.by_id["a"]
         assert (new.total_in_flight, new.queued_prompt_tokens, new.error_rate) == (
@@ -52,21 +52,21 @@
             0.0,
         )
         assert (new.output_token_s, new.awaiting_since) == (None, None)
-        assert targets.pop_ended_incarnations() == [former]
+        assert targets.pop_ended_incarnations() == [previous]
         assert targets.pop_ended_incarnations() == []
 
-    def test_those_that_wait_for_the_former_life_are_told(self):
-        """Each once, and nobody of the new one."""
+    def test_subscribers_of_the_previous_incarnation_are_notified(self):
+        """Once each, and not those of the new incarnation."""
         targets = table(entry(1000))
-        told = []
-        targets.by_id["a"].on_incarnation_ended.add(lambda: told.append("former"))
+        notified = []
+        targets.by_id["a"].on_incarnation_ended.add(lambda: notified.append("former"))
         targets.update(entry(2000), NOW)
-        targets.by_id["a"].on_incarnation_ended.add(lambda: told.append("new"))
+        targets.by_id["a"].on_incarnation_ended.add(lambda: notified.append("new"))
         targets.update(entry(2000, state=TargetState.DRAINING), NOW)
-        assert told == ["former"]
+        assert notified == ["former"]
 
-    def test_loads_of_peers_count_for_the_life_that_they_name(self):
-        """A peer may know the new life earlier or later than this router."""
+    def test_peer_loads_count_for_their_incarnation(self):
+        """Peers may learn of the restart earlier or later than this router."""
         targets = table(entry(1000))
         later = entry(2000).incarnation_id
         targets.replace_peer_loads("ahead", {later: (3, 30)})
@@ -78,8 +78,8 @@
         targets.replace_peer_loads("ahead", {later: (2, 20)})
         assert targets.by_id["a"].total_in_flight == 2
 
-    def test_speed_that_was_noted_is_of_one_life(self):
-        """A new life may run on another machine, or have another load."""
+    def test_stored_speed_applies_to_one_incarnation(self):
+        """A new incarnation may run on another machine."""
         targets = table(entry(1000))
         targets.adopt({entry(1000).incarnation_id: FAST}, {})
         assert targets.by_id["a"].output_token_s == FAST.output_token_s
@@ -87,11 +87,11 @@
         assert targets.by_id["a"].output_token_s is None
 
 
-class TestSameLife:
-    """What is no new life."""
+class TestSameIncarnation:
+    """Entries that are no restart."""
 
-    def test_late_entry_of_an_earlier_life_changes_nothing(self):
-        """Neither beside the later life nor soon after its end."""
+    def test_stale_entry_is_ignored(self):
+        """An entry of an earlier incarnation may be written late."""
         targets = table(entry(2000))
         known = targets.by_id["a"]
         targets.update(entry(1000, port=9), NOW)
@@ -103,8 +103,8 @@
         targets.update(entry(1000, port=9), NOW + 100)
         assert targets.by_id["a"].entry.port == 9
 
-    def test_target_that_tells_its_start_later(self):
-        """Its requests go on, and peers that know less are not counted twice."""
+    def test_start_time_may_be_added_later(self):
+        """Open requests stay counted, and loads by the old id are not added."""
         targets = table(entry(None))
         known = targets.by_id["a"]
         targets.replace_peer_loads("peer", {"a": (2, 20)})
@@ -114,8 +114,8 @@
         targets.replace_peer_loads("peer", {known.entry.incarnation_id: (2, 20)})
         assert known.total_in_flight == 2
 
-    def test_without_starts_an_id_is_a_life(self):
-        """As the platform's earlier versions have it."""
+    def test_without_start_time_an_id_is_one_incarnation(self):
+        """Earlier versions of the platform publish no start time."""
         targets = table(entry(None), entry(None, port=2))
         assert targets.pop_ended_incarnations() == []
         assert targets.by_id["a"].entry.incarnation_id == "a"
@@ -134,15 +134,15 @@
 )
 
 
-class TestAnyOrder:
-    """Events of three lives, late, doubled and out of order."""
+class TestEventOrder:
+    """Late, duplicate and reordered events of three incarnations."""
 
     @settings(max_examples=400, derandomize=True, database=None, deadline=None)
     @given(EVENTS)
-    def test_lives_only_follow_each_other(self, events):
-        """No life comes back, and each counts only what was sent to it."""
+    def test_incarnations_never_go_back(self, events):
+        """None is restored after its end, and each counts only its own requests."""
         targets = TargetTable()
-        sent_by_life, told = {}, []
+        sent_by_start, notified = {}, []
         seen, newest, now, peer = [], 0, NOW, {}
         for kind, value in events:
             now += 0.1
@@ -158,20 +158,22 @@
             elif "a" in targets.by_id:
                 target = targets.by_id["a"]
                 target.note_sent(Work(), now)
-                life = target.entry.started_ms
-                sent_by_life[life] = sent_by_life.get(life, 0) + 1
-                target.on_incarnation_ended.add(lambda life=life: told.append(life))
+                started_ms = target.entry.started_ms
+                sent_by_start[started_ms] = sent_by_start.get(started_ms, 0) + 1
+                target.on_incarnation_ended.add(
+                    lambda started_ms=started_ms: notified.append(started_ms)
+                )
             target = targets.by_id.get("a")
             if target is None:
-                sent_by_life = {}
+                sent_by_start = {}
                 continue
-            life = target.entry.started_ms
-            assert life >= newest
-            newest = life
-            if seen[-1:] != [life]:
-                seen.append(life)
-            assert target.in_flight == sent_by_life.get(life, 0)
+            started_ms = target.entry.started_ms
+            assert started_ms >= newest
+            newest = started_ms
+            if seen[-1:] != [started_ms]:
+                seen.append(started_ms)
+            assert target.in_flight == sent_by_start.get(started_ms, 0)
             expected = peer.get(target.entry.incarnation_id, (0, 0))[0]
             assert target.peer_in_flight == expected
-            assert all(each < life for each in told)
+            assert all(each < started_ms for each in notified)
         assert seen == sorted(set(seen))
--- a/libs/dispatch/tests/test_dispatch_peers.py
+++ b/libs/dispatch/tests/test_dispatch_peers.py
@@ -1,4 +1,4 @@
-"""Who is told directly, who through a relay, and who relays."""
+"""Direct peers, relays and aggregated loads."""
 
 import pytest
 
@@ -18,7 +18,7 @@
 
 @pytest.fixture
 def large():
-    """Return the table of router a-1 in a fleet of three failure domains."""
+    """Return the peer table of router a-1 in a fleet of three failure domains."""
     peers = PeerTable("a-1", "fd-a")
     for domain in DOMAINS:
         for number in range(3):
@@ -29,11 +29,11 @@
     return peers
 
 
-class TestNear:
-    """Peers that are told directly."""
+class TestDirectPeers:
+    """Peers that receive messages directly."""
 
-    def test_all_of_a_small_fleet(self):
-        """A few messages more cost less than what a relay adds in delay."""
+    def test_small_fleet_is_a_full_mesh(self):
+        """Relays would add delay without saving many messages."""
         peers = PeerTable("a-1", "fd-a")
         peers.record_message(
             Peer("b-1", "127.0.0.1", 1, "life", "fd-b", sequence=1), 0.0
@@ -41,45 +41,45 @@
         assert [peer.name for peer in peers.direct_peers()] == ["b-1"]
         assert peers.relayed_domains() == set()
 
-    def test_own_failure_domain_of_a_large_one(self, large):
-        """The others are told through relays."""
+    def test_large_fleet_is_direct_within_a_failure_domain(self, large):
+        """Other failure domains are reached through relays."""
         assert {peer.name for peer in large.direct_peers()} == {"a-0", "a-2"}
         assert large.relayed_domains() == {"fd-b", "fd-c"}
 
-    def test_far_peers_may_be_silent_for_longer(self, large):
-        """Their relay may have to be replaced meanwhile."""
+    def test_relayed_peers_have_a_longer_timeout(self, large):
+        """Their relay may have to be replaced first."""
         assert large.alive_count(1.0) == 1 + 6
         assert large.alive_count(2.0) == 1
 
 
 class TestRelay:
-    """The router that speaks for its failure domain."""
+    """Relay of a failure domain."""
 
-    def test_first_that_is_heard(self, large):
-        """Each router finds the same one without asking."""
+    def test_relay_is_the_first_live_router(self, large):
+        """All routers choose the same relay without coordination."""
         assert not large.is_relay(0.1)
         assert large.is_relay(1.0)
         assert large.relay_of("fd-b", 0.1).name == "b-0"
 
-    def test_silent_receiver_is_passed_over(self, large):
-        """The next one of its failure domain is told."""
+    def test_silent_relay_is_replaced(self, large):
+        """Messages go to the next live router of the failure domain."""
         large.record_message(
             Peer("b-1", "127.0.0.1", 1, "life", "fd-b", sequence=2), 1.5
         )
         assert large.relay_of("fd-b", 2.0).name == "b-1"
 
-    def test_any_while_none_is_heard(self, large):
-        """So that two failure domains find each other again."""
+    def test_any_router_while_none_is_alive(self, large):
+        """Failure domains must find each other again after a partition."""
         chosen = large.relay_of("fd-b", 9.0, pick=lambda peers: peers[-1])
         assert chosen.failure_domain == "fd-b"
         assert large.relay_of("fd-x", 9.0) is None
 
 
 class TestLoads:
-    """Loads of a whole failure domain."""
+    """Loads of a failure domain."""
 
-    def test_sum_of_own_and_near(self):
-        """What a relay tells counts each request once."""
+    def test_own_and_direct_loads_are_summed(self):
+        """A relay must count each request once."""
         targets = TargetTable()
         entry = TargetEntry(
             target_id="t",
@@ -100,10 +100,10 @@
     @pytest.mark.parametrize(
         ("is_relayed", "expected"), [(False, "far"), (True, "own")]
     )
-    def test_remote_targets_are_dearer_when_loads_are_relayed(
+    def test_remote_targets_cost_more_when_loads_are_relayed(
         self, is_relayed, expected
     ):
-        """What is known of them is older, and many would go there at once."""
+        """Relayed loads are older, so many routers could pick one target at once."""
         targets = TargetTable()
         entries = [
             TargetEntry(
@@ -118,7 +118,7 @@
             for name, domain in (("own", "fd-a"), ("far", "fd-b"))
         ]
         targets.replace(entries, 0.0)
-        # The own one is slower than the remote one by a factor of two.
+        # The local target is slower than the remote one by a factor of two.
         for name, fixed_s in (("own", 0.2), ("far", 0.1)):
             targets.by_id[name].fixed_s = fixed_s
         dispatcher = Dispatcher(targets, failure_domain="fd-a", draw=lambda: 0.0)
--- a/libs/dispatch/tests/test_dispatch_prefix_reads.py
+++ b/libs/dispatch/tests/test_dispatch_prefix_reads.py
@@ -1,4 +1,4 @@
-"""Prompts that share parts go where those have been read."""
+"""Placement of prompts whose prefix is cached at a target."""
 
 import pytest
 from listed_targets import entry
@@ -19,14 +19,14 @@
 OTHER = Work(6_000, 100, SharedPrefix(8, 5_000))
 
 
-def dispatcher(*entries):
-    """Return a dispatcher of a router in one failure domain, and its targets."""
+def make_dispatcher(*entries):
+    """Return a dispatcher in one failure domain, and its targets."""
     targets = TargetTable()
     targets.replace(entries, NOW)
     return Dispatcher(targets, failure_domain="fd-a", draw=lambda: 0.0), targets
 
 
-def place(line, work, *, start_by=NOW + 1.0):
+def place(dispatcher, work, *, start_by=NOW + 1.0):
     """Return the id of the target that a request gets."""
     pending = PendingRequest(
         service="s",
@@ -36,77 +36,80 @@
         deadline=NOW + 10.0,
         start_by=start_by,
     )
-    target = line.submit(pending, NOW)
+    target = dispatcher.submit(pending, NOW)
     return None if target is None else target.entry.target_id
 
 
-class TestPlacing:
-    """Where a prompt goes."""
+class TestPlacement:
+    """Target of a prompt."""
 
-    def test_prompt_goes_where_its_parts_were_read(self):
-        """Though an equal target stands first."""
-        line, _ = dispatcher(entry("a"), entry("b"))
-        assert place(line, PROMPT) == "a"
-        line.prefix_cache_index.note_sent(PROMPT, "b")
-        assert place(line, PROMPT) == "b"
-        assert place(line, OTHER) == "a"
+    def test_target_with_cached_prefix_is_preferred(self):
+        """Even if an equal target precedes it."""
+        dispatcher, _ = make_dispatcher(entry("a"), entry("b"))
+        assert place(dispatcher, PROMPT) == "a"
+        dispatcher.prefix_cache_index.note_sent(PROMPT, "b")
+        assert place(dispatcher, PROMPT) == "b"
+        assert place(dispatcher, OTHER) == "a"
 
-    def test_bytes_to_another_failure_domain_cost_less_than_reading(self):
-        """What is known of targets there is older, but they need not read it."""
-        line, _ = dispatcher(entry("a"), entry("b", failure_domain="fd-b"))
-        line.prefix_cache_index.note_sent(PROMPT, "b")
-        assert place(line, PROMPT) == "b"
+    def test_remote_cached_prefix_outweighs_local_prefill(self):
+        """A cached prefix saves more than the remote traffic costs."""
+        dispatcher, _ = make_dispatcher(entry("a"), entry("b", failure_domain="fd-b"))
+        dispatcher.prefix_cache_index.note_sent(PROMPT, "b")
+        assert place(dispatcher, PROMPT) == "b"
 
-    def test_prefix_in_much_demand_is_spread(self):
-        """A target that would begin late is passed over, and the next one reads it."""
-        line, targets = dispatcher(entry("a"), entry("b"))
-        line.prefix_cache_index.note_sent(PROMPT, "b")
+    def test_popular_prefix_spreads_to_other_targets(self):
+        """A target that would start late is skipped; the next one caches the prefix."""
+        dispatcher, targets = make_dispatcher(entry("a"), entry("b"))
+        dispatcher.prefix_cache_index.note_sent(PROMPT, "b")
         for _ in range(3):
             targets.by_id["b"].note_sent(Work(40_000, 100), NOW)
-        assert place(line, PROMPT) == "a"
-        line.prefix_cache_index.note_sent(PROMPT, "a")
-        assert line.prefix_cache_index.cached_tokens(PROMPT) == {"a": 5_000, "b": 5_000}
-
-    def test_slow_target_gets_nothing_that_it_would_hold_up(self):
-        """Reading is saved, but the answer takes ten times as long there."""
-        line, targets = dispatcher(entry("a"), entry("b"))
-        line.prefix_cache_index.note_sent(PROMPT, "b")
+        assert place(dispatcher, PROMPT) == "a"
+        dispatcher.prefix_cache_index.note_sent(PROMPT, "a")
+        assert dispatcher.prefix_cache_index.cached_tokens(PROMPT) == {
+            "a": 5_000,
+            "b": 5_000,
+        }
+
+    def test_slow_target_with_cached_prefix_is_avoided(self):
+        """The saved prefill time must not outweigh a much slower output."""
+        dispatcher, targets = make_dispatcher(entry("a"), entry("b"))
+        dispatcher.prefix_cache_index.note_sent(PROMPT, "b")
         targets.by_id["a"].note_output(1_000, 100, 3.0)
         targets.by_id["b"].note_output(1_000, 100, 60.0)
-        assert place(line, PROMPT) == "a"
+        assert place(dispatcher, PROMPT) == "a"
 
-    def test_next_life_of_a_target_has_read_nothing(self):
-        """Its memory went with the life before."""
-        line, targets = dispatcher(entry("a"), entry("b", started_ms=1_000))
+    def test_restart_clears_the_cache(self):
+        """A new incarnation has nothing cached."""
+        dispatcher, targets = make_dispatcher(entry("a"), entry("b", started_ms=1_000))
         incarnation_id = targets.by_id["b"].entry.incarnation_id
-        line.prefix_cache_index.note_sent(PROMPT, incarnation_id)
-        assert place(line, PROMPT) == "b"
+        dispatcher.prefix_cache_index.note_sent(PROMPT, incarnation_id)
+        assert place(dispatcher, PROMPT) == "b"
         targets.update(entry("b", started_ms=9_000), NOW)
-        assert place(line, PROMPT) == "a"
+        assert place(dispatcher, PROMPT) == "a"
 
-    def test_short_parts_are_no_reason(self):
-        """They are read in a few milliseconds."""
+    def test_short_prefixes_are_ignored(self):
+        """Their prefill takes a few milliseconds."""
         short = Work(600, 100, SharedPrefix(7, 100))
-        line, _ = dispatcher(entry("a"), entry("b"))
-        line.prefix_cache_index.note_sent(short, "b")
-        assert place(line, short) == "a"
-        assert line.prefix_cache_index.take_updates() == []
+        dispatcher, _ = make_dispatcher(entry("a"), entry("b"))
+        dispatcher.prefix_cache_index.note_sent(short, "b")
+        assert place(dispatcher, short) == "a"
+        assert dispatcher.prefix_cache_index.take_updates() == []
 
 
-class TestExpectedStart:
-    """What is read already takes no time."""
+class TestFirstEventEstimate:
+    """Cached tokens need no prefill."""
 
-    def test_only_the_rest_is_read(self):
-        _, targets = dispatcher(entry("a"))
+    def test_only_uncached_tokens_need_prefill(self):
+        _, targets = make_dispatcher(entry("a"))
         target = targets.by_id["a"]
         whole = estimate_first_event(target, PROMPT)
         rest = estimate_first_event(target, PROMPT, cached_tokens=5_000)
         assert (whole.own_tokens, rest.own_tokens) == (6_000, 1_000)
         assert rest.prefill_s < 0.2 * whole.prefill_s
 
-    def test_model_learns_from_what_was_read(self):
-        """A start that is short since parts were held tells of no fast reading."""
-        _, targets = dispatcher(entry("a"), entry("b"))
+    def test_model_is_not_biased_by_cached_tokens(self):
+        """A fast start with a cached prefix must not count as fast prefill."""
+        _, targets = make_dispatcher(entry("a"), entry("b"))
         prefill_s = {}
         for target_id, cached_tokens in (("a", 5_000), ("b", 0)):
             target = targets.by_id[target_id]
@@ -123,31 +126,31 @@
         assert prefill_s["a"] == pytest.approx(prefill_s["b"], rel=0.1)
 
 
-class TestReads:
-    """What is remembered and told."""
-
-    def test_what_others_sent_counts_as_ones_own(self):
-        """But it is not told on: relays do that."""
-        mine, theirs = PrefixCacheIndex(), PrefixCacheIndex()
-        mine.note_sent(PROMPT, "b")
-        theirs.merge(mine.take_updates())
-        assert theirs.cached_tokens(PROMPT) == {"b": 5_000}
-        assert theirs.take_updates() == []
-        assert mine.take_updates() == []
-
-    def test_no_more_is_held_than_the_prompt_has(self):
-        """The counts of a caller may contradict each other."""
-        reads = PrefixCacheIndex()
-        odd = Work(1_000, 10, SharedPrefix(7, 9_000))
-        reads.note_sent(odd, "b")
-        assert reads.cached_tokens(odd) == {"b": 1_000}
-
-    def test_memory_and_news_are_bounded(self):
-        """Callers choose the ids of parts."""
-        reads = PrefixCacheIndex()
+class TestIndex:
+    """Own and peer placements."""
+
+    def test_peer_placements_are_not_forwarded(self):
+        """They are indexed, but only relays forward them."""
+        own, other = PrefixCacheIndex(), PrefixCacheIndex()
+        own.note_sent(PROMPT, "b")
+        other.merge(own.take_updates())
+        assert other.cached_tokens(PROMPT) == {"b": 5_000}
+        assert other.take_updates() == []
+        assert own.take_updates() == []
+
+    def test_cached_tokens_are_bounded_by_the_prompt(self):
+        """Token counts from a caller may contradict each other."""
+        index = PrefixCacheIndex()
+        inconsistent = Work(1_000, 10, SharedPrefix(7, 9_000))
+        index.note_sent(inconsistent, "b")
+        assert index.cached_tokens(inconsistent) == {"b": 1_000}
+
+    def test_index_and_updates_are_bounded(self):
+        """Callers choose the prefix ids, so their number is unbounded."""
+        index = PrefixCacheIndex()
         for key in range(3 * MAX_PREFIXES):
-            reads.note_sent(Work(6_000, 10, SharedPrefix(key, 5_000)), "b")
-        assert len(reads._history) == MAX_PREFIXES
-        assert len(reads.take_updates()) == MAX_PENDING_UPDATES
+            index.note_sent(Work(6_000, 10, SharedPrefix(key, 5_000)), "b")
+        assert len(index._history) == MAX_PREFIXES
+        assert len(index.take_updates()) == MAX_PENDING_UPDATES
         oldest = Work(6_000, 10, SharedPrefix(0, 5_000))
-        assert reads.cached_tokens(oldest) == {}
+        assert index.cached_tokens(oldest) == {}
--- a/libs/dispatch/tests/test_dispatch_retries.py
+++ b/libs/dispatch/tests/test_dispatch_retries.py
@@ -1,10 +1,10 @@
-"""The budget of repeated sends."""
+"""Retry budget."""
 
 from berylwalk.dispatch import WindowedRetryBudget
 
 
 def take_all(budget, now):
-    """Take until refused; returns how many."""
+    """Take until refused; returns the number taken."""
     taken = 0
     while budget.take("s", now):
         taken += 1
@@ -12,10 +12,10 @@
 
 
 class TestBudget:
-    """Bounds over all routers."""
+    """Bound over all routers."""
 
-    def test_routers_share_the_fixed_part(self):
-        """Four routers that never talk stay within the sum."""
+    def test_routers_share_the_fixed_allowance(self):
+        """Four routers without coordination stay within the total."""
         total = 0
         for _ in range(4):
             budget = WindowedRetryBudget(ratio=0.2, slack=54.0, window_s=10.0)
@@ -26,14 +26,14 @@
         assert 0.5 * (0.2 * 400 + 54) <= total <= 0.2 * 400 + 54
 
     def test_window_slides(self):
-        """Repeats are allowed again only after a whole window."""
+        """Retries are allowed again only after a whole window."""
         budget = WindowedRetryBudget(ratio=0.2, slack=54.0, window_s=10.0)
         taken = take_all(budget, 0.0)
         assert take_all(budget, 10.0) == 0
         assert take_all(budget, 10.6) == taken
 
-    def test_services_are_counted_apart(self):
-        """One service's repeats don't use up another's."""
+    def test_services_have_separate_budgets(self):
+        """Retries of one service must not use up the budget of another."""
         budget = WindowedRetryBudget(ratio=0.2, slack=54.0, window_s=10.0)
         take_all(budget, 0.0)
         assert budget.take("other", 0.0)
--- a/libs/dispatch/tests/test_dispatch_speeds.py
+++ b/libs/dispatch/tests/test_dispatch_speeds.py
@@ -1,4 +1,4 @@
-"""Speeds that are kept beyond one life of a router."""
+"""Observed speeds stored across restarts of a router."""
 
 from dataclasses import replace
 
@@ -14,7 +14,7 @@
 
 
 def learned():
-    """Return what a table has learned of a slow target, and of starts."""
+    """Return stored speeds of a slow target, and first event models."""
     targets = TargetTable()
     targets.replace([entry("slow", slots=8)], 0.0)
     slow = targets.by_id["slow"]
@@ -26,16 +26,16 @@
     return targets.speeds_by_id(), targets.first_event_models_by_service()
 
 
-class TestAdopting:
-    """A router that starts takes what an earlier life learned."""
+class TestStoredSpeeds:
+    """A router restores speeds at its start."""
 
-    def test_expectations_are_those_of_the_earlier_life(self):
-        """Whether the target is listed before or after that."""
-        speeds_by_id, start_models = learned()
+    def test_estimates_match_those_before_the_restart(self):
+        """Whether the target is listed before or after the restore."""
+        speeds_by_id, first_event_models = learned()
         before, after = TargetTable(), TargetTable()
         before.replace([entry("slow", slots=8)], 0.0)
-        before.adopt(speeds_by_id, start_models)
-        after.adopt(speeds_by_id, start_models)
+        before.adopt(speeds_by_id, first_event_models)
+        after.adopt(speeds_by_id, first_event_models)
         after.replace([entry("slow", slots=8)], 0.0)
         for targets in (before, after):
             target = targets.by_id["slow"]
@@ -46,23 +46,23 @@
             )
             assert abs(start.total_s - 0.5) < abs(unknown.total_s - 0.5)
 
-    def test_times_of_nothing_are_sound(self):
-        """An answer that came all at once, and its rounded note."""
+    def test_zero_times_are_tolerated(self):
+        """A response may arrive all at once, and stored times may be rounded to 0."""
         targets = TargetTable()
         targets.replace([entry("a", slots=8), entry("b", slots=8)], 0.0)
-        quick, noted = targets.by_id["a"], targets.by_id["b"]
+        quick, restored = targets.by_id["a"], targets.by_id["b"]
         quick.note_slot_time(0.0)
         speed = replace(quick.speed(), slot_s=0.0, output_token_s=0.0)
-        noted.adopt_speed(speed)
-        for target in (quick, noted):
+        restored.adopt_speed(speed)
+        for target in (quick, restored):
             assert concurrency_limit(target) >= target.entry.slots
             assert estimate_first_event(target, Work(100, 10)).total_s > 0
 
-    def test_own_observations_go_before(self):
-        """A note is older than what was seen since the start."""
-        speeds_by_id, start_models = learned()
+    def test_own_observations_take_precedence(self):
+        """Stored values are older than observations since the start."""
+        speeds_by_id, first_event_models = learned()
         targets = TargetTable()
         targets.replace([entry("slow", slots=8)], 0.0)
         targets.by_id["slow"].note_output(1_000, 100, 2.0)
-        targets.adopt(speeds_by_id, start_models)
+        targets.adopt(speeds_by_id, first_event_models)
         assert targets.by_id["slow"].output_token_s == 0.002
--- a/libs/dispatch/tests/test_dispatch_start_model.py
+++ b/libs/dispatch/tests/test_dispatch_start_model.py
@@ -1,4 +1,4 @@
-"""What is learned of the time to a first event."""
+"""Model of the time to the first event."""
 
 from random import Random
 
@@ -25,7 +25,7 @@
 
 
 def start_s(token_s, tokens, *, fixed_s, token_ratio, pair_ratio):
-    """Return the time of an engine to a first event."""
+    """Return the simulated time of an engine to the first event."""
     prefill_s = token_ratio * token_s * tokens + pair_ratio * token_s * tokens**2
     return fixed_s + prefill_s
 
@@ -37,36 +37,36 @@
 ]
 
 
-class TestStartModel:
-    """Engines of several makes, each with fast and slow targets."""
+class TestFirstEventModel:
+    """Engines with different coefficients and target speeds."""
 
     @pytest.mark.parametrize("engine", ENGINES)
-    def test_long_and_short_prompts_are_told_apart_after_a_few_answers(self, engine):
-        """Without constants of one engine, at any speed of a target."""
+    def test_model_fits_engines_after_a_few_responses(self, engine):
+        """Estimates must match for short and long prompts."""
         model, random = FirstEventModel(), Random(1)
         for _ in range(64):
             token_s = random.choice([0.0016, 0.003, 0.0085])
             tokens = min(50_000, int(random.lognormvariate(7.0, 1.3)))
             taken_s = start_s(token_s, tokens, **engine)
-            model.note(token_s, 0, tokens, taken_s * random.uniform(0.95, 1.2))
+            model.observe(token_s, 0, tokens, taken_s * random.uniform(0.95, 1.2))
         for tokens in (500, 6_000, 20_000):
             expected_s = model.fixed_s + model.prefill_s(0.003, 0, tokens)
             assert expected_s == pytest.approx(
                 start_s(0.003, tokens, **engine), rel=0.3
             )
 
-    def test_prompts_ahead_are_read_first(self):
-        """They delay the first event like the own tokens, but for attention."""
+    def test_queued_prompts_delay_the_first_event(self):
+        """They add prefill time, but no attention time."""
         model = FirstEventModel()
         assert model.prefill_s(0.003, 5_000, 100) > model.prefill_s(0.003, 0, 100)
         assert model.prefill_s(0.003, 5_000, 100) < model.prefill_s(0.003, 0, 5_100)
 
 
 class TestCongestion:
-    """A target that is full is not a slow target."""
+    """A busy target must not be mistaken for a slow one."""
 
-    def test_waiting_for_a_slot_is_not_taken_for_slowness(self):
-        """What is known of an idle target stays while it is full."""
+    def test_queueing_does_not_raise_the_fixed_time(self):
+        """The estimate for an idle target must survive a period of full load."""
         target = Target(ENTRY)
         target.note_output(1_000, 100, 3.0)
         target.note_slot_time(0.5)
@@ -92,15 +92,15 @@
         assert longest_s > 8 * idle_s
         assert after_s < 2 * idle_s
 
-    def test_one_long_answer_tells_a_speed(self):
-        """A router hears of a target once a second or less."""
+    def test_one_long_response_determines_the_speed(self):
+        """Responses per target and router are rare, so each must count."""
         target = Target(ENTRY)
         target.note_output(300, 40, 0.9)
         target.note_output(300, 40, 9.0)
         assert target.output_token_s > 0.01
 
-    def test_speed_of_an_unknown_target_is_that_of_the_others(self):
-        """Nothing is known of it yet."""
+    def test_unknown_target_uses_the_typical_speed(self):
+        """The mean speed of other targets replaces missing observations."""
         typical = estimate_first_event(
             Target(ENTRY), Work(5_000, 1), typical_token_s=0.01
         )
--- a/libs/dispatch/tests/test_dispatch_stated_needs.py
+++ b/libs/dispatch/tests/test_dispatch_stated_needs.py
@@ -1,4 +1,4 @@
-"""What a life of a target has said: rest, leaving, and what outlives its entry."""
+"""Flow control state of a target: backoff, shutdown and its lifetime."""
 
 import pytest
 
@@ -17,7 +17,7 @@
 
 
 def entry(**changes):
-    """Return an entry of a target."""
+    """Return the entry of a target."""
     values = {
         "target_id": "i-1",
         "service": "s",
@@ -30,19 +30,19 @@
     return TargetEntry(**{**values, **changes})
 
 
-def said(now=10.0, **statement):
-    """Return the needs of a target that said something once."""
+def flow_control_after(now=10.0, **signals):
+    """Return the state after a single response."""
     flow_control = FlowControl()
-    flow_control.note_answer(TargetSignals(**statement), sent_at=now - 0.1, now=now)
+    flow_control.note_answer(TargetSignals(**signals), sent_at=now - 0.1, now=now)
     return flow_control
 
 
-class TestRest:
-    """It wants nothing of this router for a time."""
+class TestRequestedBackoff:
+    """Backoff requested of this router."""
 
-    def test_nothing_until_its_end(self):
-        """From the answer on."""
-        flow_control = said(retry_after_s=3.0)
+    def test_no_request_until_the_end(self):
+        """Counted from the response."""
+        flow_control = flow_control_after(retry_after_s=3.0)
         assert (
             flow_control.ineligibility_reason(12.99) is IneligibilityReason.RETRY_AFTER
         )
@@ -50,9 +50,9 @@
         assert not flow_control.accepts_placed(12.99)
         assert flow_control.ineligibility_reason(13.0) is None
 
-    def test_shorter_rest_takes_nothing_back(self):
-        """It may have been asked for earlier, on a slower connection."""
-        flow_control = said(retry_after_s=3.0)
+    def test_shorter_backoff_is_ignored(self):
+        """It may have been requested earlier, on a slower connection."""
+        flow_control = flow_control_after(retry_after_s=3.0)
         flow_control.note_answer(
             TargetSignals(retry_after_s=0.5), sent_at=10.1, now=10.2
         )
@@ -60,9 +60,9 @@
             flow_control.ineligibility_reason(12.9) is IneligibilityReason.RETRY_AFTER
         )
 
-    def test_longer_rest_counts(self):
-        """From the later answer on."""
-        flow_control = said(retry_after_s=3.0)
+    def test_longer_backoff_applies(self):
+        """Counted from the later response."""
+        flow_control = flow_control_after(retry_after_s=3.0)
         flow_control.note_answer(
             TargetSignals(retry_after_s=5.0), sent_at=10.1, now=11.0
         )
@@ -70,98 +70,98 @@
             flow_control.ineligibility_reason(15.9) is IneligibilityReason.RETRY_AFTER
         )
 
-    def test_answer_that_asks_for_none_ends_nothing(self):
-        """A stream that began before may bring its head meanwhile."""
-        flow_control = said(retry_after_s=3.0)
+    def test_response_without_signals_keeps_the_backoff(self):
+        """The response to an earlier request may arrive late."""
+        flow_control = flow_control_after(retry_after_s=3.0)
         flow_control.note_answer(TargetSignals(), sent_at=9.0, now=10.5)
         flow_control.backoff.note_accepted(4, sent_at=9.0)
         assert (
             flow_control.ineligibility_reason(12.9) is IneligibilityReason.RETRY_AFTER
         )
 
-    def test_requests_return_one_by_one(self):
-        """Each that is taken makes room for two, until all is as before."""
-        rest = RequestedBackoff()
-        rest.note_requested(1.0, 10.0)
-        assert rest.may_send(11.0)
-        rest.note_sent(11.0)
-        assert not rest.may_send(11.1)
-        rest.note_accepted(4, sent_at=11.0)
-        rest.note_sent(11.1)
-        assert rest.may_send(11.1)
-        rest.note_sent(11.1)
-        assert not rest.may_send(11.1)
-        rest.note_accepted(4, sent_at=11.1)
-        rest.note_accepted(4, sent_at=11.1)
+    def test_slow_start(self):
+        """Each accepted request allows two more, until all slots are in use."""
+        backoff = RequestedBackoff()
+        backoff.note_requested(1.0, 10.0)
+        assert backoff.may_send(11.0)
+        backoff.note_sent(11.0)
+        assert not backoff.may_send(11.1)
+        backoff.note_accepted(4, sent_at=11.0)
+        backoff.note_sent(11.1)
+        assert backoff.may_send(11.1)
+        backoff.note_sent(11.1)
+        assert not backoff.may_send(11.1)
+        backoff.note_accepted(4, sent_at=11.1)
+        backoff.note_accepted(4, sent_at=11.1)
         for _ in range(100):
-            rest.note_sent(11.2)
-        assert rest.may_send(11.2)
-
-    def test_lost_trial_is_made_again(self):
-        """A target that has rested must not wait for an answer that never comes."""
-        rest = RequestedBackoff()
-        rest.note_requested(1.0, 10.0)
-        rest.note_sent(11.0)
-        assert not rest.may_send(11.4)
-        assert rest.may_send(11.5)
-
-    def test_answer_to_what_it_had_before_its_rest(self):
-        """Says nothing of what it takes after."""
-        rest = RequestedBackoff()
-        rest.note_requested(1.0, 10.0)
-        rest.note_sent(11.0)
-        rest.note_accepted(4, sent_at=9.9)
-        assert not rest.may_send(11.1)
-
-    def test_rest_of_no_time(self):
-        """It may be asked again at once."""
-        assert said(retry_after_s=0.0).ineligibility_reason(10.0) is None
+            backoff.note_sent(11.2)
+        assert backoff.may_send(11.2)
+
+    def test_lost_request_does_not_block_slow_start(self):
+        """Another request is sent if a response never arrives."""
+        backoff = RequestedBackoff()
+        backoff.note_requested(1.0, 10.0)
+        backoff.note_sent(11.0)
+        assert not backoff.may_send(11.4)
+        assert backoff.may_send(11.5)
+
+    def test_earlier_request_does_not_advance_slow_start(self):
+        """Requests from before the backoff prove nothing."""
+        backoff = RequestedBackoff()
+        backoff.note_requested(1.0, 10.0)
+        backoff.note_sent(11.0)
+        backoff.note_accepted(4, sent_at=9.9)
+        assert not backoff.may_send(11.1)
+
+    def test_zero_backoff(self):
+        """A retry is allowed at once."""
+        assert flow_control_after(retry_after_s=0.0).ineligibility_reason(10.0) is None
 
 
 class TestLeaving:
-    """It says that it leaves."""
+    """The target announces its shutdown."""
 
-    def test_is_not_taken_back(self):
-        """Neither by an answer without it nor by its entry."""
-        flow_control = said(is_leaving=True)
+    def test_shutdown_is_final(self):
+        """A later response without the signal must not reset it."""
+        flow_control = flow_control_after(is_leaving=True)
         flow_control.note_answer(TargetSignals(), sent_at=11.0, now=11.1)
         assert flow_control.ineligibility_reason(1000.0) is IneligibilityReason.LEAVING
         assert flow_control.available_at(1000.0) == float("inf")
 
-    def test_other_routers_word(self):
-        """Counts, and isn't told on."""
+    def test_peer_update_is_not_forwarded(self):
+        """It applies, but only own observations are sent to peers."""
         flow_control = FlowControl()
         assert flow_control.apply_update(FlowControlUpdate(is_leaving=True), 10.0)
         assert not flow_control.apply_update(FlowControlUpdate(is_leaving=True), 10.1)
         assert flow_control.ineligibility_reason(10.2) is IneligibilityReason.LEAVING
         assert flow_control.pending_update(10.2) is None
 
-    def test_own_observation_is_told(self):
-        """It says nothing of a limit that was never named."""
-        news = said(is_leaving=True).pending_update(500.0)
-        assert news == FlowControlUpdate(is_leaving=True)
-        others = said(limit_per_s=2.0)
-        others.apply_update(news, 10.1)
+    def test_own_observation_is_sent_to_peers(self):
+        """The update must not remove a limit that was never observed."""
+        update = flow_control_after(is_leaving=True).pending_update(500.0)
+        assert update == FlowControlUpdate(is_leaving=True)
+        others = flow_control_after(limit_per_s=2.0)
+        others.apply_update(update, 10.1)
         assert others.limit.per_s == 2.0
 
 
 class TestUnreadableLimit:
-    """A value that is no number."""
+    """A limit that is not a number."""
 
-    def test_leaves_what_is_known(self):
-        """It is not the end of the limit."""
-        flow_control = said(limit_per_s=2.0)
+    def test_unreadable_limit_keeps_the_known_one(self):
+        """It must not remove the limit."""
+        flow_control = flow_control_after(limit_per_s=2.0)
         unreadable = TargetSignals(limit_is_readable=False, problem="p")
         flow_control.note_answer(unreadable, sent_at=11.0, now=11.1)
         assert flow_control.limit.per_s == 2.0
 
 
-class TestLives:
-    """Statements are of one life."""
+class TestIncarnations:
+    """Flow control state belongs to one incarnation."""
 
     @pytest.mark.parametrize("started_ms", [None, 5000])
-    def test_life_whose_entry_was_gone_for_a_time(self, started_ms):
-        """It is the same life, and has taken nothing back."""
+    def test_state_survives_a_missing_entry(self, started_ms):
+        """The same incarnation keeps its state."""
         table = TargetTable()
         table.update(entry(started_ms=started_ms), 10.0)
         table.by_id["i-1"].flow_control.is_leaving = True
@@ -171,22 +171,22 @@
             table.by_id["i-1"].ineligibility_reason(12.0) is IneligibilityReason.LEAVING
         )
 
-    def test_next_life_takes_all(self):
-        """At the same address and under the same id."""
+    def test_restart_resets_the_state(self):
+        """Even at the same address and under the same id."""
         table = TargetTable()
         table.update(entry(started_ms=5000), 10.0)
         table.by_id["i-1"].flow_control.is_leaving = True
         table.update(entry(started_ms=9000), 12.0)
         assert table.by_id["i-1"].is_available(12.0)
 
-    def test_entry_that_says_ready(self):
-        """It was written before, or by one that doesn't know."""
+    def test_shutdown_overrides_the_entry(self):
+        """The entry may be older than the response."""
         target = Target(entry())
         target.flow_control.is_leaving = True
         assert target.ineligibility_reason(10.0) is IneligibilityReason.LEAVING
 
-    def test_those_in_need_are_known(self):
-        """Also once an entry has come back; not those that are gone."""
+    def test_flow_controlled_targets(self):
+        """Includes entries that reappeared, but not missing ones."""
         table = TargetTable()
         table.update(entry(), 10.0)
         table.update(entry(target_id="i-2"), 10.0)
@@ -197,8 +197,8 @@
         table.update(entry(), 12.0)
         assert table.flow_controlled() == [table.by_id["i-1"]]
 
-    def test_every_send_uses_the_limit(self):
-        """However it got its place."""
+    def test_every_request_uses_the_limit(self):
+        """However the target was chosen."""
         target = Target(entry())
         target.flow_control.limit.apply_update(2.0, 9.0, 9.0)
         target.flow_control.limit.set_share(1.0, 9.0)
--- a/libs/dispatch/tests/test_dispatch_targets.py
+++ b/libs/dispatch/tests/test_dispatch_targets.py
@@ -1,4 +1,4 @@
-"""Beliefs about targets, and what they decide."""
+"""Target state, placement and queueing."""
 
 import pytest
 from listed_targets import entry
@@ -19,7 +19,7 @@
 
 
 def table(*entries):
-    """Return a table with targets."""
+    """Return a table of targets."""
     targets = TargetTable()
     targets.replace(entries, NOW)
     return targets
@@ -37,30 +37,30 @@
     return None if chosen is None else chosen.entry.target_id
 
 
-class TestList:
-    """Entries that come, change and go."""
+class TestListing:
+    """Entries that appear, change and disappear."""
 
     def test_draining_target_gets_nothing(self):
-        """It is still listed, and takes no new work."""
+        """It is still listed, but accepts no new requests."""
         targets = table(entry("a", state=TargetState.DRAINING))
         assert choose(targets) is None
 
-    def test_missing_target_is_gone_at_once(self):
-        """Without an outage a removed entry means that the target leaves."""
+    def test_missing_target_is_removed_at_once(self):
+        """Without a store outage, a missing entry means that the target left."""
         targets = table(entry("a"), entry("b"))
         assert targets.replace([entry("b")], NOW) == ["a"]
         assert choose(targets) == "b"
 
-    def test_entries_that_lapsed_in_an_outage_are_used_for_a_bounded_time(self):
-        """They are back within the grace, or gone."""
+    def test_expired_entries_are_kept_after_an_outage(self):
+        """Until they reappear or the grace period ends."""
         targets = table(entry("a"))
         targets.note_outage_ended(NOW)
         assert targets.replace([], NOW + 0.1) == []
         assert choose(targets, now=NOW + 0.1) == "a"
         assert targets.replace([], NOW + 2.1) == ["a"]
 
-    def test_lapsed_entry_that_is_back_stays(self):
-        """A target that is alive registers itself again."""
+    def test_expired_entry_may_reappear(self):
+        """A live target registers itself again."""
         targets = table(entry("a"))
         targets.note_outage_ended(NOW)
         targets.replace([], NOW + 0.1)
@@ -69,10 +69,10 @@
 
 
 class TestHealth:
-    """Targets that fail, observed from their answers."""
+    """Failing targets."""
 
-    def test_unreachable_target_is_set_aside_for_longer_each_time(self):
-        """It is soon tried again at first, and less often later."""
+    def test_backoff_grows_with_failures(self):
+        """The first retry comes soon, and the backoff is bounded."""
         targets = table(entry("a"))
         target = targets.by_id["a"]
         pauses = []
@@ -83,8 +83,8 @@
         assert pauses[0] < 0.5
         assert pauses[-1] <= 3.0
 
-    def test_erroneous_target_gets_trial_requests_only(self):
-        """One that fails many answers though it is there is tried seldom."""
+    def test_failing_target_gets_probes_only(self):
+        """A reachable target with many errors receives few requests."""
         targets = table(entry("a"))
         target = targets.by_id["a"]
         for _ in range(10):
@@ -93,8 +93,8 @@
         assert choose(targets, now=NOW + 0.1) is None
         assert choose(targets, now=NOW + 0.6) == "a"
 
-    def test_answers_restore_trust(self):
-        """A target that answers properly again gets its part."""
+    def test_successes_lower_the_error_rate(self):
+        """A recovered target receives requests again."""
         targets = table(entry("a"))
         target = targets.by_id["a"]
         for _ in range(10):
@@ -104,8 +104,8 @@
         target.last_sent_at = NOW
         assert choose(targets, now=NOW + 0.1) == "a"
 
-    def test_silence_is_told_from_reading_a_long_prompt(self):
-        """A target with a long prompt and no other request sends nothing."""
+    def test_prefill_is_not_silence(self):
+        """A target that prefills a long prompt sends nothing."""
         targets = table(entry("a"), entry("b"))
         short, long = targets.by_id["a"], targets.by_id["b"]
         short.note_sent(Work(100), NOW)
@@ -114,7 +114,7 @@
         assert not long.is_silent(NOW + 1.0)
 
     def test_idle_target_is_not_silent(self):
-        """Nothing is owed without a request."""
+        """Silence requires an open request."""
         targets = table(entry("a"))
         target = targets.by_id["a"]
         target.note_sent(Work(), NOW)
@@ -124,10 +124,10 @@
 
 
 class TestChoice:
-    """Which target gets a request."""
+    """Choice of a target."""
 
-    def test_measured_speed_counts(self):
-        """A target half as fast gets the request only at half the load."""
+    def test_observed_speed_is_used(self):
+        """A slower target is chosen only if the faster one has more load."""
         targets = table(entry("fast"), entry("slow"))
         targets.by_id["fast"].output_token_s = 0.002
         targets.by_id["slow"].output_token_s = 0.006
@@ -136,16 +136,16 @@
             targets.by_id["fast"].note_sent(Work(20_000), NOW)
         assert choose(targets, work=Work(1000)) == "slow"
 
-    def test_load_of_peers_counts(self):
-        """What other routers have there is part of the load."""
+    def test_peer_loads_are_used(self):
+        """Requests of other routers are part of the load."""
         targets = table(entry("a"), entry("b"))
         targets.replace_peer_loads("peer", {"a": (3, 30_000)})
         assert choose(targets) == "b"
         targets.replace_peer_loads("peer", {"b": (3, 30_000)})
         assert choose(targets) == "a"
 
-    def test_loads_of_a_peer_hold_for_a_target_listed_later(self):
-        """The message may come before the entry."""
+    def test_peer_loads_apply_to_later_entries(self):
+        """The message may arrive before the entry."""
         targets = table(entry("b"))
         targets.replace_peer_loads("peer", {"a": (3, 30_000)})
         targets.update(entry("a"), NOW)
@@ -153,27 +153,27 @@
         targets.replace_peer_loads("peer", {})
         assert targets.by_id["a"].peer_in_flight == 0
 
-    def test_full_and_excluded_targets_are_passed_over(self):
-        """None is chosen rather than a target that has no place."""
+    def test_full_and_excluded_targets_are_skipped(self):
+        """None is returned rather than a full target."""
         targets = table(entry("a"), entry("b"))
         for _ in range(concurrency_limit(targets.by_id["a"])):
             targets.by_id["a"].note_sent(Work(), NOW)
         assert choose(targets) == "b"
         assert choose(targets, excluded={"b"}) is None
 
-    @pytest.mark.parametrize(("slot_s", "more"), [(0.05, 4), (0.6, 1), (5.0, 0)])
-    def test_slow_targets_get_fewer_places(self, slot_s, more):
-        """What waits inside a slow target waits long."""
+    @pytest.mark.parametrize(("slot_s", "queued"), [(0.05, 4), (0.6, 1), (5.0, 0)])
+    def test_slow_targets_have_shorter_queues(self, slot_s, queued):
+        """Requests queued at a slow target wait long."""
         target = table(entry("a")).by_id["a"]
         target.note_slot_time(slot_s)
-        assert concurrency_limit(target) == 4 + more
+        assert concurrency_limit(target) == 4 + queued
 
 
-class TestReservedPlaces:
-    """Places that are left to the most urgent requests."""
+class TestReservedCapacity:
+    """Capacity reserved for the highest rank."""
 
-    def filled(self, target):
-        """Fill a target as far as less urgent requests may."""
+    def fill(self, target):
+        """Fill a target with all requests of a lower rank that it may have."""
         while target.total_in_flight < concurrency_limit(target, is_most_urgent=False):
             target.note_sent(Work(), NOW)
 
@@ -184,37 +184,37 @@
         )
         return dispatcher.submit(pending, now)
 
-    def test_less_urgent_ones_leave_them(self):
-        """The line of this router tells nothing of those that wait elsewhere."""
+    def test_lower_ranks_leave_the_reserve(self):
+        """Requests of the highest rank may be queued at other routers."""
         targets = table(entry("a", slots=12))
         dispatcher = Dispatcher(targets, failure_domain="fd-a", draw=lambda: 0.0)
         assert self.submit(dispatcher, (1, 0)) is not None
-        self.filled(targets.by_id["a"])
+        self.fill(targets.by_id["a"])
         assert self.submit(dispatcher, (1, 1)) is None
         assert self.submit(dispatcher, (1, 0)) is not None
 
-    def test_all_places_are_used_where_no_other_rank_is_seen(self):
-        """A service with one kind of request loses nothing by it."""
+    def test_single_rank_uses_all_capacity(self):
+        """A service with one rank must not lose capacity."""
         targets = table(entry("a", slots=12))
         dispatcher = Dispatcher(targets, failure_domain="fd-a", draw=lambda: 0.0)
-        self.filled(targets.by_id["a"])
+        self.fill(targets.by_id["a"])
         assert self.submit(dispatcher, (1, 1)) is not None
 
-    def test_rank_that_is_no_longer_seen_is_forgotten(self):
-        """Places are not kept for those that don't come."""
+    def test_reserve_expires(self):
+        """Capacity must not stay reserved for a rank without requests."""
         targets = table(entry("a", slots=12))
         dispatcher = Dispatcher(targets, failure_domain="fd-a", draw=lambda: 0.0)
         self.submit(dispatcher, (1, 0))
-        self.filled(targets.by_id["a"])
+        self.fill(targets.by_id["a"])
         targets.by_id["a"].note_heard(NOW + 60.0)
         assert self.submit(dispatcher, (1, 1), NOW + 60.0) is not None
 
 
 class TestPauses:
-    """Prompts whose reading holds up the streams of a target."""
+    """Prefill that interrupts the streams of a target."""
 
     def target_ids(self, work):
-        """Return where a prompt goes: to a slow busy target or a fast one far off."""
+        """Return the target of a prompt: slow, busy and local, or fast and remote."""
         targets = table(entry("slow"), entry("fast", failure_domain="fd-b"))
         targets.by_id["slow"].output_token_s = 0.008
         targets.by_id["slow"].event_s = 0.064
@@ -232,13 +232,13 @@
         )
         return chosen.entry.target_id
 
-    def test_long_prompt_goes_where_it_holds_nobody_up(self):
-        """A short one may be read beside streams of a slow target."""
+    def test_long_prompt_avoids_busy_slow_target(self):
+        """Its prefill would interrupt streams for too long; a short one would not."""
         assert self.target_ids(Work(600, 100)) == "slow"
         assert self.target_ids(Work(7_000, 100)) == "fast"
 
-    def test_target_with_many_pauses_is_avoided(self):
-        """What was observed counts, whatever its cause."""
+    def test_target_with_long_pauses_is_avoided(self):
+        """Observed pauses count whatever their cause."""
         targets = table(entry("a"), entry("b"))
         for _ in range(10):
             targets.by_id["a"].note_paused(True)
@@ -252,109 +252,109 @@
         assert chosen.entry.target_id == "b"
 
 
-class TestWaiting:
-    """Requests that find no place."""
+class TestQueue:
+    """Requests without a free target."""
 
     def dispatcher(self, targets):
         """Return a dispatcher."""
         return Dispatcher(targets, failure_domain="fd-a", draw=lambda: 0.0)
 
-    def pending(self, rank, granted, name):
-        """Return a ticket that notes its name when it gets a place."""
+    def pending(self, rank, placed, name):
+        """Return a request that records its name when it is placed."""
 
         def on_placed(target):
             target.note_sent(Work(), NOW)
-            granted.append(name)
+            placed.append(name)
 
         return PendingRequest(service="s", rank=rank, work=Work(), on_placed=on_placed)
 
-    def test_places_go_by_rank_then_arrival(self):
-        """The most urgent goes first, among equals the oldest."""
+    def test_queue_order_is_rank_then_arrival(self):
+        """The highest rank goes first, then the oldest request."""
         targets = table(entry("a", slots=1))
         target = targets.by_id["a"]
         target.slot_s = 10.0
         target.note_sent(Work(), NOW)
         dispatcher = self.dispatcher(targets)
-        granted = []
+        placed = []
         for rank, name in [((1, 2), "late"), ((1, 0), "first"), ((1, 0), "second")]:
-            assert dispatcher.submit(self.pending(rank, granted, name), NOW) is None
+            assert dispatcher.submit(self.pending(rank, placed, name), NOW) is None
         for _ in range(3):
             target.note_finished(Work(), had_first_event=False)
             dispatcher.dispatch_queued("s", NOW)
-        assert granted == ["first", "second", "late"]
+        assert placed == ["first", "second", "late"]
 
-    def test_newcomer_does_not_overtake_its_equals(self):
-        """A place that is free goes to those that wait."""
+    def test_new_request_does_not_overtake_its_rank(self):
+        """Freed capacity goes to queued requests first."""
         targets = table(entry("a", slots=1))
         target = targets.by_id["a"]
         target.slot_s = 10.0
         target.note_sent(Work(), NOW)
         dispatcher = self.dispatcher(targets)
-        granted = []
-        dispatcher.submit(self.pending((1, 0), granted, "waits"), NOW)
+        placed = []
+        dispatcher.submit(self.pending((1, 0), placed, "waits"), NOW)
         target.note_finished(Work(), had_first_event=False)
-        assert dispatcher.submit(self.pending((1, 0), granted, "new"), NOW) is None
+        assert dispatcher.submit(self.pending((1, 0), placed, "new"), NOW) is None
         dispatcher.dispatch_queued("s", NOW)
-        assert granted == ["waits"]
+        assert placed == ["waits"]
 
-    def test_withdrawn_ticket_gets_nothing(self):
-        """A caller that left takes no place."""
+    def test_cancelled_request_is_not_placed(self):
+        """A disconnected caller must not occupy capacity."""
         targets = table(entry("a", state=TargetState.DRAINING))
         dispatcher = self.dispatcher(targets)
-        granted = []
-        pending = self.pending((0, 0), granted, "left")
+        placed = []
+        pending = self.pending((0, 0), placed, "left")
         dispatcher.submit(pending, NOW)
         assert dispatcher.cancel(pending)
         targets.update(entry("a"), NOW)
         dispatcher.dispatch_queued("s", NOW)
-        assert granted == []
+        assert placed == []
         assert not dispatcher.cancel(pending)
 
-    def test_ticket_with_exclusions_holds_nobody_up(self):
-        """One that can't use the free target lets the next one through."""
+    def test_excluded_target_does_not_block_the_queue(self):
+        """A request that can't use the free target must not delay the next one."""
         targets = table(entry("a"))
         dispatcher = self.dispatcher(targets)
-        granted = []
-        picky = self.pending((0, 0), granted, "picky")
-        picky.excluded.add("a")
-        dispatcher.submit(picky, NOW)
-        dispatcher.submit(self.pending((1, 0), granted, "other"), NOW)
+        placed = []
+        restricted = self.pending((0, 0), placed, "picky")
+        restricted.excluded.add("a")
+        dispatcher.submit(restricted, NOW)
+        dispatcher.submit(self.pending((1, 0), placed, "other"), NOW)
         dispatcher.dispatch_queued("s", NOW)
-        assert granted == ["other"]
+        assert placed == ["other"]
 
-    def test_ticket_that_is_too_late_holds_nobody_up(self):
-        """One that can't begin in time lets another through that can."""
+    def test_late_request_does_not_block_the_queue(self):
+        """A request that can't start in time must not delay one that can."""
         targets = table(entry("a"))
         target = targets.by_id["a"]
         target.fixed_s = 0.2
         for _ in range(2):
             target.note_sent(Work(), NOW)
         dispatcher = self.dispatcher(targets)
-        granted = []
-        hurried = self.pending((0, 0), granted, "hurried")
-        hurried.start_by = NOW + 0.05
-        patient = self.pending((1, 0), granted, "patient")
-        patient.start_by = NOW + 5.0
-        assert dispatcher.submit(hurried, NOW) is None
-        assert dispatcher.ineligibility_reasons(hurried, NOW) == {
+        placed = []
+        urgent = self.pending((0, 0), placed, "hurried")
+        urgent.start_by = NOW + 0.05
+        relaxed = self.pending((1, 0), placed, "patient")
+        relaxed.start_by = NOW + 5.0
+        assert dispatcher.submit(urgent, NOW) is None
+        assert dispatcher.ineligibility_reasons(urgent, NOW) == {
             "a": IneligibilityReason.TOO_LATE
         }
-        dispatcher.submit(patient, NOW)
+        dispatcher.submit(relaxed, NOW)
         dispatcher.dispatch_queued("s", NOW)
-        assert granted == ["patient"]
+        assert placed == ["patient"]
 
 
-class TestInTime:
-    """Requests whose answers should begin within a time."""
+class TestStartDeadline:
+    """Requests whose response should start within a time."""
 
     @pytest.mark.parametrize(
         ("in_flight", "within_s", "expected"),
         [(2, 0.05, None), (2, 5.0, "a"), (1, 0.05, "a")],
     )
-    def test_busy_target_gets_only_what_it_begins_in_time(
+    def test_busy_target_must_meet_the_start_deadline(
         self, in_flight, within_s, expected
     ):
-        """A late answer costs as much as one in time; an idle target loses nothing."""
+        """A mostly idle target accepts late requests, since they delay no others."""
         targets = table(entry("a", slots=4))
         target = targets.by_id["a"]
         target.fixed_s = 0.2
@@ -369,8 +369,8 @@
         assert (None if chosen is None else chosen.entry.target_id) == expected
 
 
-class TestApart:
-    """Requests under which targets ended."""
+class TestIsolation:
+    """Requests that may crash their target."""
 
     @staticmethod
     def chosen(targets, isolation_key):
@@ -383,21 +383,21 @@
         )
         return chosen.entry.target_id
 
-    def test_it_goes_to_one_of_the_emptiest(self):
-        """It takes those along that are there."""
+    def test_least_loaded_targets_are_used(self):
+        """A crash must affect few other requests."""
         targets = table(*(entry(str(number)) for number in range(9)))
         for number in range(6):
             targets.by_id[str(number)].note_sent(Work(), NOW)
         seen = {self.chosen(targets, b"%d" % each) for each in range(50)}
         assert seen == {"6", "7", "8"}
 
-    def test_all_routers_choose_alike(self):
-        """And not by chance: two requests that meet at one target meet seldom again."""
+    def test_choice_is_deterministic(self):
+        """All routers choose alike, so two such requests rarely share a target."""
         targets = table(*(entry(str(number)) for number in range(9)))
         assert len({self.chosen(targets, b"one") for _ in range(20)}) == 1
 
-    def test_slow_and_far_targets_are_not_spared(self):
-        """Only how many are there counts."""
+    def test_cost_is_ignored(self):
+        """Only the load counts, not speed or failure domain."""
         targets = table(entry("near"), entry("far", failure_domain="fd-b"))
         seen = {self.chosen(targets, b"%d" % each) for each in range(20)}
         assert seen == {"near", "far"}
--- a/libs/replay/src/berylwalk/replay/_mechanisms.py
+++ b/libs/replay/src/berylwalk/replay/_mechanisms.py
@@ -14,7 +14,7 @@
     "waiting": {"_request_deadlines.WAIT_SHARE": 0.0},
     "size-order": {"_request_queue.SIZE_WEIGHT": 0.0},
     "long-answers-to-fast-targets": {"_placement.TOO_SLOW_FACTOR": 1.0},
-    "learned-starts": {"_start_model.SOLVED_EACH": 1e9},
+    "learned-starts": {"_first_event_model.SOLVE_INTERVAL": 1e9},
 }
 """By name: settings, as module and name within `berylwalk.dispatch`, that switch a
 mechanism off. The programs that are deployed know nothing of them."""
