--- a/libs/dispatch/src/berylwalk/dispatch/_advertised_rate_limit.py
+++ b/libs/dispatch/src/berylwalk/dispatch/_advertised_rate_limit.py
@@ -75,8 +75,8 @@
             self.observed_at = sent_at
         else:
             if not is_newer and previous is not None and per_s > previous:
-                # `observed_at` stays, too: otherwise the limit could never be raised if
-                # responses take longer than the time between two of them.
+                # Neither the limit nor its time changes: a later time would block
+                # raises if responses take longer than the interval between them.
                 return False
             self._set_limit(per_s, now)
             self.observed_at = max(self.observed_at, now)
@@ -158,6 +158,6 @@
 
     def _refill(self, now: float) -> None:
         rate = self._local_rate()
-        earned = rate * max(0.0, now - self._refilled_at)
-        self._tokens = min(self._max_tokens(), self._tokens + earned)
+        added = rate * max(0.0, now - self._refilled_at)
+        self._tokens = min(self._max_tokens(), self._tokens + added)
         self._refilled_at = now
--- a/libs/dispatch/src/berylwalk/dispatch/_placement.py
+++ b/libs/dispatch/src/berylwalk/dispatch/_placement.py
@@ -267,10 +267,10 @@
         for target in targets
         if target.is_available(now)
     ]
-    least_s = min(idle_s, default=0.0)
-    if least_s <= request.start_within_s:
+    min_start_s = min(idle_s, default=0.0)
+    if min_start_s <= request.start_within_s:
         return request.start_within_s
-    return IDLE_START_FACTOR * least_s
+    return IDLE_START_FACTOR * min_start_s
 
 
 def _starts_too_late(
--- a/libs/dispatch/src/berylwalk/dispatch/_quotas.py
+++ b/libs/dispatch/src/berylwalk/dispatch/_quotas.py
@@ -221,9 +221,9 @@
         spending = self._spending(account.name)
         urgent = self.urgent_demand.demand_above(account.name, rank, now)
         if urgent is not None:
-            most_per_s = MAX_URGENT_RESERVE_SHARE * state.limit / self._rules.window_s
+            max_per_s = MAX_URGENT_RESERVE_SHARE * state.limit / self._rules.window_s
             reserve += _reserve_for(
-                urgent.capped_at(most_per_s), self._expiring(spending, now)
+                urgent.capped_at(max_per_s), self._expiring(spending, now)
             )
         # A request above the whole quota must not be delayed forever.
         needed = min(cost, 0.9 * state.limit * state.share - reserve)
@@ -237,9 +237,9 @@
     def state(self, account: Account, now: float) -> QuotaState:
         """Return the inputs of the decision on an account's requests.
 
-        Of the limits that applied within the window, the one that leaves the least is
-        used. Each is compared with the spending since it took effect, as the highest
-        limit from then on.
+        Each limit that applied within the window bounds the spending since it took
+        effect; if a later limit is higher, that one applies instead. The bound that
+        leaves the fewest units is returned.
         """
         spending = self._spending(account.name)
         limits = self._limits_in_window(account, spending, now)
@@ -320,8 +320,8 @@
         for name, total in spent_by_account.items():
             spending = self._spending(name)
             if not is_first or is_new:
-                prior = spending.spent_by_peer.get(incarnation, 0.0)
-                spending.add(total - prior, now)
+                reported = spending.spent_by_peer.get(incarnation, 0.0)
+                spending.add(total - reported, now)
             spending.spent_by_peer[incarnation] = total
 
     def forget_peer(self, incarnation: str) -> None:
--- a/libs/dispatch/src/berylwalk/dispatch/_target_table.py
+++ b/libs/dispatch/src/berylwalk/dispatch/_target_table.py
@@ -11,8 +11,9 @@
 """Coefficients of a first event model."""
 
 REMOVED_ENTRY_TTL_S = 60.0
-"""Time for which the start time of a removed target is kept, in seconds, to detect late
-entries of earlier incarnations."""
+"""Time for which the start time and flow control state of a removed target are kept, in
+seconds. Detects late entries of earlier incarnations, and restores the state if the
+same incarnation reappears."""
 
 ABSENCE_GRACE_S = 2.0
 """Time after a store outage during which expired entries may reappear, in seconds."""
@@ -44,7 +45,7 @@
         self.confirmed_at = float("-inf")
         self._lapse_grace_until = float("-inf")
         self._by_service: dict[str, list[Target]] = {}
-        self._start_models_by_service: dict[str, FirstEventModel] = {}
+        self._first_event_models_by_service: dict[str, FirstEventModel] = {}
         self._adopted_speeds_by_id: dict[str, TargetSpeed] = {}
         self._peer_loads_by_name: dict[str, dict[str, tuple[int, int]]] = {}
         self._ended_incarnations: list[Target] = []
@@ -174,7 +175,7 @@
         """Return the coefficients of the first event models by service."""
         return {
             service: model.coefficients
-            for service, model in self._start_models_by_service.items()
+            for service, model in self._first_event_models_by_service.items()
         }
 
     def adopt(
@@ -308,7 +309,9 @@
         target.peer_tokens = sum(tokens for _, tokens in loads)
 
     def _model_for(self, service: str) -> FirstEventModel:
-        return self._start_models_by_service.setdefault(service, FirstEventModel())
+        return self._first_event_models_by_service.setdefault(
+            service, FirstEventModel()
+        )
 
     def _reindex(self) -> None:
         self._by_service = {}
--- a/libs/dispatch/src/berylwalk/dispatch/_urgent_demand.py
+++ b/libs/dispatch/src/berylwalk/dispatch/_urgent_demand.py
@@ -119,9 +119,9 @@
                 entry = self._demand_by_account[name] = _RankDemand(rank)
             if rank > entry.rank:
                 continue
-            before = entry.totals_by_incarnation.get(incarnation)
-            if before is not None:
-                entry.add(total - before, now)
+            reported = entry.totals_by_incarnation.get(incarnation)
+            if reported is not None:
+                entry.add(total - reported, now)
             entry.totals_by_incarnation[incarnation] = total
 
     def forget_peer(self, incarnation: str) -> None:
--- a/libs/dispatch/tests/test_dispatch_quota.py
+++ b/libs/dispatch/tests/test_dispatch_quota.py
@@ -65,9 +65,9 @@
     def receive(self, message, now):
         """Process a message of another router."""
         number = int(message.incarnation.split("/")[0])
-        before = self.incarnation_by_number.get(number)
-        if before is not None and before != message.incarnation:
-            self.quotas.forget_peer(before)
+        previous = self.incarnation_by_number.get(number)
+        if previous is not None and previous != message.incarnation:
+            self.quotas.forget_peer(previous)
         self.incarnation_by_number[number] = message.incarnation
         self.last_heard_at[number] = now
         is_new = message.age_s < now - self.started_at
