--- a/libs/direct/src/berylwalk/direct/_exchange_log.py
+++ b/libs/direct/src/berylwalk/direct/_exchange_log.py
@@ -66,7 +66,7 @@
             ahead_tokens=estimate.ahead_tokens,
             own_tokens=estimate.own_tokens,
             expected_ms=_ms(estimate.total_s),
-            reading_ms=_ms(estimate.reading_s),
+            reading_ms=_ms(estimate.prefill_s),
             slot_wait_ms=_ms(estimate.slot_wait_s),
             in_flight=target.in_flight,
             peer_in_flight=target.peer_in_flight,
--- a/libs/direct/src/berylwalk/direct/_version_observer.py
+++ b/libs/direct/src/berylwalk/direct/_version_observer.py
@@ -71,10 +71,10 @@
         """Return the usual time to a first event or full response, or None."""
         if self._admitted.parsed_headers.work.prompt_tokens:
             model = self._target.first_event_model
-            reading_s = model.reading_s(
+            prefill_s = model.prefill_s(
                 self._token_s, estimate.ahead_tokens, estimate.own_tokens
             )
-            return model.fixed_s + reading_s + estimate.slot_wait_s
+            return model.fixed_s + prefill_s + estimate.slot_wait_s
         known = [each.slot_s for each in others if each.slot_s is not None]
         return sum(known) / len(known) + estimate.slot_wait_s if known else None
 
--- a/libs/dispatch/src/berylwalk/dispatch/_outcomes.py
+++ b/libs/dispatch/src/berylwalk/dispatch/_outcomes.py
@@ -1,4 +1,4 @@
-"""What an attempt's end means: the one table of statuses and repeats."""
+"""Outcomes of attempts, and whether a request may be retried."""
 
 from dataclasses import dataclass
 from enum import StrEnum
@@ -7,96 +7,97 @@
 
 
 class AttemptEnd(StrEnum):
-    """How one attempt at a target ended."""
+    """Outcome of one attempt at a target."""
 
     ANSWERED = "answered"
-    """A whole answer, of the target's own status."""
+    """Complete response with a status other than a server error."""
 
     NOT_SENT = "not-sent"
-    """No connection was made: the target has not seen the request."""
+    """Connection failed; the target has not received the request."""
 
     REFUSED = "refused"
-    """The target says that it did not run the request."""
+    """The target states that it did not execute the request."""
 
     FAILED = "failed"
-    """A whole answer with a server error: the request has run."""
+    """Complete response with a server error; the request was executed."""
 
     BROKEN = "broken"
-    """The connection ended, or its bytes made no answer: it may have run."""
+    """Connection closed or invalid response; the request may have been executed."""
 
     SILENT = "silent"
-    """The target sent nothing for too long: it may have run."""
+    """Timeout without a byte; the request may have been executed."""
 
 
-class Ran(StrEnum):
-    """Whether the request has run at a target."""
+class Executed(StrEnum):
+    """Whether the request was executed at a target."""
 
     NO = "no"
     MAYBE = "maybe"
 
 
-RAN_BY_END = {
-    AttemptEnd.ANSWERED: Ran.MAYBE,
-    AttemptEnd.NOT_SENT: Ran.NO,
-    AttemptEnd.REFUSED: Ran.NO,
-    AttemptEnd.FAILED: Ran.MAYBE,
-    AttemptEnd.BROKEN: Ran.MAYBE,
-    AttemptEnd.SILENT: Ran.MAYBE,
+EXECUTED_BY_END = {
+    AttemptEnd.ANSWERED: Executed.MAYBE,
+    AttemptEnd.NOT_SENT: Executed.NO,
+    AttemptEnd.REFUSED: Executed.NO,
+    AttemptEnd.FAILED: Executed.MAYBE,
+    AttemptEnd.BROKEN: Executed.MAYBE,
+    AttemptEnd.SILENT: Executed.MAYBE,
 }
 
-REFUSALS_TRIED = 3
-"""Targets that may refuse one request before it is given up."""
+MAX_REFUSALS = 3
+"""Maximum number of targets that may refuse one request before it fails."""
 
 
 @dataclass(slots=True)
 class Attempts:
-    """What has become of one request so far.
+    """Attempts of one request so far.
 
     Attributes
     ----------
     sent : int
-        Targets that have seen the request.
+        Targets that received the request.
     may_have_run : int
-        Targets at which it may have run.
+        Targets that may have executed it.
     refused : int
-        Targets that said that they didn't run it.
-    unreached : int
+        Targets that refused it.
+    unreachable : int
         Targets to which no connection was made.
     """
 
     sent: int = 0
     may_have_run: int = 0
     refused: int = 0
-    unreached: int = 0
+    unreachable: int = 0
 
     def note(self, end: AttemptEnd) -> None:
-        """Count the end of one attempt."""
+        """Count the outcome of one attempt."""
         if end is AttemptEnd.NOT_SENT:
-            self.unreached += 1
+            self.unreachable += 1
             return
         self.sent += 1
         if end is AttemptEnd.REFUSED:
             self.refused += 1
-        if RAN_BY_END[end] is Ran.MAYBE:
+        if EXECUTED_BY_END[end] is Executed.MAYBE:
             self.may_have_run += 1
 
-    def may_repeat(self, route: Route, end: AttemptEnd) -> bool:
-        """Return whether another target may be tried after an end.
+    def may_retry(self, route: Route, end: AttemptEnd) -> bool:
+        """Return whether another target may be tried after an outcome.
 
-        A request that can't be repeated goes on only if it surely has not run.
+        A request that is not repeatable is retried only if it was certainly not
+        executed.
         """
         if end is AttemptEnd.ANSWERED:
             return False
         if end is AttemptEnd.NOT_SENT:
-            return self.unreached <= REFUSALS_TRIED
+            return self.unreachable <= MAX_REFUSALS
         if end is AttemptEnd.REFUSED:
-            return self.refused <= REFUSALS_TRIED and self._has_attempts(route)
+            return self.refused <= MAX_REFUSALS and self._has_attempts(route)
         return route.repeatable and self._has_attempts(route)
 
     def final_status(self, end: AttemptEnd) -> int:
-        """Return the status for a request that is given up after an end.
+        """Return the status of a request that failed with an outcome.
 
-        503 promises that the request has not run and never will.
+        503 guarantees that the request was not executed.
         """
         if self.may_have_run:
             return 504 if end is AttemptEnd.SILENT else 502
