--- a/libs/agent/src/berylwalk/agent/_dispatch.py
+++ b/libs/agent/src/berylwalk/agent/_dispatch.py
@@ -219,7 +219,7 @@
         signals = parse_target_headers(stream.status, headers)
         if signals.problem:
             logging.warning("invalid signal of the target: %s", signals.problem)
-        if not signals.is_plain or self._shell.machine.has_active_signals:
+        if not signals.is_empty or self._shell.machine.has_active_signals:
             was_accepted = (
                 stream.status < SERVER_ERROR and stream.status != TOO_MANY_REQUESTS
             )
--- a/libs/agent/src/berylwalk/agent/_events.py
+++ b/libs/agent/src/berylwalk/agent/_events.py
@@ -3,7 +3,7 @@
 from dataclasses import dataclass
 from enum import StrEnum
 
-from berylwalk.dispatch import TargetStatement
+from berylwalk.dispatch import TargetSignals
 from berylwalk.model import Refusal, RequestId, TierPolicy
 from berylwalk.wire import ControlMessage, Datagram, Grant
 
@@ -50,7 +50,7 @@
 
     Parameters
     ----------
-    signals : TargetStatement
+    signals : TargetSignals
         Signals in the headers.
     sent_at : float
         Monotonic time at which the request was sent, in seconds.
@@ -58,7 +58,7 @@
         Whether the target accepted the request.
     """
 
-    signals: TargetStatement
+    signals: TargetSignals
     sent_at: float
     was_accepted: bool
 
--- a/libs/agent/src/berylwalk/agent/_slots.py
+++ b/libs/agent/src/berylwalk/agent/_slots.py
@@ -13,7 +13,7 @@
 )
 from berylwalk.agent._config import AgentConfig
 from berylwalk.agent._events import DispatchEnd, TargetProgress, TargetSignalsReceived
-from berylwalk.dispatch import Need, StatedNeeds
+from berylwalk.dispatch import FlowControl, FlowControlSignal
 from berylwalk.model import RequestId, TierPolicy
 from berylwalk.wire import Grant
 
@@ -63,7 +63,7 @@
         self.tiers: tuple[TierPolicy, ...] = ()
         self.running_by_id: dict[RequestId, RunningRequest] = {}
         self._now = 0.0
-        self._flow_control = StatedNeeds()
+        self._flow_control = FlowControl()
         self.reset_flow_control()
         self._held = 0
         # Counts running requests and held slots.
@@ -82,12 +82,12 @@
     @property
     def is_throttled(self) -> bool:
         """Whether the target has signaled that it accepts no requests now."""
-        return self._flow_control.obstacle(self._now) is not None
+        return self._flow_control.ineligibility_reason(self._now) is not None
 
     @property
     def is_backing_off(self) -> bool:
         """Whether the target has requested a backoff, also for held slots."""
-        return self._flow_control.rest.is_on(self._now)
+        return self._flow_control.backoff.is_on(self._now)
 
     @property
     def has_active_signals(self) -> bool:
@@ -95,12 +95,12 @@
         flow_control = self._flow_control
         return (
             flow_control.limit.per_s is not None
-            or flow_control.rest.sends_left is not None
+            or flow_control.backoff.sends_left is not None
         )
 
     def throttled_for_s(self) -> float:
         """Return the time until the target accepts requests, in seconds, if known."""
-        return max(0.0, self._flow_control.opens_at(self._now) - self._now)
+        return max(0.0, self._flow_control.available_at(self._now) - self._now)
 
     def wait_s(self, ahead: Work) -> float:
         """Return the expected wait behind queued work, in seconds."""
@@ -116,12 +116,12 @@
             event.signals, sent_at=event.sent_at, now=self._now
         )
         if event.was_accepted:
-            self._flow_control.rest.note_taken(self.limit, sent_at=event.sent_at)
-        return Need.LEAVING in changed
+            self._flow_control.backoff.note_accepted(self.limit, sent_at=event.sent_at)
+        return FlowControlSignal.LEAVING in changed
 
     def reset_flow_control(self) -> None:
         """Discard all signals of the target, as after its restart."""
-        self._flow_control = StatedNeeds()
+        self._flow_control = FlowControl()
         # All requests to the target pass through this agent.
         self._flow_control.limit.set_share(1.0, self._now)
 
--- a/libs/agent/tests/test_agent_stated_needs.py
+++ b/libs/agent/tests/test_agent_stated_needs.py
@@ -11,14 +11,14 @@
     TargetSignalsReceived,
     Tick,
 )
-from berylwalk.dispatch import TargetStatement
+from berylwalk.dispatch import TargetSignals
 from berylwalk.model import RefusalReason
 from berylwalk.wire import Queued, Ready, Withdraw
 
 
 def receive_signals(driver, *, was_accepted=True, **signals):
     """Handle the signals of a response."""
-    stated = TargetStatement(**signals)
+    stated = TargetSignals(**signals)
     driver.handle(TargetSignalsReceived(stated, driver.now - 0.1, was_accepted))
 
 
@@ -88,14 +88,14 @@
         """A request that was offered its slot before is refused too."""
         driver = Driver(initial_limit=4)
         assert driver.receive(reserve(rid(1))) == [Ready(rid(1), 1)]
-        receive_signals(driver, rest_s=3.0, was_accepted=False)
+        receive_signals(driver, retry_after_s=3.0, was_accepted=False)
         assert driver.grant(rid(1)) is RefusalReason.NO_SLOT
         assert count_dispatched(driver, 2.8) == 0
 
     def test_one_probe_precedes_further_requests(self):
         """After a backoff, one request is sent until the target accepts it."""
         driver = Driver(initial_limit=4)
-        receive_signals(driver, rest_s=1.0, was_accepted=False)
+        receive_signals(driver, retry_after_s=1.0, was_accepted=False)
         driver.handle(Tick(), after=1.0)
         assert driver.grant(rid(1), conditional=True) is None
         assert driver.grant(rid(2), conditional=True) is RefusalReason.NO_SLOT
--- a/libs/direct/src/berylwalk/direct/_attempt.py
+++ b/libs/direct/src/berylwalk/direct/_attempt.py
@@ -1,74 +1,73 @@
-"""One send of a request to one target."""
+"""A single attempt of a request at one target."""
 
 from collections.abc import Callable
 
 from anyio import Event as Signal
 
 from berylwalk.direct._response_writer import ResponseWriter
-from berylwalk.dispatch import NOTHING_STATED, AttemptEnd, TargetStatement
+from berylwalk.dispatch import NO_SIGNALS, AttemptEnd, TargetSignals
 from berylwalk.forwarding import EventSplitter, Headers, ResponseEnd, header_value
 from berylwalk.platform import REQUEST_ID_HEADER, is_not_executed, parse_target_headers
 
 MAX_BUFFERED_BYTES = 8 * 1024 * 1024
 SPEED_REPORT_EVENTS = 8
-"""Events of a stream after which its speed is told: a slow target shows within a
-second or less, and not only at the end of a long answer."""
+"""Events of a stream after which the output speed of the target is updated."""
 EVENT_STREAM = b"text/event-stream"
 
 
 class Attempt:
-    """Takes the answer of one target.
+    """Receives the response of one target.
 
-    Events of a stream are passed on as they arrive. Any other answer is held
-    until it is whole, so that a broken one can be told from it.
+    The events of a stream are forwarded as they arrive. Any other response is
+    buffered until it is complete, so that a truncated one is not forwarded.
 
     Parameters
     ----------
-    relay : Relay
-        The caller's side.
+    response_writer : ResponseWriter
+        Writes the response to the caller.
     request_id : bytes
-        What the answer has to repeat.
+        Id that the response has to echo.
     expects_stream : bool
-        Whether a success is passed on event by event.
+        Whether a successful response is forwarded event by event.
     clock : callable
         Time of the loop, in seconds.
     on_first_event : callable
         Called when the first event has arrived.
     on_output : callable
-        Called now and then with a number of events and the seconds that they took.
-    on_statement : callable
-        Called with what the head of the answer states of the target, and its status.
+        Called periodically with a number of events and their duration in seconds.
+    on_signals : callable
+        Called with the signals in the response headers, and the status.
 
     Attributes
     ----------
     done : Signal
-        Set at the end.
+        Set when the attempt has ended.
     end : AttemptEnd or None
-        How it ended.
+        How the attempt ended; None while it runs.
     target_unreachable : bool
-        Whether it was given up since the target seems not to be there.
+        Whether the attempt was abandoned because the target is unreachable.
     target_ended : bool
-        Whether the target seems to have ended while it ran the request.
+        Whether the target appears to have terminated while it ran the request.
     """
 
     def __init__(
         self,
-        relay: ResponseWriter,
+        response_writer: ResponseWriter,
         *,
         request_id: bytes,
         expects_stream: bool,
         clock: Callable[[], float],
         on_first_event: Callable[[], None],
         on_output: Callable[[int, float], None],
-        on_statement: Callable[[TargetStatement, int], None],
+        on_signals: Callable[[TargetSignals, int], None],
     ) -> None:
-        self._response_writer = relay
+        self._response_writer = response_writer
         self._request_id = request_id
         self._expects_stream = expects_stream
         self._clock = clock
         self._on_first_event = on_first_event
         self._on_output = on_output
-        self._on_statement = on_statement
+        self._on_signals = on_signals
         self._events_reported = 0
         self._reported_at = 0.0
         self._splitter: EventSplitter | None = None
@@ -76,7 +75,7 @@
         self._body_bytes = 0
         self.status = 0
         self.headers: Headers = []
-        self.statement = NOTHING_STATED
+        self.signals = NO_SIGNALS
         self.done = Signal()
         self.end: AttemptEnd | None = None
         self.detail = ""
@@ -89,36 +88,36 @@
 
     @property
     def is_stream(self) -> bool:
-        """Whether the answer is passed on event by event."""
+        """Whether the response is forwarded event by event."""
         return self._splitter is not None
 
     @property
     def body(self) -> bytes:
-        """Body of an answer that is no stream."""
+        """Body of a response that is not a stream."""
         return b"".join(self._body)
 
     def on_head(self, status: int, headers: Headers) -> None:
-        """Take the status and headers."""
+        """Handle the status and headers."""
         self.status = status
         self.headers = headers
-        self.statement = parse_target_headers(status, headers)
-        self._on_statement(self.statement, status)
+        self.signals = parse_target_headers(status, headers)
+        self._on_signals(self.signals, status)
         content_type = header_value(headers, b"content-type") or b""
         if self._expects_stream and status == 200 and EVENT_STREAM in content_type:
             if header_value(headers, REQUEST_ID_HEADER) != self._request_id:
-                self._finish(AttemptEnd.BROKEN, "the answer names no request")
+                self._finish(AttemptEnd.BROKEN, "response does not echo the request id")
                 return
             self._splitter = EventSplitter()
 
     def on_data(self, data: bytes) -> None:
-        """Take a part of the body."""
+        """Handle a chunk of the body."""
         if self.end is not None:
             return
         if self._splitter is None:
             self._body.append(data)
             self._body_bytes += len(data)
             if self._body_bytes > MAX_BUFFERED_BYTES:
-                self._finish(AttemptEnd.BROKEN, "the answer is too long")
+                self._finish(AttemptEnd.BROKEN, "response exceeds the buffer limit")
             return
         try:
             events = self._splitter.feed(data)
@@ -148,7 +147,7 @@
         self._reported_at = now
 
     def on_end(self, end: ResponseEnd, detail: str) -> None:
-        """Take the end of the answer."""
+        """Handle the end of the response."""
         if self.end is not None:
             return
         self.target_ended = end is ResponseEnd.CLOSED
@@ -156,7 +155,7 @@
             self._finish(AttemptEnd.BROKEN, f"{end}: {detail}")
         elif self._splitter is not None:
             if self._splitter.has_partial_event:
-                self._finish(AttemptEnd.BROKEN, "the last event is not whole")
+                self._finish(AttemptEnd.BROKEN, "stream ends with a partial event")
             else:
                 if self.last_event_at is not None:
                     self._report_output(self.last_event_at)
@@ -165,12 +164,12 @@
             self._finish(*self._classify_answer())
 
     def record_buffered_answer(self) -> None:
-        """Count an answer that is no stream as its own first event."""
+        """Record a buffered response as its own first event."""
         self.first_event_at = self._clock()
         self._on_first_event()
 
     def abort_target_ended(self, detail: str) -> None:
-        """End it, for the target has ended."""
+        """Abort the attempt because the target process has terminated."""
         if self.end is None:
             self.target_ended = True
             self._finish(AttemptEnd.BROKEN, detail)
@@ -178,16 +177,16 @@
     def abandon(
         self, end: AttemptEnd, detail: str, *, target_unreachable: bool = False
     ) -> None:
-        """End it without waiting for the target.
+        """End the attempt without waiting for the target.
 
         Parameters
         ----------
         end : AttemptEnd
-            How it ends.
+            How the attempt ends.
         detail : str
-            Why, for logs.
+            Reason, for logs.
         target_unreachable : bool
-            Whether the target seems not to be there.
+            Whether the target is considered unreachable.
         """
         self.target_unreachable = target_unreachable
         self._finish(end, detail)
@@ -199,7 +198,7 @@
             return AttemptEnd.FAILED, f"status {self.status}"
         named = header_value(self.headers, REQUEST_ID_HEADER)
         if self.status < 300 and named != self._request_id:
-            return AttemptEnd.BROKEN, "the answer names no request"
+            return AttemptEnd.BROKEN, "response does not echo the request id"
         return AttemptEnd.ANSWERED, ""
 
     def _finish(self, end: AttemptEnd, detail: str) -> None:
--- a/libs/direct/src/berylwalk/direct/_shared_reads.py
+++ b/libs/direct/src/berylwalk/direct/_shared_reads.py
@@ -1,14 +1,13 @@
-"""One reading of the store for many routers.
+"""Shares reads of the store between routers.
 
-In a fleet that tells news by failure domain, the first router of each domain that is
-heard reads the store, a little more often than it would for itself. The others ask it
-how fresh its knowledge is and what changed, and make no calls while that is enough. If
-it does not answer, or what it knows grows old, they ask the reader of another domain,
-and if that is old as well, they read the store themselves, as a router alone does.
+In a fleet of several failure domains, the first live router of each domain reads the
+store for all. The others poll it for the age and the changes of its data and make no
+store calls while that is fresh enough. If it does not answer or its data is too old,
+they poll the reader of another domain, and as a last resort read the store themselves.
 
-Nothing is agreed: who reads follows from who is heard, several readers do no harm, and
-every word is dated by the question that it answers, so that a router that was paused,
-cut off or restarted can't make another one believe for longer than its bounds allow.
+There is no election: the reader follows from the set of live peers, and several readers
+do no harm. The age of data is counted from the query that it answers, so a router that
+was paused, partitioned or restarted can't pass off outdated data as fresh.
 """
 
 from collections.abc import Callable, Iterable
@@ -25,39 +24,38 @@
 from berylwalk.reading import PendingSyncs, StoreSyncReply, StoreSyncRequest
 
 MAX_AGE_S = 1e6
-"""Logged for what was never known."""
+"""Logged for data that was never received."""
 QUERY_INTERVAL_S = 0.4
-"""Time between two questions: a fifth of the age up to which their answers are enough
-in fleets whose bounds are four seconds."""
+"""Interval between two queries."""
 
 
 class ReadMode(StrEnum):
-    """How a router comes to know the store."""
+    """Source of a router's data about the store."""
 
     READER = "reads-for-others"
-    """It reads, and others go by its word."""
+    """Reads the store and answers the queries of other routers."""
 
     STANDALONE = "reads-alone"
-    """It reads for itself: the fleet is small, or the word of others is too old."""
+    """Reads the store for itself: the fleet is small or peer data is too old."""
 
     FOLLOWER = "goes-by-the-word-of-others"
 
 
 GAUGE_VALUE_BY_MODE = {ReadMode.FOLLOWER: 0, ReadMode.STANDALONE: 1, ReadMode.READER: 2}
-"""How metrics show the way."""
+"""Value of the metric for each mode."""
 
 Send = Callable[[bytes, Iterable[Peer]], None]
 
 
 class SharedReads:
-    """Asks and tells what is known of the store.
+    """Queries other routers for data of the store and answers their queries.
 
     Parameters
     ----------
     context : RouterContext
-        The router's state.
-    store_health : StoreReach
-        Whether the store answers this router.
+        Shared state of the router.
+    store_health : StoreHealth
+        Tracks whether the store answers this router.
     send : callable
         Sends a message to peers.
     """
@@ -70,32 +68,32 @@
         self._send = send
         self._pending = PendingSyncs()
         self._mirrors_by_name: dict[str, MirroredPrefix] = {}
-        self._remote_turns = count()
+        self._remote_domain_index = count()
         self._mode: ReadMode | None = None
         self._last_source = ""
 
     def add(self, mirror: MirroredPrefix) -> None:
-        """Ask and tell of some items from now on."""
+        """Start sharing a mirror."""
         self._mirrors_by_name[mirror.name] = mirror
 
     def remove(self, mirror: MirroredPrefix) -> None:
-        """Ask and tell of some items no more."""
+        """Stop sharing a mirror."""
         self._mirrors_by_name.pop(mirror.name, None)
 
     def serves_peers(self) -> bool:
-        """Return whether other routers take this one's word."""
+        """Return whether other routers rely on the data of this one."""
         peers = self._context.peers
-        is_shared = bool(peers.far_domains())
+        is_shared = bool(peers.relayed_domains())
         return is_shared and peers.is_relay(self._context.clock())
 
     def follows_peers(self) -> bool:
-        """Return whether this router takes the word of others in place of calls."""
-        if not self._context.peers.far_domains():
+        """Return whether this router uses the data of peers instead of store calls."""
+        if not self._context.peers.relayed_domains():
             return False
         return not self.serves_peers() and self._store_health.accepts_peer_data()
 
     async def run(self) -> None:
-        """Ask for ever."""
+        """Send queries forever."""
         while True:
             await sleep(QUERY_INTERVAL_S)
             self._update_mode()
@@ -104,7 +102,7 @@
 
     @property
     def mode(self) -> ReadMode:
-        """How this router comes to know the store now."""
+        """Source of this router's data at present."""
         if self.serves_peers():
             return ReadMode.READER
         return (
@@ -132,63 +130,65 @@
 
     def _peers_to_query(self) -> list[Peer]:
         peers, now = self._context.peers, self._context.clock()
-        far_domains = sorted(peers.far_domains())
-        if not far_domains or not self._store_health.accepts_peer_data():
+        relayed_domains = sorted(peers.relayed_domains())
+        if not relayed_domains or not self._store_health.accepts_peer_data():
             return []
         self._pending.retain(set(peers.by_name))
-        reader = None if peers.is_relay(now) else peers.first_near(now)
-        asked = [] if reader is None else [reader]
-        answers = reader is not None and not self._pending.has_unanswered(reader.name)
-        if not answers and not self._is_fresh():
-            asked += self._remote_reader(far_domains, now)
-        return asked
+        reader = None if peers.is_relay(now) else peers.first_direct_peer(now)
+        queried = [] if reader is None else [reader]
+        reader_responds = reader is not None and not self._pending.has_unanswered(
+            reader.name
+        )
+        if not reader_responds and not self._is_fresh():
+            queried += self._remote_reader(relayed_domains, now)
+        return queried
 
     def _is_fresh(self) -> bool:
         return all(mirror.is_fresh for mirror in self._mirrors_by_name.values())
 
-    def _remote_reader(self, far_domains: list[str], now: float) -> list[Peer]:
-        """Return the reader of another failure domain, another one each time."""
-        turn = next(self._remote_turns) % len(far_domains)
-        reader = self._context.peers.relay_of(far_domains[turn], now)
+    def _remote_reader(self, relayed_domains: list[str], now: float) -> list[Peer]:
+        """Return the reader of another failure domain; a different domain each time."""
+        index = next(self._remote_domain_index) % len(relayed_domains)
+        reader = self._context.peers.relay_of(relayed_domains[index], now)
         return [] if reader is None else [reader]
 
     def _send_query(self, peer: Peer) -> None:
         settings = self._context.settings
-        ask = StoreSyncRequest(
+        request = StoreSyncRequest(
             settings.name,
             settings.caller_address.host,
             settings.peer_port,
             self._pending.start(peer.name, self._context.clock()),
             {name: each.revision for name, each in self._mirrors_by_name.items()},
         )
-        self._send(msgpack.encode(ask), [peer])
+        self._send(msgpack.encode(request), [peer])
 
-    def handle_query(self, ask: StoreSyncRequest) -> None:
-        """Answer with what is known here."""
-        words = [
-            self._mirrors_by_name[name].word(since)
-            for name, since in ask.revisions.items()
+    def handle_query(self, request: StoreSyncRequest) -> None:
+        """Answer a query with the data of the own mirrors."""
+        deltas = [
+            self._mirrors_by_name[name].delta(since)
+            for name, since in request.revisions.items()
             if name in self._mirrors_by_name
         ]
-        tell = StoreSyncReply(
+        reply = StoreSyncReply(
             self._context.settings.name,
-            ask.number,
-            [word for word in words if word is not None],
+            request.number,
+            [delta for delta in deltas if delta is not None],
         )
-        asker = Peer(ask.sender, ask.host, ask.port, "")
-        self._send(msgpack.encode(tell), [asker])
+        requester = Peer(request.sender, request.host, request.port, "")
+        self._send(msgpack.encode(reply), [requester])
 
-    def handle_reply(self, tell: StoreSyncReply) -> None:
-        """Take what another router knows."""
-        asked_at = self._pending.resolve(tell.number, tell.sender)
-        if asked_at is None or not self._store_health.accepts_peer_data():
+    def handle_reply(self, reply: StoreSyncReply) -> None:
+        """Apply the data of another router."""
+        requested_at = self._pending.resolve(reply.number, reply.sender)
+        if requested_at is None or not self._store_health.accepts_peer_data():
             return
-        self._last_source = tell.sender
-        for word in tell.deltas:
-            mirror = self._mirrors_by_name.get(word.name)
+        self._last_source = reply.sender
+        for delta in reply.deltas:
+            mirror = self._mirrors_by_name.get(delta.name)
             if mirror is None:
                 continue
-            is_all = mirror.take_word(word, asked_at)
-            self._store_health.record_peer_answer(asked_at - word.age_s)
-            outcome = "taken" if is_all else "changes-not-told"
-            self._context.metrics.words.labels(word.name, outcome).inc()
+            is_complete = mirror.apply_delta(delta, requested_at)
+            self._store_health.record_peer_answer(requested_at - delta.age_s)
+            outcome = "taken" if is_complete else "changes-not-told"
+            self._context.metrics.store_deltas.labels(delta.name, outcome).inc()
--- a/libs/direct/src/berylwalk/direct/_version_observer.py
+++ b/libs/direct/src/berylwalk/direct/_version_observer.py
@@ -1,8 +1,7 @@
-"""What the answer of one send says of the version of its target.
+"""Classifies responses of targets to judge versions during a roll-out.
 
-Load pattern: routes whose prompts differ a hundredfold, at targets whose speeds differ
-several times and that are busy. An answer is slow against what the service's targets
-take for such a request behind the same prompts, not against others of its version.
+Response times are compared with the usual times of the service's other targets for the
+same kind of request, since prompts and the speeds of targets vary widely.
 """
 
 from collections.abc import Sequence
@@ -10,30 +9,31 @@
 from berylwalk.direct._admission import Admitted
 from berylwalk.direct._attempt import Attempt
 from berylwalk.direct._context import RouterContext
-from berylwalk.dispatch import AttemptEnd, ExpectedStart, Target, mean_token_s
+from berylwalk.dispatch import AttemptEnd, FirstEventEstimate, Target, mean_token_s
 from berylwalk.rollout import AnswerKind
 
 SLOW_FACTOR = 3.5
-"""Times as long as is typical from which an answer is slow: targets of one version
-differ less in most answers, and a bad version's are several times later."""
+"""Multiple of the usual time from which a response is slow."""
 SLOW_MARGIN_S = 0.05
-"""Time above what is typical from which an answer is slow, in seconds."""
+"""Time above that multiple from which a response is slow, in seconds."""
 FAILED_ENDS = (AttemptEnd.FAILED, AttemptEnd.BROKEN, AttemptEnd.SILENT)
 
 
 class VersionObserver:
-    """Notes one send to a service that is under a roll-out; made when it begins.
+    """Observes one attempt at a service that is being rolled out.
+
+    Created when the attempt starts.
 
     Parameters
     ----------
     context : RouterContext
-        The router's state.
+        Shared state of the router.
     admitted : Admitted
         The request.
     target : Target
-        Where it is sent.
-    start : ExpectedStart
-        When its first event is expected there.
+        Target of the attempt.
+    estimate : FirstEventEstimate
+        Estimate of the time to the first event.
     """
 
     def __init__(
@@ -41,17 +41,17 @@
         context: RouterContext,
         admitted: Admitted,
         target: Target,
-        start: ExpectedStart,
+        estimate: FirstEventEstimate,
     ) -> None:
         self._context = context
         self._admitted = admitted
         self._target = target
         progress = context.rollouts.progress(admitted.service)
         version = progress.order.version
-        self._row = context.rollouts.answer_key(
+        self._answer_key = context.rollouts.answer_key(
             admitted.service,
             target.entry.version,
-            target.entry.life_id,
+            target.entry.incarnation_id,
             admitted.route.name,
             context.clock(),
         )
@@ -63,70 +63,70 @@
             if each.entry.version != version
         ]
         self._token_s = mean_token_s(others)
-        self._typical_s = self._typical_start_s(others, start)
+        self._typical_s = self._typical_start_s(others, estimate)
 
     def _typical_start_s(
-        self, others: Sequence[Target], start: ExpectedStart
+        self, others: Sequence[Target], estimate: FirstEventEstimate
     ) -> float | None:
-        """Return what a first event, or a plain answer, takes; None if unknown."""
-        if self._admitted.facts.work.prompt_tokens:
-            model = self._target.start_model
+        """Return the usual time to a first event or full response, or None."""
+        if self._admitted.parsed_headers.work.prompt_tokens:
+            model = self._target.first_event_model
             reading_s = model.reading_s(
-                self._token_s, start.ahead_tokens, start.own_tokens
+                self._token_s, estimate.ahead_tokens, estimate.own_tokens
             )
-            return model.fixed_s + reading_s + start.slot_wait_s
+            return model.fixed_s + reading_s + estimate.slot_wait_s
         known = [each.slot_s for each in others if each.slot_s is not None]
-        return sum(known) / len(known) + start.slot_wait_s if known else None
+        return sum(known) / len(known) + estimate.slot_wait_s if known else None
 
     def record(self, attempt: Attempt, elapsed_s: float, tokens_per_event: int) -> None:
-        """Count the answer.
+        """Count the response.
 
         Parameters
         ----------
         attempt : Attempt
-            How the send ended.
+            The attempt, which has ended.
         elapsed_s : float
-            Time since the send, in seconds.
+            Time since it was sent, in seconds.
         tokens_per_event : int
-            Output tokens in an event of a stream.
+            Output tokens per event of a stream.
         """
         rollouts, service = self._context.rollouts, self._admitted.service
         kind = self._classify(attempt, elapsed_s, tokens_per_event)
         if kind is None:
             return
         if attempt.target_ended:
-            life_id = self._target.entry.life_id
-            rollouts.record_crash(service, life_id, is_new=self._is_new)
+            incarnation_id = self._target.entry.incarnation_id
+            rollouts.record_crash(service, incarnation_id, is_new=self._is_new)
             return
         if not self._is_new:
             rollouts.record_duration(service, elapsed_s)
         self._count(kind)
 
     def check_progress(self, attempt: Attempt, elapsed_s: float) -> None:
-        """Count an answer as slow as soon as it is: its end may be seconds away.
+        """Count a response as slow as soon as it is late, before the attempt ends.
 
         Parameters
         ----------
         attempt : Attempt
-            The send, which goes on.
+            The attempt, which is running.
         elapsed_s : float
-            Time since the send, in seconds.
+            Time since it was sent, in seconds.
         """
         if attempt.first_event_at is None and self._is_late(elapsed_s):
             self._count(AnswerKind.SLOW)
 
     def _count(self, kind: AnswerKind) -> None:
-        """Count the answer, once."""
+        """Count the response once."""
         if self._is_counted:
             return
         self._is_counted = True
         context, service = self._context, self._admitted.service
-        context.rollouts.record_answer(service, self._row, kind, context.clock())
+        context.rollouts.record_answer(service, self._answer_key, kind, context.clock())
 
     def _classify(
         self, attempt: Attempt, elapsed_s: float, tokens_per_event: int
     ) -> AnswerKind | None:
-        """Return what it says of the version; None if nothing."""
+        """Return the class of the response; None if it is not conclusive."""
         if attempt.end in FAILED_ENDS:
             return AnswerKind.FAILED
         if attempt.end is AttemptEnd.ANSWERED:
