--- a/libs/admission/src/berylwalk/admission/_admission_queue.py
+++ b/libs/admission/src/berylwalk/admission/_admission_queue.py
@@ -37,7 +37,7 @@
 
     Parameters
     ----------
-    place_of : callable
+    scheduling_key : callable
         Computes the key of an entry; `tiered_scheduling_key` or
         `fifo_scheduling_key`.
     """
@@ -133,7 +133,7 @@
 
         Returns
         -------
-        WaitingEntry or None
+        QueueEntry or None
             The entry, or None if it was absent.
         """
         entry = self._entries_by_key.pop(key, None)
--- a/libs/admission/src/berylwalk/admission/_concurrency_limit.py
+++ b/libs/admission/src/berylwalk/admission/_concurrency_limit.py
@@ -6,8 +6,8 @@
 
 WINDOW_S = 0.25
 MIN_GAP_TOKENS = 4
-# A time to first token above the sum of these allowances means that the request
-# was queued inside the target.
+# A time to first token above this many prefill times and token gaps, plus the
+# allowance, means that the request was queued inside the target.
 PREFILL_FACTOR = 4.0
 GAPS_TO_FIRST_TOKEN = 10.0
 QUEUE_ALLOWANCE_S = 0.05
@@ -30,7 +30,7 @@
         Computes the next limit.
     initial, minimum, maximum : int
         Initial limit and its bounds.
-    targets : SlotTargets
+    latency_targets : LatencyTargets, optional
         Desired latency.
     window_s : float
         Length of a window, in seconds.
@@ -65,7 +65,7 @@
 
         Parameters
         ----------
-        slowness : float
+        slowdown : float
             Factor by which the target is slower than its baseline; divides the
             limit.
         """
--- a/libs/admission/src/berylwalk/admission/_fair_queue.py
+++ b/libs/admission/src/berylwalk/admission/_fair_queue.py
@@ -27,7 +27,7 @@
         return QUANTUM_S * self.weight
 
     def rounds_needed(self, cost: float) -> int:
-        """Return after how many rounds the account can afford an entry of this cost."""
+        """Return the number of rounds until the account can afford a cost."""
         missing = cost - self.deficit
         return max(ceil(missing / self.credit), 0)
 
--- a/libs/admission/src/berylwalk/admission/_limit_rules.py
+++ b/libs/admission/src/berylwalk/admission/_limit_rules.py
@@ -13,7 +13,7 @@
 
     Parameters
     ----------
-    pressure : float
+    latency_ratio : float
         Observed latency divided by the desired one; the larger of the ratios for
         the token gap and the first token. Above 1 the target is overloaded.
     saturated : bool
--- a/libs/admission/src/berylwalk/admission/_policies.py
+++ b/libs/admission/src/berylwalk/admission/_policies.py
@@ -16,7 +16,7 @@
 
     Parameters
     ----------
-    place_of : callable
+    scheduling_key : callable
         Computes the scheduling key of a queue entry.
     limit_rule : LimitRule
         Adapts the concurrency limit.
--- a/libs/admission/src/berylwalk/admission/_queue_entries.py
+++ b/libs/admission/src/berylwalk/admission/_queue_entries.py
@@ -10,7 +10,7 @@
     """State of an entry of the admission queue."""
 
     QUEUED = auto()
-    """Queued."""
+    """Eligible to be taken."""
 
     TAKEN = auto()
     """Taken from the queue and charged to its account, but not yet removed."""
@@ -36,9 +36,13 @@
     prompt_tokens, output_tokens : float
         Expected size, in tokens.
     cost : float
-        Expected service time at nominal speed, in seconds of service.
+        Expected service time at nominal speed, in seconds.
     deadline_at : float
-        Monotonic time, in seconds.
+        Monotonic time of the deadline, in seconds.
+    sequence : int
+        Order of arrival; set by the queue.
+    state : EntryState
+        Set by the queue.
     """
 
     key: Hashable
--- a/libs/agent/src/berylwalk/agent/_digests.py
+++ b/libs/agent/src/berylwalk/agent/_digests.py
@@ -25,7 +25,7 @@
         Failure domain and push interval.
     slots : Slots
         Running requests and observed speed.
-    waiting : WaitingList
+    waiting : AdmissionQueue
         Queue of reservations.
     target : Target
         Resources and state of the target.
--- a/libs/agent/src/berylwalk/agent/_grants.py
+++ b/libs/agent/src/berylwalk/agent/_grants.py
@@ -53,7 +53,7 @@
             The grant.
         now : float
             Monotonic time, in seconds.
-        router_gone : bool
+        is_stale_router : bool
             Whether a newer incarnation of its router is known.
 
         Returns
--- a/libs/agent/src/berylwalk/agent/_machine.py
+++ b/libs/agent/src/berylwalk/agent/_machine.py
@@ -171,7 +171,7 @@
     def _handle(self, event: AgentEvent, now: float) -> list[AgentAction]:
         match event:
             case GrantArrived(grant):
-                return [self._judge_grant(grant, now)]
+                return [self._admit_grant(grant, now)]
             case DatagramArrived(datagram):
                 self._receive(datagram, now)
             case DispatchEnded(request_id, end):
@@ -193,7 +193,7 @@
                 self._reservations.refuse_all(RefusalReason.LEAVING, now)
         return []
 
-    def _judge_grant(self, grant: Grant, now: float) -> StartDispatch | RefuseGrant:
+    def _admit_grant(self, grant: Grant, now: float) -> StartDispatch | RefuseGrant:
         router, incarnation, _ = grant.request_id
         status = self._record_message(router, incarnation, now)
         refusal = self._grants.admit(
--- a/tests/fuzz/machines.py
+++ b/tests/fuzz/machines.py
@@ -25,7 +25,7 @@
 
 
 def new_agent_machine(agent: str, incarnation: int) -> AgentMachine:
-    """Return an agent with few slots and a short waiting list."""
+    """Return an agent with few slots and a short queue."""
     forgets = agent == FORGETFUL_AGENT
     config = AgentConfig(
         agent_id=agent,
--- a/tests/fuzz/nodes.py
+++ b/tests/fuzz/nodes.py
@@ -40,6 +40,6 @@
         return self.node_id, self.incarnation
 
     def waiting(self) -> WaitingById:
-        """Return an agent's waiting list; no public view tells the states."""
+        """Return the entries of an agent's queue, including their states."""
         entries = self.machine._reservations.waiting
         return {entry.key: Waiting(entry.rank, entry.state) for entry in entries}
--- a/tests/fuzz/oracle.py
+++ b/tests/fuzz/oracle.py
@@ -18,7 +18,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Waiting:
-    """One entry of an agent's waiting list."""
+    """Entry of an agent's queue."""
 
     rank: int
     state: EntryState
