--- a/libs/admin/src/berylwalk/admin/__init__.py
+++ b/libs/admin/src/berylwalk/admin/__init__.py
@@ -27,7 +27,7 @@
     TargetStatus,
     TierStatus,
 )
-from berylwalk.admin._submit_answers import AcceptedChange
+from berylwalk.admin._submit_responses import AcceptedChange
 
 __all__ = [
     "ROOT_PATH",
--- a/libs/admin/src/berylwalk/admin/_app.py
+++ b/libs/admin/src/berylwalk/admin/_app.py
@@ -9,15 +9,15 @@
     BODY_TIMEOUT_S,
     MAX_BODY_BYTES,
     AdminCall,
-    Answer,
     Application,
     Handler,
     Receive,
+    Response,
     RouteKey,
     Scope,
     Send,
 )
-from berylwalk.admin._credentials import author_of
+from berylwalk.admin._credentials import author_from_header
 from berylwalk.admin._fleet_routes import fleet_routes
 from berylwalk.admin._orders import OrderService
 from berylwalk.admin._problems import Problem, ProblemError, ProblemKind
@@ -81,7 +81,7 @@
             handler, argument = _find_handler(scope, handlers_by_route)
             body = await _read_whole_body(receive)
             query = dict(parse_qsl(scope["query_string"].decode("latin-1")))
-            answer = await handler(AdminCall(author, argument, query, headers, body))
+            response = await handler(AdminCall(author, argument, query, headers, body))
         except ProblemError as error:
             await send_json(send, error.status, error.problem, error.headers)
         except AbortConnection:
@@ -91,13 +91,13 @@
             problem = Problem(ProblemKind.INTERNAL, "an internal error; see the logs")
             await send_json(send, 500, problem)
         else:
-            await _send_answer(send, answer)
+            await _send_response(send, response)
 
     return application
 
 
 def _authenticate(headers: Mapping[str, str], credentials: tuple[str, ...]) -> str:
-    author = author_of(headers.get("authorization", ""), credentials)
+    author = author_from_header(headers.get("authorization", ""), credentials)
     if author is None:
         problem = Problem(ProblemKind.DENIED, "the bearer token is missing or wrong")
         raise ProblemError(401, problem, {"WWW-Authenticate": "Bearer"})
@@ -145,18 +145,18 @@
     return body
 
 
-async def _send_answer(send: Send, answer: Answer) -> None:
-    if not isinstance(answer.document, str):
-        await send_json(send, 200, answer.document, answer.headers)
+async def _send_response(send: Send, response: Response) -> None:
+    if not isinstance(response.document, str):
+        await send_json(send, 200, response.document, response.headers)
         return
-    body = answer.document.encode()
+    body = response.document.encode()
     headers = [
         (b"content-type", b"text/plain; charset=utf-8"),
         (b"content-length", str(len(body)).encode()),
     ]
     headers += [
         (name.lower().encode(), value.encode())
-        for name, value in answer.headers.items()
+        for name, value in response.headers.items()
     ]
     await send_start(send, 200, headers)
     await send_end(send, body)
--- a/libs/admin/src/berylwalk/admin/_calls.py
+++ b/libs/admin/src/berylwalk/admin/_calls.py
@@ -34,7 +34,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Answer:
+class Response:
     """A successful answer.
 
     Parameters
@@ -53,6 +53,6 @@
 Receive = Callable[[], Awaitable[MutableMapping[str, Any]]]
 Send = Callable[[MutableMapping[str, Any]], Awaitable[None]]
 Application = Callable[[Scope, Receive, Send], Awaitable[None]]
-Handler = Callable[[AdminCall], Awaitable[Answer]]
+Handler = Callable[[AdminCall], Awaitable[Response]]
 RouteKey = tuple[str, str]
 """Method and path; a path that ends with a slash takes one more segment."""
--- a/libs/admin/src/berylwalk/admin/_credentials.py
+++ b/libs/admin/src/berylwalk/admin/_credentials.py
@@ -5,10 +5,10 @@
 from hmac import compare_digest
 
 _SCHEME = "bearer"
-_AUTHOR_DIGITS = 12
+_AUTHOR_DIGEST_LENGTH = 12
 
 
-def author_of(authorization: str, credentials: Iterable[str]) -> str | None:
+def author_from_header(authorization: str, credentials: Iterable[str]) -> str | None:
     """Find out who sends a request.
 
     The time that it takes does not depend on how much of a token is right, nor
@@ -32,4 +32,4 @@
     # Headers were decoded as Latin-1; this gives back the bytes that were sent.
     digest = sha256(token.strip().encode("latin-1")).hexdigest()
     matches = [compare_digest(digest, credential) for credential in credentials]
-    return f"operator-{digest[:_AUTHOR_DIGITS]}" if any(matches) else None
+    return f"operator-{digest[:_AUTHOR_DIGEST_LENGTH]}" if any(matches) else None
--- a/libs/admin/src/berylwalk/admin/_fleet_routes.py
+++ b/libs/admin/src/berylwalk/admin/_fleet_routes.py
@@ -5,7 +5,7 @@
 from absl import logging
 from msgspec import Struct
 
-from berylwalk.admin._calls import AdminCall, Answer, Handler, RouteKey
+from berylwalk.admin._calls import AdminCall, Handler, Response, RouteKey
 from berylwalk.admin._inputs import read_json
 from berylwalk.admin._orders import OrderBody, OrderService
 from berylwalk.admin._problems import Problem, ProblemError, ProblemKind, invalid
@@ -54,16 +54,16 @@
         Paths are relative to the root of the API.
     """
 
-    async def get_targets(call: AdminCall) -> Answer:
-        return Answer(Targets(fleet.targets()))
+    async def get_targets(call: AdminCall) -> Response:
+        return Response(Targets(fleet.targets()))
 
-    async def get_nodes(call: AdminCall) -> Answer:
-        return Answer(Nodes(fleet.nodes()))
+    async def get_nodes(call: AdminCall) -> Response:
+        return Response(Nodes(fleet.nodes()))
 
-    async def get_tiers(call: AdminCall) -> Answer:
-        return Answer(Tiers(fleet.tiers()))
+    async def get_tiers(call: AdminCall) -> Response:
+        return Response(Tiers(fleet.tiers()))
 
-    async def post_order(call: AdminCall) -> Answer:
+    async def post_order(call: AdminCall) -> Response:
         if orders is None:
             detail = "this router passes on no orders to engines"
             raise ProblemError(501, Problem(ProblemKind.UNSUPPORTED, detail))
@@ -74,7 +74,7 @@
         result = await orders.send(order)
         _log_order(order, result, call.author)
         if result.outcome is OrderOutcome.DONE:
-            return Answer(result)
+            return Response(result)
         if result.outcome is OrderOutcome.REFUSED:
             raise ProblemError(409, Problem(ProblemKind.REFUSED, result.detail))
         raise ProblemError(503, Problem(ProblemKind.UNDECIDED, result.detail))
--- a/libs/admin/src/berylwalk/admin/_inputs.py
+++ b/libs/admin/src/berylwalk/admin/_inputs.py
@@ -198,7 +198,7 @@
     return text, []
 
 
-def place_in_request(finding: Finding) -> Finding:
+def with_request_place(finding: Finding) -> Finding:
     """Name the place of a patch's finding as the request has it.
 
     Parameters
--- a/libs/admin/src/berylwalk/admin/_settings_routes.py
+++ b/libs/admin/src/berylwalk/admin/_settings_routes.py
@@ -6,7 +6,7 @@
 from anyio import move_on_after
 from msgspec import Struct
 
-from berylwalk.admin._calls import AdminCall, Answer, Handler, RouteKey
+from berylwalk.admin._calls import AdminCall, Handler, Response, RouteKey
 from berylwalk.admin._explained import SectionSettings, explain_section, explain_tree
 from berylwalk.admin._inputs import (
     CHANGE_ID,
@@ -16,11 +16,11 @@
 )
 from berylwalk.admin._problems import Problem, ProblemError, ProblemKind, invalid
 from berylwalk.admin._services import SettingsService
-from berylwalk.admin._submit_answers import (
+from berylwalk.admin._submit_responses import (
     RETRY_AFTER_S,
     AcceptedChange,
-    accepted_answer,
-    answer_for,
+    accepted_response,
+    response_for,
 )
 from berylwalk.model import Finding, FindingsError
 from berylwalk.settings import (
@@ -88,7 +88,7 @@
         self._settings = settings
         self._submit_timeout_s = submit_timeout_s
 
-    async def get_section(self, call: AdminCall) -> Answer:
+    async def get_section(self, call: AdminCall) -> Response:
         """Answer with what holds at one path, and why."""
         document = _document(self._settings)
         path = call.query.get("path", "/")
@@ -97,35 +97,35 @@
         except ValueError as error:
             raise invalid([Finding("path", str(error))]) from error
         body = VersionedSection(document.version, section)
-        return Answer(body, _version_headers(document))
+        return Response(body, _version_headers(document))
 
-    async def get_tree(self, call: AdminCall) -> Answer:
+    async def get_tree(self, call: AdminCall) -> Response:
         """Answer with what holds at each path, and why."""
         document = _document(self._settings)
         body = VersionedTree(document.version, explain_tree(document))
-        return Answer(body, _version_headers(document))
+        return Response(body, _version_headers(document))
 
-    async def export(self, call: AdminCall) -> Answer:
+    async def export(self, call: AdminCall) -> Response:
         """Answer with the whole tree as INI text."""
         document = _document(self._settings)
-        return Answer(export_ini(document.tree), _version_headers(document))
+        return Response(export_ini(document.tree), _version_headers(document))
 
-    async def patch(self, call: AdminCall) -> Answer:
+    async def patch(self, call: AdminCall) -> Response:
         """Submit the edits of the body."""
         base_version, findings = read_base_version(call)
-        change_id, more = read_change_id(call)
+        change_id, change_id_findings = read_change_id(call)
         edits, edit_findings = read_edits(call.body)
-        findings += more + edit_findings
+        findings += change_id_findings + edit_findings
         if findings:
             raise invalid(findings, change_id=change_id)
         return await self._submit(Patch(change_id, base_version, edits), call.author)
 
-    async def import_ini(self, call: AdminCall) -> Answer:
+    async def import_ini(self, call: AdminCall) -> Response:
         """Submit the edits that turn the tree in force into that of the body."""
         base_version, findings = read_base_version(call)
-        change_id, more = read_change_id(call)
+        change_id, change_id_findings = read_change_id(call)
         tree, tree_findings = _read_tree(call)
-        findings += more + tree_findings
+        findings += change_id_findings + tree_findings
         if findings:
             raise invalid(findings, change_id=change_id)
         document = await _document_at_least(self._settings, base_version)
@@ -133,24 +133,24 @@
         known = document.find_change(change_id)
         if not edits:
             version = document.version if known is None else known.version
-            return accepted_answer(version, change_id)
+            return accepted_response(version, change_id)
         # The file holds a whole tree: worked out against a later version, it would
         # silently undo what others changed since the operator exported it.
         if known is None and document.version != base_version:
-            raise _moved(base_version, document.version, change_id)
+            raise _outdated_base_version(base_version, document.version, change_id)
         patch = Patch(change_id, document.version, edits)
         return await self._submit(patch, call.author)
 
-    async def get_change(self, call: AdminCall) -> Answer:
+    async def get_change(self, call: AdminCall) -> Response:
         """Answer with the version that a change made."""
         change_id = call.argument
         change = await _find_change(self._settings, change_id)
         if change is None:
             raise _unknown_change(change_id)
         body = AcceptedChange(change.version, change.change_id, change.author)
-        return Answer(body, {CHANGE_ID: change.change_id})
+        return Response(body, {CHANGE_ID: change.change_id})
 
-    async def _submit(self, patch: Patch, author: str) -> Answer:
+    async def _submit(self, patch: Patch, author: str) -> Response:
         result = Undecided("the key-value service did not answer in time")
         with move_on_after(self._submit_timeout_s):
             result = await self._settings.submit(patch, author)
@@ -162,7 +162,7 @@
             patch.base_version,
             type(result).__name__,
         )
-        return answer_for(result, patch.change_id)
+        return response_for(result, patch.change_id)
 
 
 def _read_tree(call: AdminCall) -> tuple[SettingsTree | None, list[Finding]]:
@@ -224,7 +224,9 @@
     return ProblemError(404, problem)
 
 
-def _moved(base_version: int, version: int, change_id: str) -> ProblemError:
+def _outdated_base_version(
+    base_version: int, version: int, change_id: str
+) -> ProblemError:
     detail = (
         f"the file was made from version {base_version}, and version {version} is in "
         "force: export the settings again and repeat the changes there"
--- a/libs/admin/src/berylwalk/admin/_submit_answers.py
+++ b/libs/admin/src/berylwalk/admin/_submit_responses.py
@@ -2,8 +2,8 @@
 
 from msgspec import Struct
 
-from berylwalk.admin._calls import Answer
-from berylwalk.admin._inputs import CHANGE_ID, as_json_value, place_in_request
+from berylwalk.admin._calls import Response
+from berylwalk.admin._inputs import CHANGE_ID, as_json_value, with_request_place
 from berylwalk.admin._problems import (
     ClashDetails,
     Problem,
@@ -43,7 +43,7 @@
     author: str = ""
 
 
-def answer_for(result: SubmitResult, change_id: str) -> Answer:
+def response_for(result: SubmitResult, change_id: str) -> Response:
     """Make the answer to a change.
 
     Parameters
@@ -64,14 +64,14 @@
         In every other case.
     """
     if isinstance(result, Accepted):
-        return accepted_answer(result.version, change_id)
+        return accepted_response(result.version, change_id)
     raise _error_for(result, change_id)
 
 
-def accepted_answer(version: int, change_id: str) -> Answer:
+def accepted_response(version: int, change_id: str) -> Response:
     """Make the answer to an accepted change."""
     headers = {CHANGE_ID: change_id, "ETag": f'"{version}"'}
-    return Answer(AcceptedChange(version, change_id), headers)
+    return Response(AcceptedChange(version, change_id), headers)
 
 
 def _error_for(
@@ -83,7 +83,7 @@
         problem = Problem(ProblemKind.STALE, str(result), change_id=change_id)
         return ProblemError(409, problem, {CHANGE_ID: change_id})
     if isinstance(result, Rejected):
-        return invalid(map(place_in_request, result.findings), change_id=change_id)
+        return invalid(map(with_request_place, result.findings), change_id=change_id)
     problem = Problem(ProblemKind.UNDECIDED, result.reason, change_id=change_id)
     headers = {
         CHANGE_ID: change_id,
--- a/libs/admin/tests/conftest.py
+++ b/libs/admin/tests/conftest.py
@@ -42,33 +42,33 @@
 
 
 class MemoryStore:
-    """One key; ``fates`` says what becomes of the next calls, in order."""
+    """One key; ``outcomes`` says what becomes of the next calls, in order."""
 
     def __init__(self, value):
         self.value = value
         self.revision = 1
-        self.fates = []
+        self.outcomes = []
 
-    def _fate(self):
-        return self.fates.pop(0) if self.fates else "answered"
+    def _next_outcome(self):
+        return self.outcomes.pop(0) if self.outcomes else "answered"
 
     async def get(self, key):
         """Read the key."""
-        if self._fate() == "down":
+        if self._next_outcome() == "down":
             return ReadFailed("the store is down")
         return StoredValue(self.value, self.revision)
 
     async def compare_and_swap(self, key, value, expected_mod_revision):
         """Write the key, as its next fate says."""
-        fate = self._fate()
-        if fate == "down":
+        outcome = self._next_outcome()
+        if outcome == "down":
             return SwapResult.UNAVAILABLE
         if expected_mod_revision != self.revision:
             return SwapResult.CONFLICT
-        if fate != "lost":
+        if outcome != "lost":
             self.value = value
             self.revision += 1
-        return SwapResult.SWAPPED if fate == "answered" else SwapResult.LOST
+        return SwapResult.SWAPPED if outcome == "answered" else SwapResult.LOST
 
 
 class MemorySettings:
--- a/libs/admin/tests/test_admin_settings.py
+++ b/libs/admin/tests/test_admin_settings.py
@@ -113,20 +113,20 @@
 
     async def test_accepted_meanwhile(self, call, settings):
         """A lost answer is resolved by the change id that came with the 503."""
-        settings.store.fates = ["answered", "written", "down"]
+        settings.store.outcomes = ["answered", "written", "down"]
         reply = await call("PATCH", "settings", self.BODY, if_match="1")
         assert (reply.status, reply.document["kind"]) == (503, "undecided")
         assert "retry-after" in reply.headers
         change_id = reply.headers["change-id"]
         assert reply.headers["location"].endswith(f"/settings/changes/{change_id}")
-        settings.store.fates = ["down"]
+        settings.store.outcomes = ["down"]
         assert (await call("GET", f"settings/changes/{change_id}")).status == 503
         reply = await call("GET", f"settings/changes/{change_id}")
         assert (reply.status, reply.document["version"]) == (200, 2)
 
     async def test_repeat_with_the_same_change_id(self, call, settings):
         """A change that was not written is settled by repeating it."""
-        settings.store.fates = ["answered", "lost", "down"]
+        settings.store.outcomes = ["answered", "lost", "down"]
         headers = {"if_match": "1", "change_id": "c"}
         assert (await call("PATCH", "settings", self.BODY, **headers)).status == 503
         reply = await call("GET", "settings/changes/c")
@@ -194,7 +194,7 @@
     async def test_repeat_after_a_lost_answer(self, call, settings):
         """A repeated import of an accepted file tells the version it made."""
         text = b"[tier only]\nrank = 0\n"
-        settings.store.fates = ["answered", "written", "down"]
+        settings.store.outcomes = ["answered", "written", "down"]
         headers = {"if_match": "1", "change_id": "c"}
         assert (await call("POST", "settings/import", text, **headers)).status == 503
         reply = await call("POST", "settings/import", text, **headers)
--- a/libs/caller/src/berylwalk/caller/__init__.py
+++ b/libs/caller/src/berylwalk/caller/__init__.py
@@ -1,12 +1,12 @@
 """The caller API: OpenAI-compatible endpoints and plain services.
 
-Every response names its request (``Berylwalk-Request-Id``) and what became of it
-(``Berylwalk-Outcome``): ``complete``, ``not-run``, ``unknown`` or ``invalid``. An
-answer that is passed on while it arrives says ``streaming`` instead. Such an
-answer is complete if it has a clean end: the terminating chunk or the announced
-length, and for model calls ``data: [DONE]`` before it. A broken event stream ends
-with an ``error`` event with outcome ``unknown``, and every broken answer with a
-closed connection and no clean end.
+Every response carries the request id (``Berylwalk-Request-Id``) and the outcome of
+the request (``Berylwalk-Outcome``): ``complete``, ``not-run``, ``unknown`` or
+``invalid``. A response that is streamed to the caller carries ``streaming`` instead.
+It is complete if it is properly terminated: by the last chunk or at the declared
+length, and for model calls with ``data: [DONE]`` before that. An incomplete event
+stream ends with an ``error`` event with outcome ``unknown``. For every incomplete
+response the connection is closed without terminating the response.
 """
 
 from berylwalk.caller._app import caller_app
--- a/libs/caller/src/berylwalk/caller/_accounts.py
+++ b/libs/caller/src/berylwalk/caller/_accounts.py
@@ -1,11 +1,11 @@
-"""Which client account calls, and which settings its call falls under."""
+"""Authentication of callers and lookup of the settings that apply to a call."""
 
 from hashlib import sha256
 
 from berylwalk.caller._errors import (
     FORBIDDEN,
     NOT_FOUND,
-    ErrorAnswer,
+    ErrorResponse,
     ErrorType,
     Problem,
     invalid,
@@ -24,8 +24,8 @@
 
 def authenticate(
     values: ValuesByName, service_policies: ServicePolicySource
-) -> str | ErrorAnswer:
-    """Return the path of the client account that the bearer token names."""
+) -> str | ErrorResponse:
+    """Return the path of the client account that the bearer token belongs to."""
     found = values.get(AUTHORIZATION.lower(), ())
     if len(found) != 1:
         return _unauthorized("must be given exactly once")
@@ -43,11 +43,11 @@
     route: Route,
     options: CallOptions,
     service_policies: ServicePolicySource,
-) -> ServicePolicy | ErrorAnswer | Problem:
+) -> ServicePolicy | ErrorResponse | Problem:
     """Return the settings for a call.
 
-    The header names the service node. Without it a service call falls under
-    the node of the same name if there is one, else under the account.
+    The header ``Berylwalk-Service`` selects the service node. Without it, the node
+    with the name of the called service applies if there is one, else the account.
     """
     if options.service:
         named = service_policies.service_policy(account, options.service)
@@ -72,7 +72,8 @@
 ) -> Problem | None:
     """Return why an account cannot use a model, or None.
 
-    With nothing known, which happens just after a start, each model may exist.
+    While no resources are known, as shortly after a start, every model is assumed
+    to exist.
     """
     if not may_use_model(service_policy, model):
         finding = Finding(place, f"the account may not use model {model!r}")
@@ -82,7 +83,7 @@
     return None
 
 
-def _unauthorized(problem: str) -> ErrorAnswer:
+def _unauthorized(problem: str) -> ErrorResponse:
     finding = Finding(f"header {AUTHORIZATION}", problem)
     return invalid(
         UNAUTHORIZED,
--- a/libs/caller/src/berylwalk/caller/_app.py
+++ b/libs/caller/src/berylwalk/caller/_app.py
@@ -6,11 +6,11 @@
 from random import Random
 
 from berylwalk.caller._accounts import authenticate, find_service_policy
-from berylwalk.caller._calls import ReceivedCall, RequestBuilder
+from berylwalk.caller._error_responses import RetryDelays, not_ready
 from berylwalk.caller._errors import (
     OUTCOME_HEADER,
     REQUEST_ID_HEADER,
-    ErrorAnswer,
+    ErrorResponse,
     Problem,
     rejected,
 )
@@ -22,12 +22,12 @@
     PrefixHashes,
     ServicePolicySource,
 )
-from berylwalk.caller._known_resources import remembering
-from berylwalk.caller._limits import CallerLimits, HeldBytes
+from berylwalk.caller._known_resources import include_recent_resources
+from berylwalk.caller._limits import ByteBudget, CallerLimits
 from berylwalk.caller._models import get_model, list_models
-from berylwalk.caller._receiving import CallerLeft, receive_body
-from berylwalk.caller._refusals import RetryTimes, not_ready
 from berylwalk.caller._relay import Relay
+from berylwalk.caller._request_body import CallerDisconnected, receive_body
+from berylwalk.caller._request_builder import ReceivedCall, RequestBuilder
 from berylwalk.caller._routes import Endpoint, Route, find_route
 from berylwalk.caller._submission import submit_and_relay
 from berylwalk.model import Outcome, Submitter
@@ -41,15 +41,15 @@
 
 @dataclass(frozen=True, slots=True)
 class _Api:
-    """Collaborators of the application."""
+    """Dependencies of the application."""
 
     submitter: Submitter
     service_policies: ServicePolicySource
     resources: KnownResources
     builder: RequestBuilder
     limits: CallerLimits
-    times: RetryTimes
-    held: HeldBytes
+    retry_delays: RetryDelays
+    byte_budget: ByteBudget
     clock: Clock
     tracing: Tracing
     is_ready: Callable[[], bool]
@@ -77,12 +77,12 @@
         The accepted settings.
     resources : callable
         Returns the resources known at present, ``model:NAME`` and
-        ``service:NAME``. While it is empty no name is told to be unknown, and
+        ``service:NAME``. While there are none, no name is rejected as unknown, and
         the core decides.
     prefix_hashes : callable
         Hashes the leading blocks of a prompt.
     limits : CallerLimits, optional
-        Bounds of bodies, answers and waits.
+        Limits of body sizes, response sizes and timeouts.
     clock : callable, optional
         Monotonic time in seconds; the clock of the router's core.
     generator : random.Random, optional
@@ -90,26 +90,26 @@
     tracing : Tracing, optional
         Starts a span for each request.
     is_ready : callable, optional
-        Whether the accepted settings are known. Without them every token would
-        be unknown, and callers would be told that their requests are invalid.
+        Whether the accepted settings are known. Until then requests get status
+        503, because without settings every token would be rejected as unknown.
 
     Returns
     -------
     callable
         ASGI application for HTTP scopes. It raises
-        `berylwalk.transport.AbortConnection` to cut a response that broke.
+        `berylwalk.transport.AbortConnection` to cut off an incomplete response.
     """
     limits = limits or CallerLimits()
-    times = RetryTimes(limits, generator or Random())
-    existing = remembering(resources, clock)
+    retry_delays = RetryDelays(limits, generator or Random())
+    existing = include_recent_resources(resources, clock)
     api = _Api(
         submitter=submitter,
         service_policies=service_policies,
         resources=resources,
         builder=RequestBuilder(service_policies, existing, prefix_hashes, limits),
         limits=limits,
-        times=times,
-        held=HeldBytes(limits.max_held_bytes),
+        retry_delays=retry_delays,
+        byte_budget=ByteBudget(limits.max_total_held_bytes),
         clock=clock,
         tracing=tracing or Tracing(None),
         is_ready=is_ready,
@@ -129,42 +129,42 @@
         receive,
         send,
         request_id=api.submitter.new_request_id(),
-        share=api.held.share(),
+        reservation=api.byte_budget.reservation(),
         tracing=api.tracing,
         arrived_at=api.clock(),
     )
     try:
-        await _answer(api, exchange, scope)
+        await _respond(api, exchange, scope)
         exchange.hop.end()
     except BaseException as error:
         exchange.hop.end(HopStatus.ERROR, type(error).__name__)
         raise
     finally:
-        exchange.share.close()
+        exchange.reservation.close()
 
 
-async def _answer(api: _Api, exchange: Exchange, scope: Scope) -> None:
+async def _respond(api: _Api, exchange: Exchange, scope: Scope) -> None:
     if not api.is_ready():
-        await send_error(exchange, not_ready(api.times))
+        await send_error(exchange, not_ready(api.retry_delays))
         return
     account = authenticate(exchange.values, api.service_policies)
-    if isinstance(account, ErrorAnswer):
+    if isinstance(account, ErrorResponse):
         await send_error(exchange, account)
         return
     route = find_route(scope)
-    if isinstance(route, ErrorAnswer):
+    if isinstance(route, ErrorResponse):
         await send_error(exchange, route)
     elif route.endpoint is Endpoint.MODELS:
-        await _answer_models(api, exchange, account, route)
+        await _respond_to_models(api, exchange, account, route)
     else:
-        await _answer_call(api, exchange, account, route)
+        await _respond_to_call(api, exchange, account, route)
 
 
-async def _answer_models(
+async def _respond_to_models(
     api: _Api, exchange: Exchange, account: str, route: Route
 ) -> None:
     document = _models_document(api, exchange, account, route)
-    if isinstance(document, ErrorAnswer):
+    if isinstance(document, ErrorResponse):
         await send_error(exchange, document)
         return
     headers = {
@@ -176,10 +176,10 @@
 
 def _models_document(
     api: _Api, exchange: Exchange, account: str, route: Route
-) -> object | ErrorAnswer:
+) -> object | ErrorResponse:
     options, problems = call_options(exchange.values, api.limits)
     service_policy = find_service_policy(account, route, options, api.service_policies)
-    if isinstance(service_policy, ErrorAnswer):
+    if isinstance(service_policy, ErrorResponse):
         return service_policy
     if isinstance(service_policy, Problem):
         return rejected([*problems, service_policy])
@@ -191,15 +191,19 @@
     return list_models(service_policy, known)
 
 
-async def _answer_call(
+async def _respond_to_call(
     api: _Api, exchange: Exchange, account: str, route: Route
 ) -> None:
     body = await receive_body(
-        exchange.receive, exchange.values, exchange.share, api.limits, api.times
+        exchange.receive,
+        exchange.values,
+        exchange.reservation,
+        api.limits,
+        api.retry_delays,
     )
-    if isinstance(body, CallerLeft):
+    if isinstance(body, CallerDisconnected):
         return
-    if isinstance(body, ErrorAnswer):
+    if isinstance(body, ErrorResponse):
         await send_error(exchange, body)
         return
     received = ReceivedCall(
@@ -212,7 +216,7 @@
         traceparent=exchange.hop.traceparent,
     )
     request = api.builder.build(received)
-    if isinstance(request, ErrorAnswer):
+    if isinstance(request, ErrorResponse):
         await send_error(exchange, request)
         return
     relay = Relay(
@@ -221,11 +225,11 @@
         method=exchange.method,
         needs_done=route.endpoint in _STREAMED_ENDPOINTS,
         limits=api.limits,
-        share=exchange.share,
+        reservation=exchange.reservation,
         clock=api.clock,
     )
     error = await submit_and_relay(
-        api.submitter, request, relay, exchange.receive, api.limits, api.times
+        api.submitter, request, relay, exchange.receive, api.limits, api.retry_delays
     )
     exchange.hop.set_attributes({"status": relay.status})
     if error is not None:
--- a/libs/caller/src/berylwalk/caller/_bodies.py
+++ b/libs/caller/src/berylwalk/caller/_bodies.py
@@ -1,4 +1,4 @@
-"""Bodies of model calls, validated as far as routing needs."""
+"""Parsing of the bodies of model calls, validated as far as routing needs."""
 
 from collections.abc import Iterable
 from dataclasses import dataclass
@@ -14,7 +14,7 @@
 
 from berylwalk.caller._errors import BAD_REQUEST, Problem
 from berylwalk.caller._json import parse_json
-from berylwalk.caller._numbers import NumberList
+from berylwalk.caller._number_lists import NumberList
 from berylwalk.caller._prompts import (
     Content,
     Prompt,
@@ -45,7 +45,7 @@
 
 
 class _Body(BaseModel):
-    """Fields common to both model calls; others are passed on unread."""
+    """Fields common to both model calls; other fields are forwarded unvalidated."""
 
     model_config = ConfigDict(strict=True, extra="ignore")
 
@@ -78,41 +78,41 @@
 
 @dataclass(frozen=True, slots=True)
 class ModelCall:
-    """What routing needs to know of a model call.
+    """Properties of a model call that routing needs.
 
     Parameters
     ----------
     model : str
         Name of the model.
     stream : bool
-        Whether the answer is to be streamed.
+        Whether the response is to be streamed.
     max_tokens : int or None
-        Largest output of one choice, in tokens.
+        Maximum output of one choice, in tokens.
     limit_place : str
-        Where `max_tokens` was found.
+        JSON pointer of the field that holds `max_tokens`.
     choices : int
         Number of outputs that the target computes.
     prompt : bytes
-        The prompt as text, for prefix hashes.
+        The prompt as bytes, for prefix hashes.
     prompt_tokens : int
-        Its estimated length in tokens.
+        Estimated length of the prompt, in tokens.
     """
 
     model: str
     stream: bool
     max_tokens: int | None
-    limit_place: str
+    max_tokens_place: str
     choices: int
     prompt: bytes
     prompt_tokens: int
 
 
 def read_chat(body: bytes) -> ModelCall | list[Problem]:
-    """Validate a chat call; return every mistake in it otherwise."""
+    """Validate the body of a chat call; return all problems if it is invalid."""
     document = _document(ChatBody, body)
     if isinstance(document, list):
         return document
-    _take_numbers(document)
+    _extract_number_lists(document)
     chat = _validate(ChatBody, document)
     if isinstance(chat, list):
         return chat
@@ -124,7 +124,7 @@
         model=chat.model,
         stream=bool(chat.stream),
         max_tokens=max_tokens,
-        limit_place=place,
+        max_tokens_place=place,
         choices=chat.n or 1,
         prompt=prompt,
         prompt_tokens=tokens_of_bytes(len(prompt)),
@@ -132,22 +132,22 @@
 
 
 def read_completion(body: bytes) -> ModelCall | list[Problem]:
-    """Validate a completion call; return every mistake in it otherwise."""
+    """Validate the body of a completion call; return all problems if it is invalid."""
     document = _document(CompletionBody, body)
     if isinstance(document, list):
         return document
-    numbers = _take_numbers(document)
+    numbers = _extract_number_lists(document)
     completion = _validate(CompletionBody, document)
     if isinstance(completion, list):
         return completion
-    if numbers is not None and not numbers.is_whole:
+    if numbers is not None and not numbers.has_only_integers:
         return [_problem(f"/{_PROMPT}", "holds numbers that are no token ids")]
     prompt, prompt_tokens, prompts = prompt_bytes(numbers or completion.prompt)
     return ModelCall(
         model=completion.model,
         stream=bool(completion.stream),
         max_tokens=completion.max_tokens,
-        limit_place="/max_tokens",
+        max_tokens_place="/max_tokens",
         choices=max(completion.n or 1, completion.best_of or 1) * prompts,
         prompt=prompt,
         prompt_tokens=prompt_tokens,
@@ -163,8 +163,8 @@
     return document
 
 
-def _take_numbers(document: dict[str, Any]) -> NumberList | None:
-    """Replace long lists of numbers by short ones; return the prompt's."""
+def _extract_number_lists(document: dict[str, Any]) -> NumberList | None:
+    """Replace long number lists by a placeholder; return that of the prompt."""
     numbers_by_name = {
         name: value for name, value in document.items() if isinstance(value, NumberList)
     }
@@ -193,7 +193,7 @@
 
 
 def _pointer(location: Iterable[str | int]) -> str:
-    # pydantic adds the names of union members, which are no part of the body.
+    # pydantic adds the names of union members, which are not part of the body.
     parts = [part for part in location if part not in _UNION_MEMBERS]
     return "/" + "/".join(str(part) for part in parts)
 
--- a/libs/caller/src/berylwalk/caller/_refusals.py
+++ b/libs/caller/src/berylwalk/caller/_error_responses.py
@@ -1,8 +1,8 @@
-"""How a request's end is told when no whole answer was delivered."""
+"""Error responses to requests that ended without a complete response."""
 
 from random import Random
 
-from berylwalk.caller._errors import ErrorAnswer, ErrorType
+from berylwalk.caller._errors import ErrorResponse, ErrorType
 from berylwalk.caller._limits import CallerLimits
 from berylwalk.model import (
     FinalResponse,
@@ -34,13 +34,13 @@
 _DEFAULT_MESSAGE = "every eligible target refused it"
 
 
-class RetryTimes:
-    """Retry times with jitter, so that refused callers don't return together.
+class RetryDelays:
+    """Retry delays with jitter, so that refused callers don't retry simultaneously.
 
     Parameters
     ----------
     limits : CallerLimits
-        Default time and share of jitter.
+        Default delay and fraction of jitter.
     generator : random.Random
         Source of the jitter.
     """
@@ -49,43 +49,43 @@
         self._limits = limits
         self._generator = generator
 
-    def spread(self, retry_after_ms: int) -> int:
-        """Return a time at or somewhat after `retry_after_ms`, in milliseconds."""
+    def with_jitter(self, retry_after_ms: int) -> int:
+        """Return `retry_after_ms`, or the default delay for 0, with jitter added."""
         base = retry_after_ms or self._limits.retry_after_ms
         return base + int(base * self._limits.retry_jitter * self._generator.random())
 
 
-def not_run(refusal: Refusal, times: RetryTimes) -> ErrorAnswer:
-    """Return the answer to a request that did not run and never will."""
+def not_run(refusal: Refusal, retry_delays: RetryDelays) -> ErrorResponse:
+    """Return the response to a request that did not run and never will."""
     reason = refusal.reason
     cause = refusal.detail or _MESSAGE_BY_REASON.get(reason, _DEFAULT_MESSAGE)
-    return ErrorAnswer(
+    return ErrorResponse(
         status=_STATUS_BY_REASON.get(reason, SERVICE_UNAVAILABLE),
         error_type=_TYPE_BY_REASON.get(reason, ErrorType.NOT_RUN),
         code=reason.value,
         message=f"This request was not run: {cause}",
         outcome=Outcome.NOT_RUN,
-        retry_after_ms=times.spread(refusal.retry_after_ms),
+        retry_after_ms=retry_delays.with_jitter(refusal.retry_after_ms),
         may_retry=True,
     )
 
 
-def not_ready(times: RetryTimes) -> ErrorAnswer:
-    """Return the answer of a router that does not know the settings yet."""
-    return ErrorAnswer(
+def not_ready(retry_delays: RetryDelays) -> ErrorResponse:
+    """Return the response while the router does not know the settings yet."""
+    return ErrorResponse(
         status=SERVICE_UNAVAILABLE,
         error_type=ErrorType.NOT_RUN,
         code="not-ready",
         message="This request was not run: the router has not learned the settings yet",
         outcome=Outcome.NOT_RUN,
-        retry_after_ms=times.spread(0),
+        retry_after_ms=retry_delays.with_jitter(0),
         may_retry=True,
     )
 
 
-def unknown(*, idempotent: bool) -> ErrorAnswer:
-    """Return the answer to a request whose end could not be learned."""
-    return ErrorAnswer(
+def unknown_outcome(*, idempotent: bool) -> ErrorResponse:
+    """Return the response to a request whose outcome is unknown."""
+    return ErrorResponse(
         status=BAD_GATEWAY,
         error_type=ErrorType.UNKNOWN_OUTCOME,
         code="unknown-outcome",
@@ -95,28 +95,28 @@
     )
 
 
-def key_in_use(refusal: Refusal, times: RetryTimes) -> ErrorAnswer:
-    """Return the answer to a request whose key another request holds.
+def key_in_use(refusal: Refusal, retry_delays: RetryDelays) -> ErrorResponse:
+    """Return the response to a request whose idempotency key is in use.
 
-    The outcome is that of the key: this request did not run, but the one that
-    holds the key may have, and the caller means the same work by both.
+    The outcome is ``unknown``: this request did not run, but the request that
+    holds the key, which stands for the same call, may have run.
     """
     cause = refusal.detail or "it runs or may have run"
-    return ErrorAnswer(
+    return ErrorResponse(
         status=CONFLICT,
         error_type=ErrorType.CONFLICT,
         code=refusal.reason.value,
         message=f"Another request has this idempotency key: {cause}",
         outcome=Outcome.UNKNOWN,
-        retry_after_ms=times.spread(refusal.retry_after_ms),
+        retry_after_ms=retry_delays.with_jitter(refusal.retry_after_ms),
         may_retry=True,
     )
 
 
-def key_reused(refusal: Refusal) -> ErrorAnswer:
-    """Return the answer to a call under the key of a different call."""
+def key_reused(refusal: Refusal) -> ErrorResponse:
+    """Return the response to a call with the idempotency key of a different call."""
     cause = refusal.detail or "it was used for a different call"
-    return ErrorAnswer(
+    return ErrorResponse(
         status=UNPROCESSABLE,
         error_type=ErrorType.INVALID_REQUEST,
         code=RefusalReason.KEY_REUSED.value,
@@ -125,13 +125,13 @@
     )
 
 
-def key_settled(refusal: Refusal) -> ErrorAnswer:
-    """Return the answer to the repeat of a call whose answer is not kept.
+def key_settled(refusal: Refusal) -> ErrorResponse:
+    """Return the response to a repeated call whose response is not stored.
 
-    The outcome is that of the key, as in `key_in_use`.
+    The outcome is that of the first request with the key.
     """
     cause = refusal.detail or "the call is complete"
-    return ErrorAnswer(
+    return ErrorResponse(
         status=CONFLICT,
         error_type=ErrorType.CONFLICT,
         code=RefusalReason.KEY_SETTLED.value,
@@ -141,31 +141,31 @@
     )
 
 
-def unfinished(
-    final: FinalResponse, request: Request, times: RetryTimes
-) -> ErrorAnswer:
-    """Return the error for a request that ended without its whole answer."""
+def error_for(
+    final: FinalResponse, request: Request, retry_delays: RetryDelays
+) -> ErrorResponse:
+    """Return the error for a request that ended without a complete response."""
     if final.outcome is Outcome.NOT_RUN and not final.started:
-        return _refused(final.refusal or Refusal(RefusalReason.NO_TARGET), times)
+        return _refused(final.refusal or Refusal(RefusalReason.NO_TARGET), retry_delays)
     if final.outcome is Outcome.INVALID:
-        return _refused_by_router(final)
-    return unknown(idempotent=request.idempotent)
+        return _invalid_request(final)
+    return unknown_outcome(idempotent=request.idempotent)
 
 
-def _refused(refusal: Refusal, times: RetryTimes) -> ErrorAnswer:
+def _refused(refusal: Refusal, retry_delays: RetryDelays) -> ErrorResponse:
     match refusal.reason:
         case RefusalReason.KEY_IN_USE:
-            return key_in_use(refusal, times)
+            return key_in_use(refusal, retry_delays)
         case RefusalReason.KEY_REUSED:
             return key_reused(refusal)
         case RefusalReason.KEY_SETTLED:
             return key_settled(refusal)
-    return not_run(refusal, times)
+    return not_run(refusal, retry_delays)
 
 
-def _refused_by_router(final: FinalResponse) -> ErrorAnswer:
+def _invalid_request(final: FinalResponse) -> ErrorResponse:
     detail = final.refusal.detail if final.refusal else ""
-    return ErrorAnswer(
+    return ErrorResponse(
         status=400,
         error_type=ErrorType.INVALID_REQUEST,
         code="invalid-request",
--- a/libs/caller/src/berylwalk/caller/_errors.py
+++ b/libs/caller/src/berylwalk/caller/_errors.py
@@ -1,4 +1,4 @@
-"""Error answers in the form that OpenAI clients understand."""
+"""Error responses in the format of the OpenAI API."""
 
 import math
 from collections.abc import Sequence
@@ -28,8 +28,8 @@
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class ErrorAnswer:
-    """An error as it will be told to the caller.
+class ErrorResponse:
+    """An error response to the caller.
 
     Parameters
     ----------
@@ -38,19 +38,19 @@
     error_type : ErrorType
         Kind of error.
     code : str
-        Stable short name of the cause.
+        Stable identifier of the cause.
     message : str
         One sentence.
     outcome : Outcome
-        What became of the request.
+        Outcome of the request.
     findings : tuple of Finding
-        Every mistake found in the request.
+        All problems found in the request.
     retry_after_ms : int
-        When to come back, in milliseconds; 0 sends no time.
+        Delay before a retry, in milliseconds; with 0 no delay is sent.
     may_retry : bool
-        Whether clients that retry by themselves may do so.
+        Whether clients may retry automatically.
     close : bool
-        Whether the connection is closed after the answer.
+        Whether the connection is closed after the response.
     headers : tuple of (str, str)
         Further headers.
     """
@@ -79,49 +79,49 @@
 
 
 class ErrorDocument(msgspec.Struct):
-    """Body of an error answer."""
+    """Body of an error response."""
 
     error: _ErrorFields
 
 
 @dataclass(frozen=True, slots=True)
 class Problem:
-    """A finding, and the status of the answer when it is the only one."""
+    """A finding, and the status of the response if there is no other finding."""
 
     status: int
     finding: Finding
 
 
-def error_document(answer: ErrorAnswer, request_id: str) -> ErrorDocument:
-    """Return the JSON body of an error answer."""
+def error_document(response: ErrorResponse, request_id: str) -> ErrorDocument:
+    """Return the JSON body of an error response."""
     return ErrorDocument(
         _ErrorFields(
-            message=answer.message,
-            type=answer.error_type.value,
-            code=answer.code,
-            param=answer.findings[0].place if answer.findings else None,
-            findings=answer.findings,
+            message=response.message,
+            type=response.error_type.value,
+            code=response.code,
+            param=response.findings[0].place if response.findings else None,
+            findings=response.findings,
             request_id=request_id,
-            outcome=answer.outcome.value,
-            retry_after_ms=answer.retry_after_ms or msgspec.UNSET,
+            outcome=response.outcome.value,
+            retry_after_ms=response.retry_after_ms or msgspec.UNSET,
         )
     )
 
 
-def error_headers(answer: ErrorAnswer, request_id: str) -> dict[str, str]:
-    """Return the headers of an error answer."""
+def error_headers(response: ErrorResponse, request_id: str) -> dict[str, str]:
+    """Return the headers of an error response."""
     values_by_name = {
         REQUEST_ID_HEADER: request_id,
-        OUTCOME_HEADER: answer.outcome.value,
-        # OpenAI clients retry many statuses by themselves unless told.
-        "x-should-retry": "true" if answer.may_retry else "false",
+        OUTCOME_HEADER: response.outcome.value,
+        # Without this header OpenAI clients retry many statuses automatically.
+        "x-should-retry": "true" if response.may_retry else "false",
     }
-    values_by_name.update(answer.headers)
-    if answer.retry_after_ms:
-        seconds = math.ceil(answer.retry_after_ms / 1000)
+    values_by_name.update(response.headers)
+    if response.retry_after_ms:
+        seconds = math.ceil(response.retry_after_ms / 1000)
         values_by_name["retry-after"] = str(seconds)
-        values_by_name["retry-after-ms"] = str(answer.retry_after_ms)
-    if answer.close:
+        values_by_name["retry-after-ms"] = str(response.retry_after_ms)
+    if response.close:
         values_by_name["connection"] = "close"
     return values_by_name
 
@@ -134,9 +134,9 @@
     error_type: ErrorType = ErrorType.INVALID_REQUEST,
     close: bool = False,
     headers: tuple[tuple[str, str], ...] = (),
-) -> ErrorAnswer:
-    """Return the answer to a request that was never placed."""
-    return ErrorAnswer(
+) -> ErrorResponse:
+    """Return the response to an invalid request, which was not placed."""
+    return ErrorResponse(
         status=status,
         error_type=error_type,
         code=code,
@@ -160,15 +160,17 @@
 }
 
 
-def rejected(problems: Sequence[Problem]) -> ErrorAnswer:
-    """Return one answer for all problems; the lowest status counts.
+def rejected(problems: Sequence[Problem]) -> ErrorResponse:
+    """Return one response for all problems, with the lowest of their statuses.
 
-    Findings beyond `MAX_FINDINGS` are only counted.
+    Findings beyond `MAX_FINDINGS` are counted but not listed.
     """
     status = min(problem.status for problem in problems)
     code, error_type = _CODES_BY_STATUS[status]
     findings = [problem.finding for problem in problems[:MAX_FINDINGS]]
-    left_out = len(problems) - len(findings)
-    if left_out:
-        findings.append(Finding("request", f"{left_out} more mistakes are not listed"))
+    omitted_count = len(problems) - len(findings)
+    if omitted_count:
+        findings.append(
+            Finding("request", f"{omitted_count} more mistakes are not listed")
+        )
     return invalid(status, code, findings, error_type=error_type)
--- a/libs/caller/src/berylwalk/caller/_exchange.py
+++ b/libs/caller/src/berylwalk/caller/_exchange.py
@@ -1,10 +1,10 @@
-"""One request of a caller and its answer, while they are in progress."""
+"""State of one request of a caller while it is in progress."""
 
 from dataclasses import dataclass
 
-from berylwalk.caller._errors import ErrorAnswer, error_document, error_headers
+from berylwalk.caller._errors import ErrorResponse, error_document, error_headers
 from berylwalk.caller._headers import TRACEPARENT, ValuesByName, values_by_name
-from berylwalk.caller._limits import HeldShare
+from berylwalk.caller._limits import ByteReservation
 from berylwalk.model import RequestId
 from berylwalk.telemetry import Hop, Tracing
 from berylwalk.transport import Receive, Scope, Send, send_json
@@ -14,22 +14,22 @@
 
 @dataclass(frozen=True, slots=True)
 class Exchange:
-    """One request of a caller.
+    """A request in progress, with what is needed to respond to it.
 
     Parameters
     ----------
     receive, send : callable
         The ASGI callables.
     request_id : RequestId
-        Name of the request.
+        Identifier of the request.
     values : mapping
         Values of the headers by name.
     method : str
         HTTP method.
     arrived_at : float
         Monotonic time, in seconds.
-    share : HeldShare
-        Bytes that the request holds of the common budget.
+    reservation : ByteReservation
+        Bytes that the request reserves of the common budget.
     hop : Hop
         Span of the request.
     """
@@ -40,7 +40,7 @@
     values: ValuesByName
     method: str
     arrived_at: float
-    share: HeldShare
+    reservation: ByteReservation
     hop: Hop
 
 
@@ -50,7 +50,7 @@
     send: Send,
     *,
     request_id: RequestId,
-    share: HeldShare,
+    reservation: ByteReservation,
     tracing: Tracing,
     arrived_at: float,
 ) -> Exchange:
@@ -59,11 +59,11 @@
     Parameters
     ----------
     scope, receive, send
-        As of an ASGI application.
+        Arguments of an ASGI application.
     request_id : RequestId
-        Name of the request.
-    share : HeldShare
-        Empty share of the common budget.
+        Identifier of the request.
+    reservation : ByteReservation
+        Empty reservation of the common budget.
     tracing : Tracing
         Starts the span.
     arrived_at : float
@@ -82,15 +82,15 @@
         values=values,
         method=scope["method"],
         arrived_at=arrived_at,
-        share=share,
+        reservation=reservation,
         hop=hop,
     )
 
 
-async def send_error(exchange: Exchange, answer: ErrorAnswer) -> None:
-    """Send an error as the whole answer."""
+async def send_error(exchange: Exchange, response: ErrorResponse) -> None:
+    """Send an error as the response."""
     request_id = str(exchange.request_id)
-    document = error_document(answer, request_id)
-    headers = error_headers(answer, request_id)
-    exchange.hop.set_attributes({"status": answer.status, "code": answer.code})
-    await send_json(exchange.send, answer.status, document, headers)
+    document = error_document(response, request_id)
+    headers = error_headers(response, request_id)
+    exchange.hop.set_attributes({"status": response.status, "code": response.code})
+    await send_json(exchange.send, response.status, document, headers)
--- a/libs/caller/src/berylwalk/caller/_headers.py
+++ b/libs/caller/src/berylwalk/caller/_headers.py
@@ -1,4 +1,4 @@
-"""The caller's headers: options of the call, and what is passed on."""
+"""Request and response headers: options of a call, and headers to forward."""
 
 import re
 from collections.abc import Iterable, Mapping
@@ -16,12 +16,12 @@
 IDEMPOTENCY_KEY = "Idempotency-Key"
 DEADLINE_MS = "Berylwalk-Deadline-Ms"
 TRACEPARENT = "traceparent"
-OWN_PREFIX = "berylwalk-"
+RESERVED_PREFIX = "berylwalk-"
 
 REPLAYED = "berylwalk-replayed"
 
-_SINGLE = (SERVICE, IDEMPOTENT, IDEMPOTENCY_KEY, DEADLINE_MS, TRACEPARENT)
-_KNOWN = frozenset(name.lower() for name in _SINGLE)
+_SINGLE_VALUE_HEADERS = (SERVICE, IDEMPOTENT, IDEMPOTENCY_KEY, DEADLINE_MS, TRACEPARENT)
+_KNOWN_HEADERS = frozenset(name.lower() for name in _SINGLE_VALUE_HEADERS)
 _MAX_SHOWN_NAME = 64
 _HOP_BY_HOP = frozenset(
     {
@@ -36,7 +36,7 @@
         "upgrade",
     }
 )
-# The token is the caller's secret towards the router; the agent sets traceparent.
+# The token must not be disclosed to targets; the agent sets traceparent.
 _NOT_FOR_TARGET = frozenset(
     {"authorization", "content-length", "expect", "host", "traceparent"}
 )
@@ -50,18 +50,18 @@
 
 @dataclass(frozen=True, slots=True)
 class CallOptions:
-    """What a caller asks for by headers.
+    """Options that a caller sets by headers.
 
     Parameters
     ----------
     service : str
         Service node under the client account, or empty.
     idempotent : bool or None
-        The caller's own marking.
+        Whether the caller declares the call idempotent; None if not stated.
     idempotency_key : str
         The key, or empty.
     deadline_s : float or None
-        From arrival to the whole answer.
+        Seconds from the arrival of the request until its response is complete.
     traceparent : str
         W3C trace context, or empty.
     """
@@ -85,9 +85,9 @@
 def call_options(
     values: ValuesByName, limits: CallerLimits
 ) -> tuple[CallOptions, list[Problem]]:
-    """Read the options of a call, with every mistake in them."""
+    """Parse the options of a call; return them with all problems."""
     problems = _unknown_names(values)
-    texts = {name: _single(values, name, problems) for name in _SINGLE}
+    texts = {name: _single(values, name, problems) for name in _SINGLE_VALUE_HEADERS}
     options = CallOptions(
         service=_service(texts[SERVICE], problems),
         idempotent=_boolean(texts[IDEMPOTENT], problems),
@@ -100,19 +100,19 @@
 
 def service_call_headers(values: ValuesByName) -> tuple[tuple[str, str], ...]:
     """Return the headers that a plain service receives."""
-    nominated = _nominated(values)
+    connection_options = _connection_options(values)
     return tuple(
         (name, value)
         for name, all_values in values.items()
         for value in all_values
-        if _is_for_target(name, nominated)
+        if _is_for_target(name, connection_options)
     )
 
 
 def model_call_headers(values: ValuesByName) -> tuple[tuple[str, str], ...]:
     """Return the headers that a model target receives.
 
-    Encodings are not offered, so that the stream can be followed.
+    ``Accept-Encoding`` is left out, because the event stream is parsed.
     """
     passed_on = [
         (name, value) for name in _MODEL_CALL_HEADERS for value in values.get(name, ())
@@ -120,36 +120,36 @@
     return (("content-type", "application/json"), *passed_on)
 
 
-def answer_headers(raw_headers: RawHeaders) -> list[tuple[bytes, bytes]]:
-    """Return the headers of an answer that the caller receives.
+def response_headers(raw_headers: RawHeaders) -> list[tuple[bytes, bytes]]:
+    """Return the headers of a target's response that the caller receives.
 
-    Leaves out ``content-length`` and whatever only this API may say; the core
-    marks the answer of an earlier request with the same idempotency key.
+    Leaves out ``content-length`` and the headers that only this API sets. The core
+    sets ``Berylwalk-Replayed`` on a stored response for the same idempotency key.
     """
     headers = [(name.lower(), value) for name, value in raw_headers]
-    nominated = _nominated(values_by_name(headers))
+    connection_options = _connection_options(values_by_name(headers))
     return [
         (name, value)
         for name, value in headers
-        if _is_for_caller(name.decode("latin-1"), nominated)
+        if _is_for_caller(name.decode("latin-1"), connection_options)
     ]
 
 
-def _is_for_target(name: str, nominated: frozenset[str]) -> bool:
-    if name in _HOP_BY_HOP or name in nominated:
+def _is_for_target(name: str, connection_options: frozenset[str]) -> bool:
+    if name in _HOP_BY_HOP or name in connection_options:
         return False
-    return name not in _NOT_FOR_TARGET and not name.startswith(OWN_PREFIX)
+    return name not in _NOT_FOR_TARGET and not name.startswith(RESERVED_PREFIX)
 
 
-def _is_for_caller(name: str, nominated: frozenset[str]) -> bool:
-    if name in _HOP_BY_HOP or name in nominated:
+def _is_for_caller(name: str, connection_options: frozenset[str]) -> bool:
+    if name in _HOP_BY_HOP or name in connection_options:
         return False
-    if name.startswith(OWN_PREFIX):
+    if name.startswith(RESERVED_PREFIX):
         return name == REPLAYED
     return name != "content-length"
 
 
-def _nominated(values: ValuesByName) -> frozenset[str]:
+def _connection_options(values: ValuesByName) -> frozenset[str]:
     names = ",".join(values.get("connection", ())).split(",")
     return frozenset(name.strip().lower() for name in names)
 
@@ -159,11 +159,11 @@
 
 
 def _unknown_names(values: ValuesByName) -> list[Problem]:
-    # A mistyped name must not turn into a call that may be repeated.
+    # A misspelled Berylwalk-Idempotent must not be ignored: the call could be retried.
     return [
         _problem(name[:_MAX_SHOWN_NAME], "is not known")
         for name in values
-        if name.startswith(OWN_PREFIX) and name not in _KNOWN
+        if name.startswith(RESERVED_PREFIX) and name not in _KNOWN_HEADERS
     ]
 
 
@@ -219,7 +219,7 @@
 
 
 def _traceparent(text: str | None) -> str:
-    # The trace context standard has receivers ignore a malformed value.
+    # The W3C trace context standard requires receivers to ignore a malformed value.
     if text is None or not _TRACEPARENT.fullmatch(text):
         return ""
     return text
--- a/libs/caller/src/berylwalk/caller/_interfaces.py
+++ b/libs/caller/src/berylwalk/caller/_interfaces.py
@@ -1,4 +1,4 @@
-"""What the caller API needs from the rest of the router."""
+"""Interfaces that the caller API requires of the router."""
 
 from collections.abc import Callable
 from typing import Protocol
@@ -16,7 +16,7 @@
 
 
 class ServicePolicySource(Protocol):
-    """The accepted settings, as the caller API sees them."""
+    """Access of the caller API to the accepted settings."""
 
     def by_token(self, sha256_hex: str) -> str | None:
         """Return the client account whose bearer token has this SHA-256."""
--- a/libs/caller/src/berylwalk/caller/_json.py
+++ b/libs/caller/src/berylwalk/caller/_json.py
@@ -1,4 +1,4 @@
-"""JSON that every reader understands in the same way."""
+"""Strict JSON parsing that rejects ambiguous documents."""
 
 import json
 import re
@@ -8,34 +8,34 @@
 import msgspec
 
 from berylwalk.caller._errors import BAD_REQUEST, Problem
-from berylwalk.caller._numbers import NumberList
+from berylwalk.caller._number_lists import NumberList
 from berylwalk.model import Finding
 
 MAX_CONTAINERS = 250_000
-"""Objects and arrays of one body; parsing more would hold up the loop."""
+"""Limit on objects and arrays in one body; parsing more would block the event loop."""
 
 _MAX_SHOWN_NAME = 64
-_LONG_START = re.compile(rb"\[[0-9,\s.eE+-]{32}")
-_LONG_NUMBERS = re.compile(rb"\[[0-9,\s.eE+-]{32,}\]")
-_LONG_BYTES = 34
+_LONG_LIST_START = re.compile(rb"\[[0-9,\s.eE+-]{32}")
+_LONG_NUMBER_LIST = re.compile(rb"\[[0-9,\s.eE+-]{32,}\]")
+_LONG_LIST_MIN_BYTES = 34
 _SHORT_LIST = b"[0]"
 
 
 def parse_json(body: bytes, read_names: Collection[str] = ()) -> object | Problem:
     """Parse a JSON body, or return the problem with it.
 
-    Stricter than most readers: a repeated name, NaN and infinities are refused,
-    because a target might read them differently. Long lists of numbers are not
-    turned into objects, which would hold up the loop.
+    Duplicate names, NaN and infinities are rejected, because a target's parser may
+    interpret them differently. Long lists of numbers are not converted to Python
+    objects, which would block the event loop.
 
     Parameters
     ----------
     body : bytes
         The body.
     read_names : collection of str
-        Names of the body whose values are needed in full. A long list of numbers
-        right under one of them is returned as `NumberList`. Under other names,
-        long lists of numbers are replaced by short ones.
+        Top-level names whose values are needed in full. A long list of numbers
+        that is the value of one of them is returned as `NumberList`. Under other
+        names, long lists of numbers are replaced by a placeholder.
 
     Returns
     -------
@@ -45,22 +45,24 @@
     if body.count(b"{") + body.count(b"[") > MAX_CONTAINERS:
         problem = f"holds more than {MAX_CONTAINERS} opening brackets"
         return _problem("body", problem)
-    if not _LONG_START.search(body):
+    if not _LONG_LIST_START.search(body):
         return _parse(body)
     raw_by_name = _raw_values(body)
     if isinstance(raw_by_name, Problem):
         return raw_by_name
     names = raw_by_name.keys() & set(read_names)
     numbers_by_name = _number_lists({name: raw_by_name[name] for name in names})
-    without_lists = body
+    without_number_lists = body
     for name in numbers_by_name:
-        without_lists = without_lists.replace(raw_by_name[name], _SHORT_LIST, 1)
-    shortened = _LONG_NUMBERS.sub(_SHORT_LIST, without_lists)
-    # Names stay as they are, so that this finds each one that is repeated.
+        without_number_lists = without_number_lists.replace(
+            raw_by_name[name], _SHORT_LIST, 1
+        )
+    shortened = _LONG_NUMBER_LIST.sub(_SHORT_LIST, without_number_lists)
+    # All names are still in the shortened text, so that duplicates are detected.
     document = _parse(shortened)
     if isinstance(document, Problem):
         return document
-    if len(shortened) < len(without_lists):
+    if len(shortened) < len(without_number_lists):
         texts = {name: raw_by_name[name] for name in names - numbers_by_name.keys()}
         document.update(_values_with_numbers(texts))
     document.update(numbers_by_name)
@@ -68,7 +70,7 @@
 
 
 def _raw_values(body: bytes) -> dict[str, bytes] | Problem:
-    """Check the syntax of an object without making objects of its values."""
+    """Check the syntax of an object without decoding its values."""
     try:
         raw_by_name = msgspec.json.decode(body, type=dict[str, msgspec.Raw])
     except msgspec.ValidationError:
@@ -82,17 +84,17 @@
     found = {
         name: NumberList.from_json(raw)
         for name, raw in raw_by_name.items()
-        if len(raw) >= _LONG_BYTES
+        if len(raw) >= _LONG_LIST_MIN_BYTES
     }
     return {name: numbers for name, numbers in found.items() if numbers is not None}
 
 
 def _values_with_numbers(raw_by_name: dict[str, bytes]) -> dict[str, Any]:
-    """Parse values in full in which lists of numbers stand at other places."""
+    """Parse those values in full that contain long number lists."""
     return {
         name: _parse(raw)
         for name, raw in raw_by_name.items()
-        if _LONG_NUMBERS.search(raw)
+        if _LONG_NUMBER_LIST.search(raw)
     }
 
 
@@ -123,7 +125,7 @@
 
 
 def _unique_names(pairs: list[tuple[str, Any]]) -> dict[str, Any]:
-    # The target might read the other of two values, and so bypass the checks.
+    # A target may use the other value of a duplicate name, which was not validated.
     values_by_name = dict(pairs)
     if len(values_by_name) == len(pairs):
         return values_by_name
--- a/libs/caller/src/berylwalk/caller/_known_resources.py
+++ b/libs/caller/src/berylwalk/caller/_known_resources.py
@@ -1,21 +1,20 @@
-"""Resources that were known a while ago."""
+"""Resources that are known at present or were known recently."""
 
 from berylwalk.caller._interfaces import Clock, KnownResources
 
-REMEMBER_S = 3600.0
-"""Time for which a resource that no target offers any more still exists."""
+RETENTION_S = 3600.0
+"""Time for which a resource that no target offers any more counts as existing."""
 
 
-def remembering(
-    resources: KnownResources, clock: Clock, *, remember_s: float = REMEMBER_S
+def include_recent_resources(
+    resources: KnownResources, clock: Clock, *, retention_s: float = RETENTION_S
 ) -> KnownResources:
-    """Return known resources together with those of a while ago.
+    """Extend the known resources by those that were known recently.
 
-    The core still knows the resources of targets that are down, but not those of
-    VMs that left the VM list, as when all VMs of a resource are replaced. That is
-    no mistake of the caller: the resource still exists for callers, so that the
-    core answers, which tells when to return. Only what was present at an earlier
-    call of the returned function is remembered.
+    The core knows the resources of targets that are down, but not those of VMs that
+    were removed from the VM list, as when all VMs of a resource are replaced.
+    Callers then get the core's refusal, which has a retry time, instead of status
+    404. Resources are recorded when the returned function is called.
 
     Parameters
     ----------
@@ -24,7 +23,7 @@
     clock : callable
         Monotonic time in seconds.
     remember_s : float
-        Time for which a resource is remembered, in seconds.
+        Time for which a resource is retained, in seconds.
 
     Returns
     -------
@@ -37,7 +36,7 @@
         present = resources()
         now = clock()
         seen_at_by_name.update(dict.fromkeys(present, now))
-        oldest = now - remember_s
+        oldest = now - retention_s
         for name in [name for name, at in seen_at_by_name.items() if at < oldest]:
             del seen_at_by_name[name]
         return frozenset(seen_at_by_name) if present else present
--- a/libs/caller/src/berylwalk/caller/_limits.py
+++ b/libs/caller/src/berylwalk/caller/_limits.py
@@ -1,4 +1,4 @@
-"""Limits of the caller API and the budget of bytes it holds."""
+"""Limits of the caller API and its memory budget."""
 
 from dataclasses import dataclass
 from typing import Self
@@ -15,60 +15,60 @@
     Parameters
     ----------
     max_body_bytes : int
-        Largest request body.
+        Maximum size of a request body.
     max_held_bytes : int
-        Bytes of request bodies and buffered answers held at one time by all
-        requests together.
+        Maximum size of the request bodies and buffered responses of all requests
+        together.
     max_buffered_bytes : int
-        Largest answer that is buffered; larger ones are streamed on.
+        Maximum size of a buffered response; larger responses are streamed.
     body_timeout_s : float
-        Limit for receiving one body. Choose it below the HTTP server's own
-        limit, which closes the connection without an answer.
+        Timeout for receiving a body. It must be below the timeout of the HTTP
+        server, which closes the connection without a response.
     write_timeout_s : float
-        How long a caller may leave sent bytes unread before it counts as gone.
+        Time after which a caller that leaves sent bytes unread counts as disconnected.
     max_deadline_s : float
-        Largest deadline that a caller may name.
+        Maximum deadline that a caller may request.
     max_key_length : int
-        Largest ``Idempotency-Key``, in characters.
+        Maximum length of ``Idempotency-Key``, in characters.
     max_passed_on_bytes : int
-        Largest path and headers for a target, in bytes. Choose it below the
-        agents' limit for headers, which also holds the grant.
+        Maximum size of the path and headers for a target, in bytes. With the grant
+        they must fit into the agents' limit on headers.
     max_choices : int
-        Largest number of choices of one model call.
+        Maximum number of outputs of one model call.
     retry_after_ms : int
-        Told to callers when the refusal names no time.
+        Retry delay sent to callers when the refusal has none.
     retry_jitter : float
-        Share of the retry time added at random, from 0 to 1.
+        Maximum random addition, as a fraction of the retry delay, from 0 to 1.
     """
 
     max_body_bytes: int = 8 * MEBIBYTE
-    max_held_bytes: int = 512 * MEBIBYTE
+    max_total_held_bytes: int = 512 * MEBIBYTE
     max_buffered_bytes: int = 1 * MEBIBYTE
     body_timeout_s: float = 30.0
     write_timeout_s: float = 60.0
     max_deadline_s: float = 24 * 3600.0
     max_key_length: int = 255
-    max_passed_on_bytes: int = 16 * 1024
+    max_forwarded_header_bytes: int = 16 * 1024
     max_choices: int = 128
     retry_after_ms: int = 1000
     retry_jitter: float = 0.25
 
     @classmethod
     def from_config(cls, section: CallerSection) -> Self:
-        """Construct from the settings file; the rest keeps its defaults."""
+        """Construct from the settings file; other limits keep their defaults."""
         return cls(
             max_body_bytes=section.max_body_bytes,
             body_timeout_s=section.body_timeout_s,
         )
 
 
-class HeldBytes:
-    """Count of bytes held by all requests, with a bound.
+class ByteBudget:
+    """Limit on the bytes held by all requests together.
 
     Parameters
     ----------
     max_bytes : int
-        The bound.
+        The limit.
     """
 
     def __init__(self, max_bytes: int) -> None:
@@ -80,9 +80,9 @@
         """Bytes held at present."""
         return self._held
 
-    def share(self) -> "HeldShare":
-        """Return an empty share for one request."""
-        return HeldShare(self)
+    def reservation(self) -> "ByteReservation":
+        """Return an empty reservation for one request."""
+        return ByteReservation(self)
 
     def _grow(self, size: int) -> bool:
         if self._held + size > self._max_bytes:
@@ -94,15 +94,15 @@
         self._held -= size
 
 
-class HeldShare:
-    """Bytes that one request holds of the common budget."""
+class ByteReservation:
+    """Bytes that one request reserves of the common budget."""
 
-    def __init__(self, total: HeldBytes) -> None:
+    def __init__(self, total: ByteBudget) -> None:
         self._total = total
         self._size = 0
 
     def grow(self, size: int) -> bool:
-        """Add `size` bytes; False, and nothing added, when over the bound."""
+        """Reserve `size` bytes; return False without effect when over the limit."""
         if not self._total._grow(size):
             return False
         self._size += size
--- a/libs/caller/src/berylwalk/caller/_models.py
+++ b/libs/caller/src/berylwalk/caller/_models.py
@@ -1,9 +1,9 @@
-"""The models that a client account may use, in OpenAI's form."""
+"""Models that a client account may use, in the format of the OpenAI API."""
 
 import msgspec
 
 from berylwalk.caller._accounts import may_use_model, model_problem
-from berylwalk.caller._errors import ErrorAnswer, rejected
+from berylwalk.caller._errors import ErrorResponse, rejected
 from berylwalk.model import ServicePolicy
 
 _PREFIX = "model:"
@@ -26,7 +26,7 @@
 
 
 def list_models(service_policy: ServicePolicy, known: frozenset[str]) -> ModelList:
-    """Return the models that an account may use, by name."""
+    """Return the models that an account may use, sorted by name."""
     names = sorted(
         resource.removeprefix(_PREFIX)
         for resource in known
@@ -39,8 +39,8 @@
 
 def get_model(
     service_policy: ServicePolicy, name: str, known: frozenset[str]
-) -> Model | ErrorAnswer:
-    """Return one model, or why the account cannot use it."""
+) -> Model | ErrorResponse:
+    """Return one model, or the error when the account cannot use it."""
     problem = model_problem(service_policy, name, known, "path")
     if problem is not None:
         return rejected([problem])
--- a/libs/caller/src/berylwalk/caller/_numbers.py
+++ b/libs/caller/src/berylwalk/caller/_number_lists.py
@@ -1,11 +1,11 @@
-"""Long lists of numbers of a body, kept as text."""
+"""Long lists of numbers in a body, kept as unparsed text."""
 
 import re
 from dataclasses import dataclass
 from typing import Self
 
 _WHITESPACE = b" \t\r\n"
-_NOT_WHOLE = (b".", b"e", b"E")
+_NON_INTEGER_MARKS = (b".", b"e", b"E")
 _NUMBERS = b"0123456789.eE+-,"
 _NESTED = re.compile(rb"\[\[[0-9.eE+,-]*\](?:,\[[0-9.eE+,-]*\])*\]")
 _EMPTY = b"[]"
@@ -29,7 +29,7 @@
 
     @classmethod
     def from_json(cls, value: bytes) -> Self | None:
-        """Recognize a list in valid JSON; None when the value is anything else."""
+        """Recognize a number list in valid JSON; return None for any other value."""
         if not _START.match(value):
             return None
         text = value.translate(None, _WHITESPACE)
@@ -39,13 +39,13 @@
         return cls(text, len(brackets) // len(_EMPTY) - 1)
 
     @property
-    def is_whole(self) -> bool:
-        """Whether all numbers are whole numbers."""
-        return not any(mark in self.text for mark in _NOT_WHOLE)
+    def has_only_integers(self) -> bool:
+        """Whether all numbers are integers."""
+        return not any(mark in self.text for mark in _NON_INTEGER_MARKS)
 
     @property
     def number_count(self) -> int:
-        """Numbers in the list, or in all inner lists together."""
+        """Number of elements of the list, or of all inner lists together."""
         commas = self.text.count(b",")
         if not self.list_count:
             return commas + 1
--- a/libs/caller/src/berylwalk/caller/_prompts.py
+++ b/libs/caller/src/berylwalk/caller/_prompts.py
@@ -1,11 +1,11 @@
-"""Prompts as bytes, for prefix hashes, and their length in tokens."""
+"""Conversion of prompts to bytes, for prefix hashes, and their length in tokens."""
 
 import json
 from typing import Annotated, Any
 
 from pydantic import Field
 
-from berylwalk.caller._numbers import NumberList
+from berylwalk.caller._number_lists import NumberList
 
 BYTES_PER_TOKEN = 4
 
@@ -34,7 +34,7 @@
 
 
 def prompt_bytes(prompt: Prompt | NumberList) -> tuple[bytes, int, int]:
-    """Return the prompt's bytes, its tokens, and the number of prompts."""
+    """Return the bytes and the number of tokens of all prompts, and their number."""
     if isinstance(prompt, NumberList):
         return prompt.numbers_text, prompt.number_count, prompt.list_count or 1
     if isinstance(prompt, str):
@@ -57,10 +57,10 @@
 
 def encoded(text: str) -> bytes:
     """Return a text of a JSON document as bytes."""
-    # JSON escapes can name lone surrogates, which plain UTF-8 refuses.
+    # JSON escapes can encode lone surrogates, which strict UTF-8 rejects.
     return text.encode(errors="surrogatepass")
 
 
 def tokens_of_bytes(size: int) -> int:
-    """Return the estimated tokens of a text of so many bytes."""
+    """Return the estimated number of tokens of a text of `size` bytes."""
     return -(-size // BYTES_PER_TOKEN)
--- a/libs/caller/src/berylwalk/caller/_relay.py
+++ b/libs/caller/src/berylwalk/caller/_relay.py
@@ -1,4 +1,4 @@
-"""The target's answer on its way to the caller."""
+"""Relays the target's response to the caller."""
 
 from enum import Enum, auto
 
@@ -9,9 +9,9 @@
     ErrorDocument,
 )
 from berylwalk.caller._event_stream import EventSplitter, error_event, is_event_stream
-from berylwalk.caller._headers import answer_headers
+from berylwalk.caller._headers import response_headers
 from berylwalk.caller._interfaces import Clock
-from berylwalk.caller._limits import CallerLimits, HeldShare
+from berylwalk.caller._limits import ByteReservation, CallerLimits
 from berylwalk.model import Outcome
 from berylwalk.transport import (
     AbortConnection,
@@ -28,41 +28,41 @@
 
 
 class _Mode(Enum):
-    """How far the answer has come."""
+    """How the response is relayed."""
 
     EMPTY = auto()
-    """Nothing arrived from the target."""
+    """Nothing was received from the target yet."""
 
     BUFFERED = auto()
-    """Held until whole; the caller has seen nothing."""
+    """Buffered until complete; nothing was sent to the caller yet."""
 
     EVENTS = auto()
-    """An event stream that the caller receives as it arrives."""
+    """An event stream, sent to the caller as it is received."""
 
     BYTES = auto()
-    """Too large to hold; the caller receives it as it arrives."""
+    """Too large to buffer; sent to the caller as it is received."""
 
 
 class Relay:
-    """Answer sink of one request.
+    """Response sink of one request.
 
-    Event streams are passed on at once. Other answers are buffered, so that
-    status and outcome header tell the truth; those over the limit are passed
-    on as they arrive.
+    Event streams are forwarded at once. Other responses are buffered, so that status
+    and outcome header reflect the final outcome; those over the limit are forwarded
+    as they are received.
 
     Parameters
     ----------
     send : callable
         ASGI send callable.
     request_id : str
-        Told to the caller in a header.
+        Request id, sent to the caller in a header.
     method : str
-        Of the caller's request.
+        HTTP method of the caller's request.
     needs_done : bool
-        Whether an event stream is whole only with a last ``[DONE]`` event.
+        Whether a complete event stream has to end with a ``[DONE]`` event.
     limits : CallerLimits
-        Largest buffered answer.
-    share : HeldShare
+        Maximum size of a buffered response, and write timeout.
+    reservation : ByteReservation
         Budget for the buffered bytes.
     clock : callable
         Monotonic time in seconds.
@@ -76,7 +76,7 @@
         method: str,
         needs_done: bool,
         limits: CallerLimits,
-        share: HeldShare,
+        reservation: ByteReservation,
         clock: Clock,
     ) -> None:
         self._send = send
@@ -85,7 +85,7 @@
         self._method = method
         self._needs_done = needs_done
         self._limits = limits
-        self._share = share
+        self._share = reservation
         self._clock = clock
         self._mode = _Mode.EMPTY
         self._status = 0
@@ -99,16 +99,16 @@
 
     @property
     def status(self) -> int:
-        """The target's status, or 0 before it is known."""
+        """Status of the target's response, or 0 before it is known."""
         return self._status
 
     @property
-    def reached_caller(self) -> bool:
-        """Whether the caller has received a part of the answer."""
+    def has_sent_bytes(self) -> bool:
+        """Whether a part of the response was sent to the caller."""
         return self._mode in (_Mode.EVENTS, _Mode.BYTES)
 
     def is_stalled(self) -> bool:
-        """Return whether the caller has left sent bytes unread for too long."""
+        """Return whether the pending write exceeds the write timeout."""
         if self._sending_since is None:
             return False
         return self._clock() - self._sending_since > self._limits.write_timeout_s
@@ -116,10 +116,10 @@
     async def start(
         self, status: int, headers: tuple[tuple[bytes, bytes], ...], agent: str
     ) -> None:
-        """Take the target's status and headers."""
+        """Receive the target's status and headers."""
         self._status = status
         self._agent = agent
-        self._headers = answer_headers(headers)
+        self._headers = response_headers(headers)
         self._mode = _Mode.BUFFERED
         if is_event_stream(self._headers) and self._has_body():
             self._mode = _Mode.EVENTS
@@ -128,7 +128,7 @@
         self._expected_size = _content_length(headers) if self._has_body() else None
 
     async def chunk(self, body: bytes) -> None:
-        """Take a piece of the body."""
+        """Receive a piece of the body."""
         self._size += len(body)
         if self._mode is _Mode.EVENTS:
             await self._send_chunk(self._events.feed(body))
@@ -138,51 +138,51 @@
             await self._buffer(body)
 
     def try_chunk(self, body: bytes) -> bool:
-        """Take a piece of the body if it can be passed on at once.
+        """Receive a piece of the body if it can be forwarded without waiting.
 
         Returns
         -------
         bool
-            False, without effect, when `chunk` has to take it.
+            False, without effect, when `chunk` has to be called instead.
         """
         sender = self._sender
-        if sender is None or not self.reached_caller or not sender.is_ready():
+        if sender is None or not self.has_sent_bytes or not sender.is_ready():
             return False
         self._size += len(body)
         is_events = self._mode is _Mode.EVENTS
         sender.write(self._events.feed(body) if is_events else body)
         return True
 
-    def is_whole(self) -> bool:
-        """Return whether what arrived can be the whole answer."""
+    def is_complete(self) -> bool:
+        """Return whether the received response can be complete."""
         if self._mode is _Mode.EMPTY:
             return False
         if self._mode is _Mode.EVENTS:
-            return self._events.ended_with_done or not self._done_is_due()
+            return self._events.ends_with_done or not self._requires_done()
         return self._expected_size in (None, self._size)
 
     async def complete(self) -> None:
-        """Send the rest and end the response cleanly."""
+        """Send the buffered bytes and terminate the response."""
         if self._mode is _Mode.EVENTS:
-            await send_end(self._send, self._events.rest())
+            await send_end(self._send, self._events.flush())
         elif self._mode is _Mode.BYTES:
             await send_end(self._send)
         else:
             await self._send_buffered()
 
-    async def break_off(self, document: ErrorDocument) -> None:
-        """Cut a response that has begun.
+    async def abort(self, document: ErrorDocument) -> None:
+        """Cut off a response that has begun.
 
         Raises
         ------
         AbortConnection
-            Always, so that the response has no clean end.
+            Always, so that the response is not terminated.
         """
         if self._mode is _Mode.EVENTS:
             await self._send_chunk(error_event(document))
         raise AbortConnection
 
-    def _done_is_due(self) -> bool:
+    def _requires_done(self) -> bool:
         return self._needs_done and self._status == _OK
 
     def _has_body(self) -> bool:
--- a/libs/caller/src/berylwalk/caller/_calls.py
+++ b/libs/caller/src/berylwalk/caller/_request_builder.py
@@ -1,4 +1,4 @@
-"""A validated request out of a call's route, headers, body and settings."""
+"""Builds a validated request from a call's route, headers, body and settings."""
 
 from dataclasses import dataclass
 
@@ -9,7 +9,7 @@
     model_call_problems,
     size_problems,
 )
-from berylwalk.caller._errors import NOT_FOUND, ErrorAnswer, Problem, rejected
+from berylwalk.caller._errors import NOT_FOUND, ErrorResponse, Problem, rejected
 from berylwalk.caller._headers import (
     CallOptions,
     ValuesByName,
@@ -45,7 +45,7 @@
     Parameters
     ----------
     request_id : RequestId
-        Its name.
+        Identifier of the request.
     account : str
         Path of the client account.
     route : Route
@@ -57,7 +57,7 @@
     arrived_at : float
         Monotonic time in seconds.
     traceparent : str
-        Trace context of the router's hop.
+        W3C trace context of the router's span.
     """
 
     request_id: RequestId
@@ -70,8 +70,8 @@
 
 
 @dataclass(frozen=True, slots=True)
-class _Work:
-    """What differs between model calls and service calls."""
+class _CallDetails:
+    """Request fields that differ between model calls and service calls."""
 
     call: TargetCall
     estimate: WorkEstimate
@@ -91,7 +91,7 @@
     prefix_hashes : callable
         Hashes the leading blocks of a prompt.
     limits : CallerLimits
-        Bounds of what callers may ask for.
+        Limits on calls.
     """
 
     def __init__(
@@ -106,35 +106,37 @@
         self._prefix_hashes = prefix_hashes
         self._limits = limits
 
-    def build(self, received: ReceivedCall) -> Request | ErrorAnswer:
-        """Return the request, or one error with every mistake found."""
+    def build(self, received: ReceivedCall) -> Request | ErrorResponse:
+        """Return the request, or one error response with all problems."""
         options, problems = call_options(received.values, self._limits)
         service_policy = find_service_policy(
             received.account, received.route, options, self._service_policies
         )
-        if isinstance(service_policy, ErrorAnswer):
+        if isinstance(service_policy, ErrorResponse):
             return service_policy
         if isinstance(service_policy, Problem):
             problems.append(service_policy)
             service_policy = None
         known = self._resources()
         if received.route.endpoint is Endpoint.SERVICE:
-            work = _service_work(received, service_policy, known, problems)
+            details = _service_call_details(received, service_policy, known, problems)
         else:
-            work = self._model_work(received, service_policy, known, problems)
-        if work is not None:
-            problems.extend(size_problems(work.call, self._limits))
-        if problems or service_policy is None or work is None:
+            details = self._model_call_details(
+                received, service_policy, known, problems
+            )
+        if details is not None:
+            problems.extend(size_problems(details.call, self._limits))
+        if problems or service_policy is None or details is None:
             return rejected(problems)
-        return _request(received, options, service_policy, work)
+        return _request(received, options, service_policy, details)
 
-    def _model_work(
+    def _model_call_details(
         self,
         received: ReceivedCall,
         service_policy: ServicePolicy | None,
         known: frozenset[str],
         problems: list[Problem],
-    ) -> _Work | None:
+    ) -> _CallDetails | None:
         encodings = received.values.get("content-encoding", [""])
         if not _PLAIN_ENCODINGS.issuperset(encodings):
             problems.append(bad_request("header Content-Encoding", "must be identity"))
@@ -148,7 +150,7 @@
         problems.extend(
             model_call_problems(model_call, service_policy, known, self._limits)
         )
-        return _Work(
+        return _CallDetails(
             call=TargetCall(
                 method=received.route.method,
                 path=received.route.target_path,
@@ -162,12 +164,12 @@
         )
 
 
-def _service_work(
+def _service_call_details(
     received: ReceivedCall,
     service_policy: ServicePolicy | None,
     known: frozenset[str],
     problems: list[Problem],
-) -> _Work | None:
+) -> _CallDetails | None:
     route = received.route
     name = _target_service(route, service_policy)
     resource = f"service:{name}"
@@ -176,7 +178,7 @@
         problems.append(Problem(NOT_FOUND, Finding("path", problem)))
     if service_policy is None:
         return None
-    return _Work(
+    return _CallDetails(
         call=TargetCall(
             method=route.method,
             path=route.target_path,
@@ -198,20 +200,22 @@
     received: ReceivedCall,
     options: CallOptions,
     service_policy: ServicePolicy,
-    work: _Work,
+    details: _CallDetails,
 ) -> Request:
-    marked = options.idempotent
+    idempotent_header = options.idempotent
     deadline_s = options.deadline_s or service_policy.deadline_s
     return Request(
         request_id=received.request_id,
         service_policy=service_policy,
-        call=work.call,
-        estimate=work.estimate,
+        call=details.call,
+        estimate=details.estimate,
         arrived_at=received.arrived_at,
         deadline_at=received.arrived_at + deadline_s,
-        idempotent=work.idempotent if marked is None else marked,
+        idempotent=details.idempotent
+        if idempotent_header is None
+        else idempotent_header,
         idempotency_key=options.idempotency_key,
-        prefix=work.prefix,
+        prefix=details.prefix,
         traceparent=received.traceparent,
     )
 
--- a/libs/caller/src/berylwalk/caller/_routes.py
+++ b/libs/caller/src/berylwalk/caller/_routes.py
@@ -1,9 +1,9 @@
-"""Which endpoint a request addresses."""
+"""Routing of requests to endpoints by path and method."""
 
 from dataclasses import dataclass
 from enum import StrEnum
 
-from berylwalk.caller._errors import ErrorAnswer, ErrorType, invalid
+from berylwalk.caller._errors import ErrorResponse, ErrorType, invalid
 from berylwalk.model import Finding
 from berylwalk.transport import Scope
 
@@ -32,7 +32,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Route:
-    """An endpoint and what the path names below it.
+    """The endpoint of a request, with the parameters in its path.
 
     Parameters
     ----------
@@ -52,7 +52,7 @@
     target_path: str = ""
 
 
-def find_route(scope: Scope) -> Route | ErrorAnswer:
+def find_route(scope: Scope) -> Route | ErrorResponse:
     """Return the endpoint that a request addresses.
 
     Parameters
@@ -62,8 +62,8 @@
 
     Returns
     -------
-    Route or ErrorAnswer
-        An answer with status 404 or 405 when there is no such endpoint.
+    Route or ErrorResponse
+        A response with status 404 or 405 when there is no such endpoint.
     """
     route = _match(scope)
     if route is None:
@@ -103,7 +103,7 @@
 
 
 def _raw_path(scope: Scope) -> str:
-    # The target receives the path as it was sent, escapes included.
+    # The target receives the path as sent by the caller, with its percent-encoding.
     raw_path = scope.get("raw_path")
     if raw_path is None:
         return scope["path"]
--- a/libs/caller/src/berylwalk/caller/_submission.py
+++ b/libs/caller/src/berylwalk/caller/_submission.py
@@ -1,10 +1,10 @@
-"""One validated request, from the core to the caller's last byte."""
+"""Submission of a request to the core and relay of its response."""
 
 from anyio import CancelScope, create_task_group, move_on_after
 
-from berylwalk.caller._errors import ErrorAnswer, error_document
+from berylwalk.caller._error_responses import RetryDelays, error_for, unknown_outcome
+from berylwalk.caller._errors import ErrorResponse, error_document
 from berylwalk.caller._limits import CallerLimits
-from berylwalk.caller._refusals import RetryTimes, unfinished, unknown
 from berylwalk.caller._relay import Relay
 from berylwalk.model import (
     CallerDisconnectedError,
@@ -23,9 +23,9 @@
     relay: Relay,
     receive: Receive,
     limits: CallerLimits,
-    times: RetryTimes,
-) -> ErrorAnswer | None:
-    """Submit a request and relay its answer.
+    retry_delays: RetryDelays,
+) -> ErrorResponse | None:
+    """Submit a request and relay its response.
 
     Parameters
     ----------
@@ -34,64 +34,64 @@
     request : Request
         The request.
     relay : Relay
-        Where the answer goes.
+        Receives the response.
     receive : callable
         ASGI receive callable; the body has been read.
     limits : CallerLimits
-        How long a caller may leave its answer unread.
-    times : RetryTimes
-        Retry times of refusals.
+        Write timeout.
+    retry_delays : RetryDelays
+        Retry delays of refusals.
 
     Returns
     -------
-    ErrorAnswer or None
-        What is left to be told; None when the whole answer was sent or the
-        caller went away.
+    ErrorResponse or None
+        Error that remains to be sent; None when the complete response was sent or
+        the caller disconnected.
 
     Raises
     ------
     AbortConnection
-        If the answer broke after the caller received a part of it.
+        If the response failed after a part of it was sent to the caller.
     """
-    final = await _submit_watched(submitter, request, relay, receive, limits)
+    final = await _submit_until_disconnect(submitter, request, relay, receive, limits)
     if final is None:
         return None
-    if final.outcome is Outcome.COMPLETE and relay.is_whole():
+    if final.outcome is Outcome.COMPLETE and relay.is_complete():
         await relay.complete()
         return None
-    error = _error_of(final, request, relay, times)
-    if relay.reached_caller:
-        await relay.break_off(error_document(error, str(request.request_id)))
+    error = _error_for_final(final, request, relay, retry_delays)
+    if relay.has_sent_bytes:
+        await relay.abort(error_document(error, str(request.request_id)))
     return error
 
 
-def _error_of(
-    final: FinalResponse, request: Request, relay: Relay, times: RetryTimes
-) -> ErrorAnswer:
+def _error_for_final(
+    final: FinalResponse, request: Request, relay: Relay, retry_delays: RetryDelays
+) -> ErrorResponse:
     if final.outcome is Outcome.COMPLETE or relay.status:
-        # The target was reached, whatever the end is called.
-        return unknown(idempotent=request.idempotent)
-    return unfinished(final, request, times)
+        # The target received the request, so the outcome cannot be not-run.
+        return unknown_outcome(idempotent=request.idempotent)
+    return error_for(final, request, retry_delays)
 
 
-async def _submit_watched(
+async def _submit_until_disconnect(
     submitter: Submitter,
     request: Request,
     relay: Relay,
     receive: Receive,
     limits: CallerLimits,
 ) -> FinalResponse | None:
-    """Run the request until its end; None when the caller went away."""
+    """Submit the request; return None when the caller disconnected."""
     final: FinalResponse | None = None
     async with create_task_group() as tasks:
         scope = tasks.cancel_scope
         tasks.start_soon(_watch_caller, receive, relay, limits, scope)
-        final = await _submit_guarded(submitter, request, relay)
+        final = await _submit_or_unknown(submitter, request, relay)
         scope.cancel()
     return final
 
 
-async def _submit_guarded(
+async def _submit_or_unknown(
     submitter: Submitter, request: Request, relay: Relay
 ) -> FinalResponse | None:
     try:
@@ -99,7 +99,7 @@
     except CallerDisconnectedError:
         return None
     except Exception as error:
-        # Nobody can say whether a grant was issued.
+        # A grant may have been issued before the error.
         log_event(
             Level.ERROR,
             "submit-failed",
--- a/libs/caller/tests/conftest.py
+++ b/libs/caller/tests/conftest.py
@@ -1,4 +1,4 @@
-"""A fake core of the router, and ways to call the application."""
+"""Fake router core and helpers to call the application."""
 
 from collections.abc import AsyncIterator, Awaitable, Callable
 from contextlib import AbstractAsyncContextManager, asynccontextmanager
@@ -36,8 +36,8 @@
 Respond = Callable[[Request, ResponseSink], Awaitable[FinalResponse]]
 
 
-async def whole_answer(request: Request, sink: ResponseSink) -> FinalResponse:
-    """Answer with the target call's own body."""
+async def echo_body(request: Request, sink: ResponseSink) -> FinalResponse:
+    """Respond with the body of the request."""
     await sink.start(200, JSON_HEADERS, "agent-1")
     await sink.chunk(request.call.body)
     return FinalResponse(Outcome.COMPLETE, started=True)
@@ -45,34 +45,34 @@
 
 @dataclass
 class FakeSubmitter:
-    """Keeps the requests and lets a function answer them."""
+    """Records the requests and responds by a function."""
 
-    respond: Respond = whole_answer
+    respond: Respond = echo_body
     requests: list[Request] = field(default_factory=list)
     serials: count = field(default_factory=lambda: count(1))
 
     def new_request_id(self) -> RequestId:
-        """Return the next identifier."""
+        """Return the next request id."""
         return RequestId("router-1", 255, next(self.serials))
 
     async def submit(self, request: Request, sink: ResponseSink) -> FinalResponse:
-        """Keep the request and answer it."""
+        """Record the request and respond to it."""
         self.requests.append(request)
         return await self.respond(request, sink)
 
 
 @dataclass
 class FakeServicePolicies:
-    """One account with service nodes, which may use all models but one."""
+    """Settings of one account with service nodes and access to all models but one."""
 
     idempotent: bool = True
 
     def by_token(self, sha256_hex: str) -> str | None:
-        """Return the account of the one known token."""
+        """Return the account if the token is the valid one."""
         return ACCOUNT if sha256_hex == sha256(TOKEN.encode()).hexdigest() else None
 
     def service_policy(self, account: str, service: str) -> ServicePolicy | None:
-        """Return settings of the account and of its nodes.
+        """Return the settings of the account or of one of its service nodes.
 
         The calls of the node ``boards`` go to the service ``signs``.
         """
@@ -91,8 +91,8 @@
 
 
 @dataclass
-class Answer:
-    """A response as the ASGI server saw it."""
+class RecordedResponse:
+    """A response as received by the ASGI server."""
 
     status: int = 0
     headers: dict[str, str] = field(default_factory=dict)
@@ -125,9 +125,9 @@
         body: bytes = b"",
         headers: tuple[tuple[str, str], ...] = (),
         token: str = TOKEN,
-    ) -> Answer:
+    ) -> RecordedResponse:
         """Send one request and return the response."""
-        answer = Answer()
+        response = RecordedResponse()
         target, _, query = path.partition("?")
         all_headers = (("authorization", f"Bearer {token}"), *headers)
         scope = {
@@ -147,23 +147,23 @@
 
         async def send(message: dict) -> None:
             if message["type"] == "http.response.start":
-                answer.status = message["status"]
+                response.status = message["status"]
                 names = [name for name, _ in message["headers"]]
                 assert len(names) == len(set(names))
-                answer.headers = {
+                response.headers = {
                     name.decode(): value.decode() for name, value in message["headers"]
                 }
                 return
-            answer.body += message.get("body", b"")
-            answer.ended = not message.get("more_body", False)
+            response.body += message.get("body", b"")
+            response.ended = not message.get("more_body", False)
 
         try:
             await self.app(scope, receive, send)
         except AbortConnection:
-            answer.aborted = True
-        return answer
+            response.aborted = True
+        return response
 
-    async def chat(self, headers: tuple = (), **fields: object) -> Answer:
+    async def chat(self, headers: tuple = (), **fields: object) -> RecordedResponse:
         """Send a chat call."""
         body = {"model": "small", "messages": [{"role": "user", "content": "hi"}]}
         encoded = msgspec.json.encode(body | fields)
@@ -178,7 +178,7 @@
     is_ready: Callable[[], bool] = lambda: True,
     **limits: float,
 ) -> Callable:
-    """Return the application over fakes."""
+    """Return the application with fake dependencies."""
     return caller_app(
         submitter=submitter,
         service_policies=FakeServicePolicies(idempotent=idempotent),
@@ -192,9 +192,9 @@
 
 @pytest.fixture
 def make_caller() -> Callable[..., Caller]:
-    """Return a function that builds a caller over a fake core."""
+    """Return a factory of callers of an application with a fake core."""
 
-    def make(respond: Respond = whole_answer, **options: object) -> Caller:
+    def make(respond: Respond = echo_body, **options: object) -> Caller:
         submitter = FakeSubmitter(respond)
         return Caller(make_app(submitter, **options), submitter)
 
@@ -203,11 +203,11 @@
 
 @pytest.fixture
 def serve() -> Callable[..., AbstractAsyncContextManager[tuple[str, int]]]:
-    """Return a function that serves a fake core on a socket."""
+    """Return a context manager that serves the application on a socket."""
 
     @asynccontextmanager
     async def serving(
-        respond: Respond = whole_answer, **options: object
+        respond: Respond = echo_body, **options: object
     ) -> AsyncIterator[tuple[str, int]]:
         server = HttpServer(make_app(FakeSubmitter(respond), **options), HOST, 0)
         await server.start()
--- a/libs/caller/tests/test_caller_answers.py
+++ b/libs/caller/tests/test_caller_answers.py
@@ -1,4 +1,4 @@
-"""Answers on their way from the core to the caller, without sockets."""
+"""Requests passed to the core and responses relayed to callers, without sockets."""
 
 import msgspec
 import pytest
@@ -14,8 +14,8 @@
 UNKNOWN = FinalResponse(Outcome.UNKNOWN, started=True)
 
 
-def answers(headers, chunks, final=COMPLETE):
-    """Return a core that answers each request with the same pieces."""
+def responding_with(headers, chunks, final=COMPLETE):
+    """Return a handler that responds to each request with the same chunks."""
 
     async def respond(request, sink):
         await sink.start(200, headers, "agent-1")
@@ -28,7 +28,7 @@
 
 class TestRequest:
     async def test_body_and_settings(self, make_caller):
-        """The core receives the raw body, the estimate, the deadline and the key."""
+        """The core receives the unchanged body and the options of the headers."""
         caller = make_caller()
         body = (
             b'{ "model":"small","messages":[{"role":"user","content":"abcd\\ud800"}],'
@@ -52,7 +52,7 @@
         assert request.prefix == (len("user\nabcd___\n"),)
 
     async def test_service_call(self, make_caller):
-        """A service receives path, query and headers, but no secrets of the hop."""
+        """A service receives no token and no hop-by-hop headers of the caller."""
         caller = make_caller()
         headers = (
             ("connection", "x-hop, keep-alive"),
@@ -70,10 +70,10 @@
         assert request.service_policy.service == "signs"
 
     async def test_target_service(self, make_caller):
-        """Calls of a service node go to the plain service that its settings name."""
+        """Calls of a service node go to the target service of its settings."""
         caller = make_caller()
-        answer = await caller.call("GET", "/services/boards/a")
-        assert answer.status == 200
+        response = await caller.call("GET", "/services/boards/a")
+        assert response.status == 200
         (request,) = caller.submitter.requests
         assert request.call.resource == "service:signs"
         assert request.service_policy.service == "boards"
@@ -86,7 +86,7 @@
         assert caller.submitter.requests[0].idempotent is idempotent
 
     async def test_settings_mark_calls_non_idempotent(self, make_caller):
-        """The operator's marking also holds for methods that are idempotent."""
+        """A non-idempotent setting also applies to methods that are idempotent."""
         caller = make_caller(idempotent=False)
         await caller.call("GET", "/services/signs/a")
         await caller.chat()
@@ -94,16 +94,16 @@
 
     async def test_models(self, make_caller):
         """Only known models that the account may use are listed."""
-        answer = await make_caller().call("GET", "/v1/models")
-        names = [model["id"] for model in msgspec.json.decode(answer.body)["data"]]
+        response = await make_caller().call("GET", "/v1/models")
+        names = [model["id"] for model in msgspec.json.decode(response.body)["data"]]
         assert names == ["org/tuned", "small"]
         named = await make_caller().call("GET", "/v1/models/org/tuned")
         assert msgspec.json.decode(named.body)["id"] == "org/tuned"
 
 
-class TestWholeAnswer:
+class TestBufferedResponse:
     async def test_headers(self, make_caller):
-        """Outcome and framing are the router's own; a replay stays marked."""
+        """A target cannot set outcome, agent or framing; the replay header is kept."""
         headers = (
             (b"Berylwalk-Outcome", b"not-run"),
             (b"Berylwalk-Agent", b"agent-9"),
@@ -111,48 +111,48 @@
             (b"Transfer-Encoding", b"chunked"),
             (b"X-Own", b"1"),
         )
-        answer = await make_caller(answers(headers, [b"ab", b"c"])).chat()
-        assert answer.body == b"abc"
-        assert answer.outcome == "complete"
-        assert answer.headers["berylwalk-request-id"] == "router-1.ff.1"
-        assert answer.headers["berylwalk-agent"] == "agent-1"
-        assert answer.headers["x-own"] == "1"
-        assert answer.headers["berylwalk-replayed"] == "1"
-        assert answer.headers["content-length"] == "3"
-        assert "transfer-encoding" not in answer.headers
-
-    async def test_broken_answer_is_not_sent(self, make_caller):
-        """The caller sees no part of a buffered answer that broke."""
-        answer = await make_caller(answers((), [b"secret"], UNKNOWN)).chat()
-        assert (answer.status, answer.outcome) == (502, "unknown")
-        assert b"secret" not in answer.body
-
-    async def test_short_answer(self, make_caller):
-        """An answer below its announced length is not whole."""
+        response = await make_caller(responding_with(headers, [b"ab", b"c"])).chat()
+        assert response.body == b"abc"
+        assert response.outcome == "complete"
+        assert response.headers["berylwalk-request-id"] == "router-1.ff.1"
+        assert response.headers["berylwalk-agent"] == "agent-1"
+        assert response.headers["x-own"] == "1"
+        assert response.headers["berylwalk-replayed"] == "1"
+        assert response.headers["content-length"] == "3"
+        assert "transfer-encoding" not in response.headers
+
+    async def test_broken_response_is_not_sent(self, make_caller):
+        """No part of an incomplete buffered response reaches the caller."""
+        response = await make_caller(responding_with((), [b"secret"], UNKNOWN)).chat()
+        assert (response.status, response.outcome) == (502, "unknown")
+        assert b"secret" not in response.body
+
+    async def test_short_response(self, make_caller):
+        """A response shorter than its Content-Length is not complete."""
         headers = ((b"content-length", b"9"),)
-        answer = await make_caller(answers(headers, [b"short"])).chat()
-        assert (answer.status, answer.outcome) == (502, "unknown")
+        response = await make_caller(responding_with(headers, [b"short"])).chat()
+        assert (response.status, response.outcome) == (502, "unknown")
 
-    @pytest.mark.parametrize("limit", ["max_buffered_bytes", "max_held_bytes"])
-    async def test_large_answer(self, make_caller, limit):
-        """An answer that cannot be held is passed on, and cut if it breaks."""
+    @pytest.mark.parametrize("limit", ["max_buffered_bytes", "max_total_held_bytes"])
+    async def test_large_response(self, make_caller, limit):
+        """A response too large to buffer is streamed, and aborted if it breaks."""
         chunks = [b"a" * 300, b"b" * 300, b"c"]
-        whole = make_caller(answers((), chunks), **{limit: 500})
-        answer = await whole.chat()
-        assert answer.outcome == "streaming"
-        assert (answer.body, answer.ended) == (b"".join(chunks), True)
-        broken = make_caller(answers((), chunks, UNKNOWN), **{limit: 500})
-        answer = await broken.chat()
-        assert (answer.aborted, answer.ended) == (True, False)
+        whole = make_caller(responding_with((), chunks), **{limit: 500})
+        response = await whole.chat()
+        assert response.outcome == "streaming"
+        assert (response.body, response.ended) == (b"".join(chunks), True)
+        broken = make_caller(responding_with((), chunks, UNKNOWN), **{limit: 500})
+        response = await broken.chat()
+        assert (response.aborted, response.ended) == (True, False)
 
 
 class TestEventStream:
     async def test_bytes_unchanged(self, make_caller):
-        """A stream arrives as the target sent it, and ends cleanly."""
+        """A stream is relayed unchanged and terminated."""
         chunks = [b"data: {}\n", b"\ndata: 1\n\nda", b"ta: [DO", b"NE]\n\n"]
-        answer = await make_caller(answers(EVENTS, chunks)).chat(stream=True)
-        assert answer.outcome == "streaming"
-        assert (answer.body, answer.ended) == (b"".join(chunks), True)
+        response = await make_caller(responding_with(EVENTS, chunks)).chat(stream=True)
+        assert response.outcome == "streaming"
+        assert (response.body, response.ended) == (b"".join(chunks), True)
 
     @pytest.mark.parametrize(
         ("chunks", "final"),
@@ -165,9 +165,11 @@
         ids=["cut event", "cut after done", "no done", "done inside text"],
     )
     async def test_broken_stream_never_looks_complete(self, make_caller, chunks, final):
-        """A stream without a whole end has an error event, no [DONE], and an abort."""
-        answer = await make_caller(answers(EVENTS, chunks, final)).chat(stream=True)
-        *events, last, rest = answer.body.split(b"\n\n")
+        """An incomplete stream has an error event and no [DONE], and is aborted."""
+        response = await make_caller(responding_with(EVENTS, chunks, final)).chat(
+            stream=True
+        )
+        *events, last, rest = response.body.split(b"\n\n")
         assert events[0] == b"data: 1"
         assert b"data: [DONE]" not in events
         assert rest == b""
@@ -175,17 +177,17 @@
         assert event == b"event: error"
         error = msgspec.json.decode(data.removeprefix(b"data: "))["error"]
         assert error["outcome"] == "unknown"
-        assert (answer.aborted, answer.ended) == (True, False)
+        assert (response.aborted, response.ended) == (True, False)
 
     async def test_service_stream_needs_no_done(self, make_caller):
-        """Plain services end their event streams as they like."""
-        caller = make_caller(answers(EVENTS, [b"data: 1\n\n"]))
-        answer = await caller.call("GET", "/services/signs/events")
-        assert (answer.body, answer.ended) == (b"data: 1\n\n", True)
+        """Event streams of plain services need no [DONE] event."""
+        caller = make_caller(responding_with(EVENTS, [b"data: 1\n\n"]))
+        response = await caller.call("GET", "/services/signs/events")
+        assert (response.body, response.ended) == (b"data: 1\n\n", True)
 
     @pytest.mark.parametrize("newline", [b"\n", b"\r\n"])
-    def test_splitter_passes_on_whole_events(self, newline):
-        """However the bytes are cut, only whole events go out, none changed."""
+    def test_splitter_emits_complete_events(self, newline):
+        """Only complete events are emitted, wherever the chunk boundaries are."""
         end = newline * 2
         stream = b"data: a" + end + b"data: b" + newline + b"id: 1" + end
         boundaries = (0, len(b"data: a" + end), len(stream))
@@ -201,8 +203,8 @@
 
 
 class TestManyCallers:
-    async def test_answers_never_mix(self, make_caller):
-        """Answers that arrive interleaved and out of order reach their callers."""
+    async def test_concurrent_responses_never_mix(self, make_caller):
+        """Interleaved responses reach the callers that they belong to."""
 
         async def respond(request, sink):
             number = int(request.call.path.removeprefix("/"))
@@ -213,16 +215,16 @@
             return COMPLETE
 
         caller = make_caller(respond)
-        answers_by_number = {}
+        responses_by_number = {}
 
         async def call(number):
             path = f"/services/signs/{number}"
-            answers_by_number[number] = await caller.call("GET", path)
+            responses_by_number[number] = await caller.call("GET", path)
 
         async with create_task_group() as tasks:
             for number in range(50):
                 tasks.start_soon(call, number)
-        for number, answer in answers_by_number.items():
-            assert answer.body == b"%d;" % number * 3
-        ids = {a.headers["berylwalk-request-id"] for a in answers_by_number.values()}
+        for number, response in responses_by_number.items():
+            assert response.body == b"%d;" % number * 3
+        ids = {a.headers["berylwalk-request-id"] for a in responses_by_number.values()}
         assert len(ids) == 50
--- a/libs/caller/tests/test_caller_errors.py
+++ b/libs/caller/tests/test_caller_errors.py
@@ -1,4 +1,4 @@
-"""What callers are told when no answer was delivered."""
+"""Error responses of the caller API."""
 
 import msgspec
 import pytest
@@ -22,7 +22,7 @@
 
 
 def ends_with(final):
-    """Return a core that ends each request in the same way."""
+    """Return a handler that ends each request with the same final response."""
 
     async def respond(request, sink):
         return final
@@ -31,15 +31,15 @@
 
 
 def refused(reason, retry_after_ms=0, detail=""):
-    """Return the end of a request that did not run."""
+    """Return the final response of a refused request."""
     return FinalResponse(Outcome.NOT_RUN, Refusal(reason, retry_after_ms, detail))
 
 
 class TestInvalid:
     async def test_all_findings_at_once(self, make_caller, snapshot):
-        """Mistakes in headers, body and limits are told together."""
+        """Problems in headers and body are reported together."""
         caller = make_caller()
-        answer = await caller.chat(
+        response = await caller.chat(
             headers=(
                 ("berylwalk-deadline-ms", "-5"),
                 ("berylwalk-idempotent", "perhaps"),
@@ -52,16 +52,16 @@
             stream="yes",
             max_tokens=0,
         )
-        assert answer.status == 400
-        assert answer.outcome == "invalid"
-        assert answer.error == snapshot
+        assert response.status == 400
+        assert response.outcome == "invalid"
+        assert response.error == snapshot
         assert caller.submitter.requests == []
 
     async def test_limits_and_access_together(self, make_caller, snapshot):
-        """Too much output and a model out of reach are told in one answer."""
-        answer = await make_caller().chat(model="large", max_tokens=400, n=3)
-        assert answer.status == 400
-        assert answer.error == snapshot
+        """An exceeded limit and a forbidden model are reported together."""
+        response = await make_caller().chat(model="large", max_tokens=400, n=3)
+        assert response.status == 400
+        assert response.error == snapshot
 
     @pytest.mark.parametrize(
         "body",
@@ -78,10 +78,10 @@
         ids=["twice", "nan", "syntax", "utf8", "list", "deep", "digits", "empty"],
     )
     async def test_malformed_body(self, make_caller, snapshot, body):
-        """A body that JSON readers could disagree on is rejected with its place."""
-        answer = await make_caller().call("POST", "/v1/chat/completions", body)
-        assert answer.status == 400
-        assert answer.error == snapshot
+        """A malformed or ambiguous body is rejected with the problem's location."""
+        response = await make_caller().call("POST", "/v1/chat/completions", body)
+        assert response.status == 400
+        assert response.error == snapshot
 
     @pytest.mark.parametrize(
         ("method", "path", "status"),
@@ -94,46 +94,48 @@
         ],
     )
     async def test_unknown_names(self, make_caller, snapshot, method, path, status):
-        """Unknown and forbidden names have their own statuses."""
-        answer = await make_caller().call(method, path)
-        assert answer.status == status
-        assert answer.error == snapshot
+        """Unknown and forbidden resources and methods have different statuses."""
+        response = await make_caller().call(method, path)
+        assert response.status == status
+        assert response.error == snapshot
 
     async def test_unknown_account(self, make_caller, snapshot):
-        """Without a known token nothing else is told."""
-        answer = await make_caller().call("GET", "/v1/models/absent", token="wrong")
-        assert answer.status == 401
-        assert answer.headers["www-authenticate"] == "Bearer"
-        assert answer.error == snapshot
-
-    async def test_mistyped_header(self, make_caller):
-        """A mistyped name must not make a call repeatable."""
+        """Without a valid token the response reveals nothing about resources."""
+        response = await make_caller().call("GET", "/v1/models/absent", token="wrong")
+        assert response.status == 401
+        assert response.headers["www-authenticate"] == "Bearer"
+        assert response.error == snapshot
+
+    async def test_misspelled_header(self, make_caller):
+        """A misspelled header must not leave a call marked as idempotent."""
         caller = make_caller()
-        answer = await caller.chat((("berylwalk-idempotant", "false"),))
-        assert (answer.status, answer.outcome) == (400, "invalid")
+        response = await caller.chat((("berylwalk-idempotant", "false"),))
+        assert (response.status, response.outcome) == (400, "invalid")
         assert caller.submitter.requests == []
 
     async def test_headers_too_large_for_a_grant(self, make_caller):
-        """Headers that no agent would take are rejected before the grant."""
+        """Headers over the agents' limit are rejected before submission."""
         caller = make_caller()
         headers = (("x-own", "x" * 20_000),)
-        answer = await caller.call("GET", "/services/signs/a", headers=headers)
-        assert answer.status == 400
+        response = await caller.call("GET", "/services/signs/a", headers=headers)
+        assert response.status == 400
         assert caller.submitter.requests == []
 
     async def test_findings_are_bounded(self, make_caller):
-        """A body of nothing but mistakes has no answer larger than itself."""
-        answer = await make_caller().chat(messages=[{}] * 5000)
-        assert len(answer.error["findings"]) == 101
-        assert answer.error["findings"][-1]["problem"].startswith("4900 more")
+        """The number of reported findings is limited."""
+        response = await make_caller().chat(messages=[{}] * 5000)
+        assert len(response.error["findings"]) == 101
+        assert response.error["findings"][-1]["problem"].startswith("4900 more")
 
     async def test_large_body(self, make_caller):
-        """A body over the limit is rejected, declared or not."""
+        """A body over the limit is rejected, with or without Content-Length."""
         caller = make_caller(max_body_bytes=10)
         declared = (("content-length", "11"),)
         for headers in ((), declared):
-            answer = await caller.call("POST", "/services/signs/a", b"x" * 11, headers)
-            assert answer.status == 413
+            response = await caller.call(
+                "POST", "/services/signs/a", b"x" * 11, headers
+            )
+            assert response.status == 413
         assert caller.submitter.requests == []
 
 
@@ -145,16 +147,16 @@
         suppress_health_check=[HealthCheck.function_scoped_fixture],
     )
     @given(fields=BODIES, path=st.sampled_from(["chat/completions", "completions"]))
-    async def test_any_body_is_placed_or_invalid(self, make_caller, fields, path):
-        """Whatever the body holds, it is either placed unchanged or rejected."""
+    async def test_any_body_is_submitted_or_invalid(self, make_caller, fields, path):
+        """Any body is either submitted unchanged or rejected with findings."""
         caller = make_caller()
         body = msgspec.json.encode(fields)
-        answer = await caller.call("POST", f"/v1/{path}", body)
-        if answer.outcome == "complete":
+        response = await caller.call("POST", f"/v1/{path}", body)
+        if response.outcome == "complete":
             assert [r.call.body for r in caller.submitter.requests] == [body]
             return
-        assert answer.outcome == "invalid"
-        assert answer.error["findings"]
+        assert response.outcome == "invalid"
+        assert response.error["findings"]
         assert caller.submitter.requests == []
 
 
@@ -164,76 +166,76 @@
         [
             (RefusalReason.QUEUE_FULL, 503, "not-run"),
             (RefusalReason.ACCOUNT_LIMIT, 429, "not-run"),
-            # The request that holds the key may have run.
+            # The request that uses the key may have run.
             (RefusalReason.KEY_IN_USE, 409, "unknown"),
             (RefusalReason.DEADLINE, 504, "not-run"),
         ],
     )
     async def test_retry_after(self, make_caller, snapshot, reason, status, outcome):
-        """The time to return is rounded up to seconds and told in full too."""
-        answer = await make_caller(ends_with(refused(reason, 1200))).chat()
-        assert answer.status == status
-        assert answer.outcome == outcome
-        assert answer.headers["retry-after"] == "2"
-        assert answer.headers["retry-after-ms"] == "1200"
-        assert answer.error == snapshot
+        """Retry-After is rounded up to seconds; Retry-After-Ms is exact."""
+        response = await make_caller(ends_with(refused(reason, 1200))).chat()
+        assert response.status == status
+        assert response.outcome == outcome
+        assert response.headers["retry-after"] == "2"
+        assert response.headers["retry-after-ms"] == "1200"
+        assert response.error == snapshot
 
     @pytest.mark.parametrize(
         ("reason", "status", "outcome"),
         [
             (RefusalReason.KEY_REUSED, 422, "invalid"),
-            # The work that the key names is done.
+            # The first call with the key is complete.
             (RefusalReason.KEY_SETTLED, 409, "complete"),
         ],
     )
-    async def test_keys_for_which_no_repeat_helps(
+    async def test_keys_that_cannot_be_retried(
         self, make_caller, snapshot, reason, status, outcome
     ):
-        """Clients are told not to come back with this key and call."""
+        """Clients are told not to retry a call whose key cannot be used again."""
         respond = ends_with(refused(reason, detail="request r.1.1 has the key"))
-        answer = await make_caller(respond).chat()
-        assert (answer.status, answer.outcome) == (status, outcome)
-        assert answer.headers["x-should-retry"] == "false"
-        assert "retry-after" not in answer.headers
-        assert answer.error == snapshot
+        response = await make_caller(respond).chat()
+        assert (response.status, response.outcome) == (status, outcome)
+        assert response.headers["x-should-retry"] == "false"
+        assert "retry-after" not in response.headers
+        assert response.error == snapshot
 
-    async def test_time_without_one_of_the_core(self, make_caller):
-        """A refusal that names no time still has one."""
-        answer = await make_caller(ends_with(refused(RefusalReason.NO_TARGET))).chat()
-        assert answer.headers["retry-after"] == "1"
+    async def test_default_retry_after(self, make_caller):
+        """A refusal without a retry time gets the default one."""
+        response = await make_caller(ends_with(refused(RefusalReason.NO_TARGET))).chat()
+        assert response.headers["retry-after"] == "1"
 
     async def test_not_ready(self, make_caller, snapshot):
-        """Before the settings are known no token is told to be wrong."""
+        """Before the settings are known, requests get status 503 instead of 401."""
         caller = make_caller(is_ready=lambda: False)
-        answer = await caller.call("GET", "/v1/models", token="any")
-        assert (answer.status, answer.outcome) == (503, "not-run")
-        assert answer.headers["berylwalk-request-id"] == "router-1.ff.1"
-        assert answer.headers["x-should-retry"] == "true"
-        assert answer.headers["retry-after"] == "1"
-        assert answer.error == snapshot
+        response = await caller.call("GET", "/v1/models", token="any")
+        assert (response.status, response.outcome) == (503, "not-run")
+        assert response.headers["berylwalk-request-id"] == "router-1.ff.1"
+        assert response.headers["x-should-retry"] == "true"
+        assert response.headers["retry-after"] == "1"
+        assert response.error == snapshot
 
     async def test_no_resources_known(self, make_caller):
-        """A router that has heard of no target leaves the names to the core."""
+        """While no resources are known, no model is rejected as unknown."""
         caller = make_caller(resources=frozenset())
-        answer = await caller.chat(model="absent")
-        assert (answer.status, answer.outcome) == (200, "complete")
+        response = await caller.chat(model="absent")
+        assert (response.status, response.outcome) == (200, "complete")
 
     @pytest.mark.parametrize("left", [frozenset({"model:large"}), frozenset()])
     async def test_all_targets_of_a_resource_down(self, make_caller, left):
-        """What was offered a while ago is not told to be unknown: it is an outage."""
+        """A resource whose targets all went away recently gets status 503, not 404."""
         known = [frozenset({"model:large", "service:signs"})]
         respond = ends_with(refused(RefusalReason.NO_TARGET))
         caller = make_caller(respond, resources=lambda: known[0])
         await caller.call("GET", "/services/signs/a")
         known[0] = left
-        answer = await caller.call("GET", "/services/signs/a")
-        assert (answer.status, answer.outcome) == (503, "not-run")
+        response = await caller.call("GET", "/services/signs/a")
+        assert (response.status, response.outcome) == (503, "not-run")
         never = await caller.call("GET", "/services/boats/a")
         assert never.status == (404 if left else 503)
 
     async def test_held_bytes_are_bounded(self, make_caller):
-        """Over the common budget a body is refused, and the budget recovers."""
-        caller = make_caller(max_held_bytes=100)
+        """A body over the common budget is refused, and reserved bytes are released."""
+        caller = make_caller(max_total_held_bytes=100)
         over = await caller.call("PUT", "/services/signs/a", b"x" * 101)
         assert (over.status, over.outcome) == (503, "not-run")
         assert "retry-after" in over.headers
@@ -245,34 +247,34 @@
 class TestUnknown:
     @pytest.mark.parametrize("mark", ["true", "false"])
     async def test_only_idempotent_calls_may_be_retried(self, make_caller, mark):
-        """Clients that retry by themselves are told whether a repeat is harmless."""
+        """Automatic retries are allowed only for idempotent calls."""
         headers = (("berylwalk-idempotent", mark),)
-        answer = await make_caller(ends_with(FinalResponse(Outcome.UNKNOWN))).chat(
+        response = await make_caller(ends_with(FinalResponse(Outcome.UNKNOWN))).chat(
             headers
         )
-        assert (answer.status, answer.outcome) == (502, "unknown")
-        assert answer.headers["x-should-retry"] == mark
+        assert (response.status, response.outcome) == (502, "unknown")
+        assert response.headers["x-should-retry"] == mark
 
     async def test_error_body(self, make_caller, snapshot):
-        """The body says that the request was dispatched."""
-        answer = await make_caller(ends_with(FinalResponse(Outcome.UNKNOWN))).chat()
-        assert answer.error == snapshot
+        """The error body states that the request was dispatched."""
+        response = await make_caller(ends_with(FinalResponse(Outcome.UNKNOWN))).chat()
+        assert response.error == snapshot
 
     async def test_failing_core(self, make_caller):
-        """A failure inside the core is never told as not-run."""
+        """An exception in the core is never reported as not-run."""
 
         async def respond(request, sink):
             raise RuntimeError("bug")
 
-        answer = await make_caller(respond).chat()
-        assert (answer.status, answer.outcome) == (502, "unknown")
+        response = await make_caller(respond).chat()
+        assert (response.status, response.outcome) == (502, "unknown")
 
-    async def test_not_run_after_an_answer_began(self, make_caller):
-        """Once the target has answered, nothing is told as not-run."""
+    async def test_not_run_after_response_started(self, make_caller):
+        """Once a response has started, the outcome is never reported as not-run."""
 
         async def respond(request, sink):
             await sink.start(200, (), "agent-1")
             return refused(RefusalReason.NO_TARGET)
 
-        answer = await make_caller(respond).chat()
-        assert (answer.status, answer.outcome) == (502, "unknown")
+        response = await make_caller(respond).chat()
+        assert (response.status, response.outcome) == (502, "unknown")
--- a/libs/caller/tests/test_caller_numbers.py
+++ b/libs/caller/tests/test_caller_numbers.py
@@ -1,4 +1,4 @@
-"""Long prompts of token ids are validated without making objects of them."""
+"""Long prompts of token ids are validated without decoding the numbers."""
 
 import json
 
@@ -17,10 +17,10 @@
     return json.dumps({"model": "m", **fields}).encode()
 
 
-def reading_without_shortening(monkeypatch, body):
-    """Read a completion call as if no list of numbers were long."""
+def read_without_shortening(monkeypatch, body):
+    """Parse a completion call with all lists of numbers decoded."""
     with monkeypatch.context() as patch:
-        patch.setattr(_json, "_LONG_START", _json.re.compile(rb"(?!)"))
+        patch.setattr(_json, "_LONG_LIST_START", _json.re.compile(rb"(?!)"))
         return read_completion(body)
 
 
@@ -31,18 +31,18 @@
         | st.lists(st.lists(st.integers(0, 200_000), max_size=20), min_size=1),
         compact=st.booleans(),
     )
-    def test_read_as_short_ones_are(self, prompt, compact):
-        """Lengths, bytes and number of prompts don't depend on how it is read."""
+    def test_same_result_as_full_parsing(self, prompt, compact):
+        """Undecoded number lists give the same result as decoded ones."""
         separators = (",", ":") if compact else (" ,\n", ": ")
         body = json.dumps({"model": "m", "prompt": prompt}, separators=separators)
         read = read_completion(body.encode())
         with pytest.MonkeyPatch.context() as monkeypatch:
-            expected = reading_without_shortening(monkeypatch, body.encode())
+            expected = read_without_shortening(monkeypatch, body.encode())
         assert read == expected
 
     @pytest.mark.parametrize("other", [{}, {"other": IDS}, {"user": f"log: {IDS}"}])
-    def test_makes_no_objects(self, monkeypatch, other):
-        """The JSON reader never sees the numbers, whatever else is in the body."""
+    def test_numbers_are_not_decoded(self, monkeypatch, other):
+        """Long number lists are never passed to the JSON parser."""
         seen = []
         loads = json.loads
 
@@ -60,7 +60,7 @@
         ["[1.5, {ids}]", "[1e3, {ids}]", "[[1], 2, {ids}]", "[[[{ids}]]]"],
     )
     def test_other_numbers_are_rejected(self, prompt):
-        """Only whole numbers, alone or in lists, are token ids."""
+        """Numbers that are not integers and wrongly nested lists are rejected."""
         text = prompt.replace("{ids}", str(IDS)[1:-1])
         read = read_completion(f'{{"model": "m", "prompt": {text}}}'.encode())
         places = {problem.finding.place.split("/")[1] for problem in read}
@@ -68,7 +68,7 @@
 
     @pytest.mark.parametrize("text", ["[01, {ids}]", "[1 2, {ids}]", "[1,, {ids}]"])
     def test_malformed_lists_are_rejected(self, text):
-        """What is left out of the first reading is still checked."""
+        """The syntax of long number lists is checked although they are not decoded."""
         text = text.replace("{ids}", str(IDS)[1:-1])
         for name in ("prompt", "other"):
             fields = f'"model": "m", "prompt": "p", "{name}": {text}'
@@ -77,12 +77,12 @@
             assert "is not JSON" in read[0].finding.problem
 
     def test_repeated_name_is_rejected(self):
-        """Of two prompts the target might read the other one."""
+        """Duplicate names are detected when their values are long number lists."""
         body = f'{{"model": "m", "prompt": {IDS}, "prompt": {IDS}}}'.encode()
         assert "twice" in read_completion(body)[0].finding.problem
 
-    def test_numbers_inside_text_stay(self):
-        """A log that is pasted into a message counts in full."""
+    def test_numbers_inside_strings_are_kept(self):
+        """A number list inside a string is part of the prompt."""
         message = {"role": "user", "content": f"readings: {IDS}"}
         body = json.dumps({"model": "m", "messages": [message]}).encode()
         read = read_chat(body)
@@ -90,11 +90,11 @@
         assert str(IDS).encode() in read.prompt
 
     def test_list_in_place_of_the_body(self):
-        """A body that is itself a list of numbers is no object."""
+        """A body that is a list of numbers is rejected."""
         (problem,) = read_completion(str(IDS).encode())
         assert problem.finding.problem == "must be a JSON object"
 
     def test_numbers_in_another_place(self):
-        """A long list under a name that wants something else is a finding."""
+        """A long number list in a field of another type is a finding."""
         read = read_completion(completion(model=IDS, prompt="p"))
         assert [problem.finding.place for problem in read] == ["/model"]
--- a/libs/caller/tests/test_caller_sockets.py
+++ b/libs/caller/tests/test_caller_sockets.py
@@ -1,4 +1,4 @@
-"""The application on a socket: clients, half-sent bodies and lost callers."""
+"""The application on a socket: clients, incomplete bodies and disconnects."""
 
 import msgspec
 import pytest
@@ -19,7 +19,7 @@
 pytestmark = pytest.mark.anyio
 
 TOKEN = "field-token"
-GENEROUS_S = 20.0
+TEST_TIMEOUT_S = 20.0
 JSON = ((b"content-type", b"application/json"),)
 EVENTS = ((b"content-type", b"text/event-stream"),)
 COMPLETE = FinalResponse(Outcome.COMPLETE, started=True)
@@ -40,7 +40,7 @@
     return b"data: " + msgspec.json.encode(document) + b"\n\n"
 
 
-def whole_completion(request, text):
+def chat_completion(request, text):
     """Return a chat completion."""
     message = {"role": "assistant", "content": text}
     choice = {"index": 0, "message": message, "finish_reason": "stop"}
@@ -55,12 +55,12 @@
 
 
 async def engine(request, sink):
-    """Answer a chat call by repeating its last message."""
+    """Respond to a chat call with its last message."""
     body = msgspec.json.decode(request.call.body)
     text = body["messages"][-1]["content"]
     if not body.get("stream"):
         await sink.start(200, JSON, "agent-1")
-        await sink.chunk(whole_completion(request, text))
+        await sink.chunk(chat_completion(request, text))
         return COMPLETE
     await sink.start(200, EVENTS, "agent-1")
     for word in text.split(" "):
@@ -70,7 +70,7 @@
 
 
 async def breaking_engine(request, sink):
-    """Break off after one event."""
+    """Break the stream after one event."""
     await sink.start(200, EVENTS, "agent-1")
     await sink.chunk(chunk_event(request, "half"))
     await sink.chunk(b'data: {"id"')
@@ -101,16 +101,16 @@
 
 
 class TestOpenAiClient:
-    async def test_whole_and_streamed_at_once(self, serve):
-        """Two calls at once, one streamed, each receive their own answer."""
+    async def test_buffered_and_streamed_concurrently(self, serve):
+        """Concurrent streamed and buffered calls receive their own responses."""
         texts_by_mode = {}
 
         async def whole(client):
             message = {"role": "user", "content": "box 17"}
-            answer = await client.chat.completions.create(
+            response = await client.chat.completions.create(
                 model="small", messages=[message]
             )
-            texts_by_mode["whole"] = answer.choices[0].message.content
+            texts_by_mode["whole"] = response.choices[0].message.content
 
         async def streamed(client):
             message = {"role": "user", "content": "level two is full"}
@@ -120,7 +120,7 @@
             pieces = [event.choices[0].delta.content async for event in stream]
             texts_by_mode["streamed"] = "".join(pieces)
 
-        with fail_after(GENEROUS_S):
+        with fail_after(TEST_TIMEOUT_S):
             async with (
                 serve(engine) as address,
                 openai_client(address) as client,
@@ -134,7 +134,7 @@
         """The client raises on a broken stream after the pieces it received."""
         pieces = []
         message = {"role": "user", "content": "box 17"}
-        with fail_after(GENEROUS_S):
+        with fail_after(TEST_TIMEOUT_S):
             async with (
                 serve(breaking_engine) as address,
                 openai_client(address) as client,
@@ -153,7 +153,7 @@
             return FinalResponse(Outcome.UNKNOWN)
 
         message = {"role": "user", "content": "box 17"}
-        with fail_after(GENEROUS_S):
+        with fail_after(TEST_TIMEOUT_S):
             async with serve(respond) as address, openai_client(address) as client:
                 with pytest.raises(InternalServerError) as raised:
                     await client.chat.completions.create(
@@ -164,8 +164,8 @@
 
 
 class TestRawSockets:
-    async def test_half_sent_body(self, serve):
-        """A body that stops arriving is answered with 408, and never placed."""
+    async def test_incomplete_body(self, serve):
+        """An incomplete body gets status 408 and is never submitted."""
         placed = []
 
         async def respond(request, sink):
@@ -176,7 +176,7 @@
             "POST /v1/chat/completions HTTP/1.1\r\nhost: a\r\ncontent-length: 50\r\n"
             f"authorization: Bearer {TOKEN}\r\n\r\n"
         )
-        with fail_after(GENEROUS_S):
+        with fail_after(TEST_TIMEOUT_S):
             async with (
                 serve(respond, body_timeout_s=0.05) as address,
                 await connect_tcp(*address) as stream,
@@ -194,7 +194,7 @@
             "POST /v1/chat/completions HTTP/1.1\r\nhost: a\r\n"
             f"authorization: Bearer {TOKEN}\r\ncontent-length: {len(body)}\r\n\r\n"
         )
-        with fail_after(GENEROUS_S):
+        with fail_after(TEST_TIMEOUT_S):
             async with (
                 serve(breaking_engine) as address,
                 await connect_tcp(*address) as stream,
@@ -204,8 +204,8 @@
         assert b"event: error" in received
         assert b"\r\n0\r\n" not in received
 
-    async def test_lost_caller_cancels(self, serve):
-        """A caller that closes its connection has its request withdrawn."""
+    async def test_disconnect_cancels_request(self, serve):
+        """A request is cancelled when its caller closes the connection."""
         started, cancelled = Event(), Event()
 
         async def respond(request, sink):
@@ -219,7 +219,7 @@
             "GET /services/signs/a HTTP/1.1\r\nhost: a\r\n"
             f"authorization: Bearer {TOKEN}\r\n\r\n"
         )
-        with fail_after(GENEROUS_S):
+        with fail_after(TEST_TIMEOUT_S):
             async with serve(respond) as address:
                 async with await connect_tcp(*address) as stream:
                     await stream.send(head.encode())
@@ -227,7 +227,7 @@
                 await cancelled.wait()
 
     async def test_caller_that_stops_reading(self, serve):
-        """A caller that leaves its stream unread is taken as gone."""
+        """A request is cancelled when its caller stops reading the stream."""
         cancelled = Event()
 
         async def respond(request, sink):
@@ -244,7 +244,7 @@
             "GET /services/signs/a HTTP/1.1\r\nhost: a\r\n"
             f"authorization: Bearer {TOKEN}\r\n\r\n"
         )
-        with fail_after(GENEROUS_S):
+        with fail_after(TEST_TIMEOUT_S):
             async with (
                 serve(respond, write_timeout_s=0.05) as address,
                 await connect_tcp(*address) as stream,
