--- a/libs/admin/src/berylwalk/admin/__init__.py
+++ b/libs/admin/src/berylwalk/admin/__init__.py
@@ -1,8 +1,8 @@
-"""The operators' administration API.
+"""Administration API for operators.
 
-:func:`admin_app` makes an ASGI application over narrow protocols, which a router
-implements: :class:`SettingsService`, :class:`FleetView` and, where orders to
-engines are offered, :class:`OrderService`.
+:func:`admin_app` returns an ASGI application. It depends on protocols that the router
+implements: :class:`SettingsService`, :class:`FleetView` and, if orders to targets are
+supported, :class:`OrderService`.
 """
 
 from berylwalk.admin._app import ROOT_PATH, admin_app
--- a/libs/admin/src/berylwalk/admin/_app.py
+++ b/libs/admin/src/berylwalk/admin/_app.py
@@ -48,20 +48,20 @@
     orders: OrderService | None = None,
     submit_timeout_s: float = SUBMIT_TIMEOUT_S,
 ) -> Application:
-    """Make the administration API, to be served on a listener of its own.
+    """Return the administration API, to be served on a separate listener.
 
     Parameters
     ----------
     settings : SettingsService
         The operators' settings.
     fleet : FleetView
-        What this router knows of the fleet.
+        The state of the fleet as known to this router.
     credentials : iterable of str
         SHA-256 hex digests of the operators' bearer tokens.
     orders : OrderService, optional
-        Without it, orders are answered with status 501.
+        Without it, orders get status 501.
     submit_timeout_s : float
-        Longest wait for a decision on a change, in seconds.
+        Timeout for submitting a change, in seconds.
 
     Returns
     -------
@@ -123,7 +123,7 @@
 def _split_path(
     path: str, handlers_by_route: Mapping[RouteKey, Handler]
 ) -> tuple[str, str]:
-    """Separate the variable last segment, where the route has one."""
+    """Split off the last segment if it is a parameter of the route."""
     if not path.startswith(ROOT_PATH):
         return "", ""
     relative = path.removeprefix(ROOT_PATH)
--- a/libs/admin/src/berylwalk/admin/_calls.py
+++ b/libs/admin/src/berylwalk/admin/_calls.py
@@ -1,4 +1,4 @@
-"""Calls of the administration API and their answers."""
+"""Requests and responses of the administration API."""
 
 from collections.abc import Awaitable, Callable, Mapping, MutableMapping
 from dataclasses import dataclass, field
@@ -15,15 +15,15 @@
     Parameters
     ----------
     author : str
-        Who sends it.
+        Operator that sends it, identified by its token.
     argument : str
-        Last segment of the path, where the route has a variable one.
+        Last segment of the path if it is a parameter of the route, else empty.
     query : mapping of str to str
         Query parameters.
     headers : mapping of str to str
         Headers by lower-case name.
     body : bytes
-        The whole body.
+        The complete body.
     """
 
     author: str
@@ -35,12 +35,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Response:
-    """A successful answer.
+    """A successful response.
 
     Parameters
     ----------
     document : object
-        What msgspec encodes as JSON, or text that is sent as it is.
+        Object that msgspec encodes as JSON, or plain text.
     headers : mapping of str to str
         Further headers.
     """
@@ -55,4 +55,4 @@
 Application = Callable[[Scope, Receive, Send], Awaitable[None]]
 Handler = Callable[[AdminCall], Awaitable[Response]]
 RouteKey = tuple[str, str]
-"""Method and path; a path that ends with a slash takes one more segment."""
+"""Method and path; a path that ends with a slash has a parameter as last segment."""
--- a/libs/admin/src/berylwalk/admin/_credentials.py
+++ b/libs/admin/src/berylwalk/admin/_credentials.py
@@ -1,4 +1,4 @@
-"""Check of the operators' bearer tokens."""
+"""Authentication of operators by bearer token."""
 
 from collections.abc import Iterable
 from hashlib import sha256
@@ -9,10 +9,10 @@
 
 
 def author_from_header(authorization: str, credentials: Iterable[str]) -> str | None:
-    """Find out who sends a request.
+    """Authenticate the operator that sends a request.
 
-    The time that it takes does not depend on how much of a token is right, nor
-    on which credential matches.
+    Takes constant time: it depends neither on how many characters of the token match
+    nor on which credential matches.
 
     Parameters
     ----------
@@ -24,12 +24,12 @@
     Returns
     -------
     str or None
-        ``operator-`` and the first digits of the digest; None when denied.
+        ``operator-`` and the first digits of the digest; None if no credential matches.
     """
     scheme, _, token = authorization.partition(" ")
     if scheme.lower() != _SCHEME or not token:
         return None
-    # Headers were decoded as Latin-1; this gives back the bytes that were sent.
+    # Headers were decoded as Latin-1; encoding restores the bytes that were sent.
     digest = sha256(token.strip().encode("latin-1")).hexdigest()
     matches = [compare_digest(digest, credential) for credential in credentials]
     return f"operator-{digest[:_AUTHOR_DIGEST_LENGTH]}" if any(matches) else None
--- a/libs/admin/src/berylwalk/admin/_explained.py
+++ b/libs/admin/src/berylwalk/admin/_explained.py
@@ -1,4 +1,4 @@
-"""Settings with the origin of each value, as operators read them."""
+"""Effective settings with the origin of each value."""
 
 from enum import StrEnum
 
@@ -11,17 +11,17 @@
     """Where a value comes from."""
 
     INHERITED = "inherited"
-    """From a node further up."""
+    """Set at an ancestor node."""
 
     OVERRIDDEN = "overridden"
-    """Set here, in place of a value further up."""
+    """Set here and at an ancestor node."""
 
     SET = "set"
-    """Set here; no node further up has the key."""
+    """Set here and at no ancestor node."""
 
 
 class OtherValue(Struct, frozen=True):
-    """A value further up that is not in force here."""
+    """An ancestor's value that is overridden."""
 
     source: str
     value: Value
@@ -35,13 +35,13 @@
     key : str
         The key.
     value : Value
-        Its effective value.
+        Effective value.
     origin : Origin
-        Whether it is set here.
+        Whether the value is inherited, overridden or set.
     source : str
-        The section that sets it.
+        Section that sets it.
     overrides : tuple of OtherValue
-        Values further up that it takes the place of, the nearest first.
+        Overridden values of ancestor nodes, nearest first.
     """
 
     key: str
@@ -52,7 +52,7 @@
 
     @classmethod
     def from_explanation(cls, explanation: Explanation) -> "ExplainedValue":
-        """Convert what the settings tree tells."""
+        """Convert an explanation of the settings tree."""
         return cls(
             explanation.key,
             explanation.value,
@@ -70,9 +70,9 @@
     path : str
         Path of the node, or ``tier NAME``.
     defined : bool
-        Whether the tree has this section; if not, all values are inherited.
+        Whether the tree contains this section; if not, all values are inherited.
     values : tuple of ExplainedValue
-        Keys that are set nowhere are left out.
+        Explained values; keys that are set nowhere are omitted.
     """
 
     path: str
@@ -88,7 +88,7 @@
     document : SettingsDocument
         The settings.
     path : str
-        Path of a node, which need not exist, or the name of a tier's section.
+        Path of a node, which need not exist, or name of a tier section.
 
     Returns
     -------
--- a/libs/admin/src/berylwalk/admin/_fleet_routes.py
+++ b/libs/admin/src/berylwalk/admin/_fleet_routes.py
@@ -1,4 +1,4 @@
-"""Handlers of the fleet and of orders."""
+"""Request handlers for the state of the fleet and for orders."""
 
 from collections.abc import Sequence
 
@@ -19,19 +19,19 @@
 
 
 class Targets(Struct, frozen=True):
-    """Answer to ``GET targets``."""
+    """Response to ``GET targets``."""
 
     targets: Sequence[TargetStatus]
 
 
 class Nodes(Struct, frozen=True):
-    """Answer to ``GET nodes``."""
+    """Response to ``GET nodes``."""
 
     nodes: Sequence[NodeStatus]
 
 
 class Tiers(Struct, frozen=True):
-    """Answer to ``GET tiers``."""
+    """Response to ``GET tiers``."""
 
     tiers: Sequence[TierStatus]
 
@@ -39,14 +39,14 @@
 def fleet_routes(
     fleet: FleetView, orders: OrderService | None
 ) -> dict[RouteKey, Handler]:
-    """Make the handlers of the fleet's resources.
+    """Return the handlers for the fleet and for orders.
 
     Parameters
     ----------
     fleet : FleetView
-        The fleet.
+        State of the fleet.
     orders : OrderService or None
-        None where orders are not offered.
+        None if orders are not supported.
 
     Returns
     -------
@@ -89,7 +89,7 @@
 
 def _log_order(order: Order, result: OrderResult, author: str) -> None:
     logging.info(
-        "order of %s to %s: %s %s: %s %s",
+        "order by %s to target %s: %s %s; result: %s %s",
         author,
         order.target,
         order.kind,
--- a/libs/admin/src/berylwalk/admin/_inputs.py
+++ b/libs/admin/src/berylwalk/admin/_inputs.py
@@ -1,4 +1,4 @@
-"""Validation of what operators send."""
+"""Parsing and validation of requests from operators."""
 
 import re
 from collections.abc import Callable
@@ -23,7 +23,7 @@
 IF_MATCH = "If-Match"
 CHANGE_ID = "Change-Id"
 MAX_INTEGER = 2**53
-"""Larger ones are not exact in every JSON implementation."""
+"""Largest integer; JSON parsers that use doubles are not exact above it."""
 
 _VERSION_PATTERN = re.compile(r'(\d{1,15})|"(\d{1,15})"')
 _CHANGE_ID_PATTERN = re.compile(r"[A-Za-z0-9._-]{1,100}")
@@ -35,7 +35,7 @@
 
 
 class SectionAction(StrEnum):
-    """What an edit does to a whole section."""
+    """Action of an edit on an entire section."""
 
     CREATE = "create"
     DELETE = "delete"
@@ -63,8 +63,8 @@
     value : bool or int or float or str or list of str or None
         The new value; None removes the key.
     section : SectionAction
-        In place of key and value: create the section, or delete it with all
-        sections below it.
+        Instead of key and value: create the section, or delete it with its
+        descendants.
     """
 
     model_config = ConfigDict(extra="forbid", frozen=True)
@@ -83,7 +83,7 @@
         return self
 
     def to_edit(self) -> Edit:
-        """Make the edit of the settings library."""
+        """Convert to an edit of `berylwalk.settings`."""
         if self.section is SectionAction.CREATE:
             return Edit.create(self.path)
         if self.section is SectionAction.DELETE:
@@ -95,7 +95,7 @@
 
 
 def read_edits(body: bytes) -> tuple[tuple[Edit, ...], list[Finding]]:
-    """Read the edits of a patch.
+    """Parse the edits of a patch.
 
     Parameters
     ----------
@@ -107,7 +107,7 @@
     edits : tuple of Edit
         Empty when there are findings.
     findings : list of Finding
-        Every mistake, by JSON pointer.
+        All problems, located by JSON pointer.
     """
     edits, findings = read_json(_EDITS.validate_json, body)
     return tuple(edit.to_edit() for edit in edits or ()), findings
@@ -121,7 +121,7 @@
     Parameters
     ----------
     validate : callable
-        Pydantic's validation of JSON.
+        Pydantic validator of a JSON text.
     body : bytes
         The body.
 
@@ -130,7 +130,7 @@
     input : object or None
         None when there are findings.
     findings : list of Finding
-        Every mistake, by JSON pointer.
+        All problems, located by JSON pointer.
     """
     try:
         return validate(body), []
@@ -150,12 +150,12 @@
 
 
 def read_base_version(call: AdminCall) -> tuple[int, list[Finding]]:
-    """Read the settings version that the operator worked from.
+    """Parse the settings version that a change is based on.
 
     Parameters
     ----------
     call : AdminCall
-        Its header ``If-Match`` holds the version, with or without quotes.
+        Request with the version in the header ``If-Match``, quoted or unquoted.
 
     Returns
     -------
@@ -175,17 +175,17 @@
 
 
 def read_change_id(call: AdminCall) -> tuple[str, list[Finding]]:
-    """Read the name of a change, or make one up.
+    """Parse the id of a change, or generate one.
 
     Parameters
     ----------
     call : AdminCall
-        Its header ``Change-Id`` may hold the name.
+        Request with an optional header ``Change-Id``.
 
     Returns
     -------
     change_id : str
-        The name.
+        Id of the change.
     findings : list of Finding
         At most one.
     """
@@ -199,17 +199,17 @@
 
 
 def with_request_place(finding: Finding) -> Finding:
-    """Name the place of a patch's finding as the request has it.
+    """Convert the place of a finding from a patch to the request.
 
     Parameters
     ----------
     finding : Finding
-        Of the settings library.
+        Finding of `berylwalk.settings`.
 
     Returns
     -------
     Finding
-        With a header name or a pointer into the list of edits.
+        Its place is a header name or a JSON pointer into the list of edits.
     """
     place = _PLACE_BY_PATCH_FIELD.get(finding.place, finding.place)
     if place.startswith(_EDITS_PREFIX):
@@ -218,5 +218,5 @@
 
 
 def as_json_value(value: object) -> object:
-    """Show an absent value as null."""
+    """Return None, JSON null, for an unset value."""
     return None if value is UNSET else value
--- a/libs/admin/src/berylwalk/admin/_orders.py
+++ b/libs/admin/src/berylwalk/admin/_orders.py
@@ -1,4 +1,4 @@
-"""Orders to targets, as operators send them."""
+"""Orders to targets: request body and service protocol."""
 
 from typing import Annotated, Protocol
 
@@ -16,13 +16,13 @@
     Parameters
     ----------
     target : str
-        Name of the agent beside the target.
+        Name of the target's agent.
     kind : OrderKind
-        What to do.
+        Kind of the order.
     name : str
         Name of the model, adapter or role.
     source : str
-        Where a model or adapter is loaded from, its version included.
+        Location that a model or adapter is loaded from, including its version.
     """
 
     model_config = ConfigDict(extra="forbid", frozen=True)
@@ -33,12 +33,12 @@
     source: _Source = ""
 
     def to_order(self) -> Order:
-        """Return the order; its sender sets the fencing number."""
+        """Return the order; the order service sets its fencing token."""
         return Order(self.target, self.kind, self.name, self.source)
 
 
 class OrderService(Protocol):
-    """Passes orders to targets."""
+    """Sends orders to targets."""
 
     async def send(self, order: Order) -> OrderResult:
         """Send an order and wait for its result."""
--- a/libs/admin/src/berylwalk/admin/_problems.py
+++ b/libs/admin/src/berylwalk/admin/_problems.py
@@ -1,4 +1,4 @@
-"""Typed errors of the administration API."""
+"""Error responses of the administration API."""
 
 from collections.abc import Iterable, Mapping
 from enum import StrEnum
@@ -9,7 +9,7 @@
 
 
 class ProblemKind(StrEnum):
-    """What went wrong, for programs."""
+    """Machine-readable kind of error."""
 
     DENIED = "denied"
     """The bearer token is missing or wrong."""
@@ -18,55 +18,55 @@
     """There is no such resource."""
 
     METHOD_NOT_ALLOWED = "method-not-allowed"
-    """The resource does not take this method."""
+    """The resource does not support this method."""
 
     INVALID = "invalid"
-    """The input has mistakes; all of them are listed."""
+    """The input is invalid; all problems are listed."""
 
     TOO_LARGE = "too-large"
     """The body is too large."""
 
     TIMED_OUT = "timed-out"
-    """The body did not arrive in time."""
+    """The body was not received in time."""
 
     CLASH = "clash"
-    """Another operator changed the same settings meanwhile."""
+    """The edits conflict with a later change to the same settings."""
 
     STALE = "stale"
-    """The precondition names a version that cannot be worked from any more."""
+    """The base version is too old, or the settings have changed since."""
 
     UNDECIDED = "undecided"
-    """Whether the change was, or will be, accepted is not known yet."""
+    """It is unknown whether the change or order took effect."""
 
     UNKNOWN_CHANGE = "unknown-change"
-    """The change is not among the latest accepted ones."""
+    """The change is not among the recently accepted ones."""
 
     UNAVAILABLE = "unavailable"
-    """The answer cannot be given now; nothing was changed."""
+    """The request cannot be served at present; nothing was changed."""
 
     UNSUPPORTED = "unsupported"
-    """This installation does not offer the operation."""
+    """This deployment does not support the operation."""
 
     REFUSED = "refused"
     """The order was refused; nothing was sent to a target."""
 
     INTERNAL = "internal"
-    """A fault of the program; the logs tell more."""
+    """An internal error; the logs have details."""
 
 
 class ClashDetails(Struct, frozen=True):
-    """One edit that clashes; null values stand for an absent key.
+    """An edit that conflicts with a later change; null stands for an absent key.
 
     Parameters
     ----------
     path, key : str
-        As in the refused edit.
+        Path and key of the rejected edit.
     yours, theirs : object
-        Value of the refused edit, and the value in force.
+        Value of the rejected edit, and the current value.
     their_author, their_change_id : str
-        Who made the other change, and its name.
+        Author and id of the conflicting change.
     their_version : int
-        Version that the other change made.
+        Settings version that the conflicting change created.
     """
 
     path: str
@@ -79,22 +79,22 @@
 
 
 class Problem(Struct, frozen=True, omit_defaults=True):
-    """Body of every answer that is an error.
+    """Body of error responses.
 
     Parameters
     ----------
     kind : ProblemKind
-        What went wrong, for programs.
+        Machine-readable kind of error.
     detail : str
-        What went wrong, for operators.
+        Description of the error for operators.
     findings : tuple of Finding
-        Every mistake of the input, for the kind ``invalid``.
+        All problems of the input, for the kind ``invalid``.
     clashes : tuple of ClashDetails
-        Every edit that clashes, for the kind ``clash``.
+        All conflicting edits, for the kind ``clash``.
     version : int or None
-        Settings version that the input was compared with.
+        Settings version that the input was checked against.
     change_id : str
-        Name of the change, when the request was one.
+        Id of the change, if the request submitted one.
     """
 
     kind: ProblemKind
@@ -106,7 +106,7 @@
 
 
 class ProblemError(Exception):
-    """Raised by handlers to answer with an error.
+    """Raised by handlers to send an error response.
 
     Parameters
     ----------
@@ -128,14 +128,14 @@
 
 
 def invalid(findings: Iterable[Finding], *, change_id: str = "") -> ProblemError:
-    """Make the error for invalid input.
+    """Return the error for invalid input.
 
     Parameters
     ----------
     findings : iterable of Finding
-        Every mistake.
+        All problems of the input.
     change_id : str
-        Name of the change, when the request was one.
+        Id of the change, if the request submitted one.
 
     Returns
     -------
--- a/libs/admin/src/berylwalk/admin/_services.py
+++ b/libs/admin/src/berylwalk/admin/_services.py
@@ -1,4 +1,4 @@
-"""What the administration API needs of the process that serves it."""
+"""Interfaces that the administration API requires of the router."""
 
 from collections.abc import Sequence
 from dataclasses import dataclass
@@ -14,20 +14,20 @@
 
 
 class SettingsService(Protocol):
-    """The operators' settings as one router sees them."""
+    """Access of a router to the operators' settings."""
 
     @property
     def document(self) -> SettingsDocument | None:
-        """Document in force here; None before the first was learned."""
+        """Settings in effect at this router; None before the first were received."""
 
     async def latest(self) -> SettingsDocument | ReadFailed:
         """Read the latest document from the key-value service."""
 
     async def submit(self, patch: Patch, author: str) -> SubmitResult:
-        """Write a patch, and pass the accepted document on to peers.
+        """Write a patch and send the accepted document to peers.
 
-        A repeat of the same patch is harmless. Cancelling the call leaves it
-        unknown whether the patch is accepted.
+        Submitting the same patch again has no further effect. When the call is
+        cancelled, the patch may or may not be accepted.
         """
 
 
@@ -40,23 +40,23 @@
 
 @dataclass(frozen=True, slots=True)
 class NodeStatus:
-    """A router or an agent, and the settings in force there.
+    """A router or agent, and its settings version.
 
     Parameters
     ----------
     node_id : str
         Name of the process.
     role : NodeRole
-        What it is.
+        Kind of the process.
     address : str
-        Its IP number.
+        IP address of the process.
     failure_domain : str
-        Where it is.
+        Failure domain of the process.
     settings_version : int
-        Version in force there when it was last heard; 0 for none.
+        Last reported settings version; 0 for none.
     silent_s : float or None
-        Time since it was last heard, in seconds; 0 for this router itself, None
-        when it was never heard.
+        Time since its last message, in seconds; 0 for this router itself, None if
+        there was no message.
     """
 
     node_id: str
@@ -69,20 +69,20 @@
 
 @dataclass(frozen=True, slots=True)
 class TargetStatus:
-    """A target as its agent described it last.
+    """A target, as last reported by its agent.
 
     Parameters
     ----------
     agent : str
-        Name of the agent beside the target.
+        Name of the target's agent.
     address, failure_domain : str
-        Where it is.
+        IP address and failure domain of the target.
     resources : tuple of str
-        What it serves when it is up: ``model:NAME`` and ``service:NAME``.
+        Resources that it serves: ``model:NAME`` and ``service:NAME``.
     reachable, leaving, slow : bool
-        Whether the agent is heard, drains, and is slower than its baseline.
+        Whether the agent is reachable, drains, and is slower than its baseline.
     running, limit, waiting : int
-        Dispatched requests, their limit, and waiting reservations.
+        Running requests, concurrency limit, and queued requests.
     target_reachable : bool
         Whether the agent reaches the target.
     """
@@ -102,16 +102,16 @@
 
 @dataclass(frozen=True, slots=True)
 class TierStatus:
-    """Requests of one tier at this router.
+    """Numbers of requests of one tier at this router.
 
     Parameters
     ----------
     name : str
         Name of the tier.
     rank : int
-        Order of the tier; 0 is the highest.
+        Priority of the tier; 0 is the highest.
     waiting, running : int
-        Requests that are placed but not granted, and granted ones.
+        Numbers of requests that wait for a grant and that have one.
     """
 
     name: str
@@ -121,7 +121,7 @@
 
 
 class FleetView(Protocol):
-    """The fleet as one router sees it."""
+    """State of the fleet as known to one router."""
 
     def nodes(self) -> Sequence[NodeStatus]:
         """Return all known routers and agents, this router included."""
@@ -130,4 +130,4 @@
         """Return all known targets."""
 
     def tiers(self) -> Sequence[TierStatus]:
-        """Return the tiers with their waiting and running requests."""
+        """Return all tiers with their numbers of requests."""
--- a/libs/admin/src/berylwalk/admin/_settings_routes.py
+++ b/libs/admin/src/berylwalk/admin/_settings_routes.py
@@ -1,4 +1,4 @@
-"""Handlers of the settings resources."""
+"""Request handlers for the settings."""
 
 from urllib.parse import unquote
 
@@ -42,14 +42,14 @@
 
 
 class VersionedSection(Struct, frozen=True):
-    """Answer to ``GET settings``."""
+    """Response to ``GET settings``."""
 
     version: int
     section: SectionSettings
 
 
 class VersionedTree(Struct, frozen=True):
-    """Answer to ``GET settings/tree``."""
+    """Response to ``GET settings/tree``."""
 
     version: int
     sections: tuple[SectionSettings, ...]
@@ -58,14 +58,14 @@
 def settings_routes(
     settings: SettingsService, *, submit_timeout_s: float = SUBMIT_TIMEOUT_S
 ) -> dict[RouteKey, Handler]:
-    """Make the handlers of the settings resources.
+    """Return the handlers for the settings.
 
     Parameters
     ----------
     settings : SettingsService
         The operators' settings.
     submit_timeout_s : float
-        Longest wait for a decision on a change, in seconds.
+        Timeout for submitting a change, in seconds.
 
     Returns
     -------
@@ -89,7 +89,7 @@
         self._submit_timeout_s = submit_timeout_s
 
     async def get_section(self, call: AdminCall) -> Response:
-        """Answer with what holds at one path, and why."""
+        """Return the effective settings at one path with their origins."""
         document = _document(self._settings)
         path = call.query.get("path", "/")
         try:
@@ -100,18 +100,18 @@
         return Response(body, _version_headers(document))
 
     async def get_tree(self, call: AdminCall) -> Response:
-        """Answer with what holds at each path, and why."""
+        """Return the effective settings of all sections with their origins."""
         document = _document(self._settings)
         body = VersionedTree(document.version, explain_tree(document))
         return Response(body, _version_headers(document))
 
     async def export(self, call: AdminCall) -> Response:
-        """Answer with the whole tree as INI text."""
+        """Return the settings tree as INI text."""
         document = _document(self._settings)
         return Response(export_ini(document.tree), _version_headers(document))
 
     async def patch(self, call: AdminCall) -> Response:
-        """Submit the edits of the body."""
+        """Submit the edits in the body."""
         base_version, findings = read_base_version(call)
         change_id, change_id_findings = read_change_id(call)
         edits, edit_findings = read_edits(call.body)
@@ -121,7 +121,7 @@
         return await self._submit(Patch(change_id, base_version, edits), call.author)
 
     async def import_ini(self, call: AdminCall) -> Response:
-        """Submit the edits that turn the tree in force into that of the body."""
+        """Submit the edits that turn the current tree into the one in the body."""
         base_version, findings = read_base_version(call)
         change_id, change_id_findings = read_change_id(call)
         tree, tree_findings = _read_tree(call)
@@ -134,15 +134,15 @@
         if not edits:
             version = document.version if known is None else known.version
             return accepted_response(version, change_id)
-        # The file holds a whole tree: worked out against a later version, it would
-        # silently undo what others changed since the operator exported it.
+        # The file contains the entire tree: compared with a later version, it would
+        # silently revert changes made since the operator exported it.
         if known is None and document.version != base_version:
             raise _outdated_base_version(base_version, document.version, change_id)
         patch = Patch(change_id, document.version, edits)
         return await self._submit(patch, call.author)
 
     async def get_change(self, call: AdminCall) -> Response:
-        """Answer with the version that a change made."""
+        """Return the version that a change created."""
         change_id = call.argument
         change = await _find_change(self._settings, change_id)
         if change is None:
@@ -155,7 +155,7 @@
         with move_on_after(self._submit_timeout_s):
             result = await self._settings.submit(patch, author)
         logging.info(
-            "settings change %s of %s, %d edit(s) to version %d: %s",
+            "settings change %s by %s with %d edit(s), based on version %d: %s",
             patch.change_id,
             author,
             len(patch.edits),
@@ -185,7 +185,7 @@
 async def _document_at_least(
     settings: SettingsService, version: int
 ) -> SettingsDocument:
-    """Read the store only when the operator saw a later version elsewhere."""
+    """Return the document, read from the store if the local one is older."""
     document = _document(settings)
     return document if document.version >= version else await _latest(settings)
 
@@ -202,7 +202,7 @@
 async def _find_change(settings: SettingsService, change_id: str) -> Change | None:
     document = settings.document
     change = None if document is None else document.find_change(change_id)
-    # Only the store can tell that a change is not there.
+    # The local document may be outdated, so absence is checked in the store.
     return change or (await _latest(settings)).find_change(change_id)
 
 
--- a/libs/admin/src/berylwalk/admin/_submit_responses.py
+++ b/libs/admin/src/berylwalk/admin/_submit_responses.py
@@ -1,4 +1,4 @@
-"""Answers to changes of the settings."""
+"""Responses to settings changes."""
 
 from msgspec import Struct
 
@@ -26,16 +26,16 @@
 
 
 class AcceptedChange(Struct, frozen=True, omit_defaults=True):
-    """An accepted change.
+    """Body that describes an accepted change.
 
     Parameters
     ----------
     version : int
-        Settings version that the change made.
+        Settings version that the change created.
     change_id : str
-        Its name.
+        Id of the change.
     author : str
-        Who made it; left out in the answer to the change itself.
+        Author of the change; omitted in the response to its submission.
     """
 
     version: int
@@ -44,24 +44,24 @@
 
 
 def response_for(result: SubmitResult, change_id: str) -> Response:
-    """Make the answer to a change.
+    """Return the response to a submitted change.
 
     Parameters
     ----------
     result : SubmitResult
-        What became of it.
+        Result of the submission.
     change_id : str
-        Its name.
+        Id of the change.
 
     Returns
     -------
-    Answer
-        When it was accepted.
+    Response
+        If the change was accepted.
 
     Raises
     ------
     ProblemError
-        In every other case.
+        Otherwise.
     """
     if isinstance(result, Accepted):
         return accepted_response(result.version, change_id)
@@ -69,7 +69,7 @@
 
 
 def accepted_response(version: int, change_id: str) -> Response:
-    """Make the answer to an accepted change."""
+    """Return the response to an accepted change."""
     headers = {CHANGE_ID: change_id, "ETag": f'"{version}"'}
     return Response(AcceptedChange(version, change_id), headers)
 
--- a/libs/admin/tests/conftest.py
+++ b/libs/admin/tests/conftest.py
@@ -1,4 +1,4 @@
-"""An administration API over the real settings and an in-memory store."""
+"""Administration API with real settings in an in-memory store."""
 
 import json
 from dataclasses import dataclass
@@ -42,7 +42,7 @@
 
 
 class MemoryStore:
-    """One key; ``outcomes`` says what becomes of the next calls, in order."""
+    """Store with one key; ``outcomes`` are the outcomes of the next calls, in order."""
 
     def __init__(self, value):
         self.value = value
@@ -53,13 +53,13 @@
         return self.outcomes.pop(0) if self.outcomes else "answered"
 
     async def get(self, key):
-        """Read the key."""
+        """Read the value."""
         if self._next_outcome() == "down":
             return ReadFailed("the store is down")
         return StoredValue(self.value, self.revision)
 
     async def compare_and_swap(self, key, value, expected_mod_revision):
-        """Write the key, as its next fate says."""
+        """Write the value, subject to the next outcome."""
         outcome = self._next_outcome()
         if outcome == "down":
             return SwapResult.UNAVAILABLE
@@ -72,14 +72,14 @@
 
 
 class MemorySettings:
-    """A router's settings without peers."""
+    """Settings service of a router without peers."""
 
     def __init__(self, document):
         self.document = document
         self.store = MemoryStore(document.encode())
 
     async def latest(self):
-        """Read the store."""
+        """Read the document from the store."""
         return await read_document(self.store)
 
     async def submit(self, patch, author):
@@ -91,7 +91,7 @@
 
 
 def make_fleet():
-    """Make a fleet of one router and one agent."""
+    """Return a fleet of one router and one agent."""
     state = {"reachable": True, "leaving": False, "slow": False}
     load = {"running": 3, "limit": 8, "waiting": 1}
     target = TargetStatus(
@@ -109,7 +109,7 @@
 
 @dataclass
 class Reply:
-    """A whole answer."""
+    """A complete response."""
 
     status: int
     headers: dict
@@ -128,7 +128,7 @@
         self._application = application
 
     async def __call__(self, method, target, body=b"", *, token=TOKEN, **headers):
-        """Send one request and return its whole answer."""
+        """Send one request and return its response."""
         path, _, query = target.partition("?")
         body = body if isinstance(body, bytes) else json.dumps(body).encode()
         headers["authorization"] = f"Bearer {token}"
@@ -158,13 +158,13 @@
 
 @pytest.fixture
 def settings():
-    """Settings at version 1, without known changes."""
+    """Return settings at version 1 without recent changes."""
     return MemorySettings(SettingsDocument(1, parse_ini(SETTINGS)))
 
 
 @pytest.fixture
 def make_call(settings):
-    """Make callers of an administration API with the given options."""
+    """Return a factory of callers of an administration API."""
 
     def make(**options):
         application = admin_app(
@@ -180,5 +180,5 @@
 
 @pytest.fixture
 def call(make_call):
-    """Call an administration API without an order service."""
+    """Return a caller of an administration API without an order service."""
     return make_call()
--- a/libs/admin/tests/test_admin_access.py
+++ b/libs/admin/tests/test_admin_access.py
@@ -11,37 +11,37 @@
 class TestCredentials:
     @pytest.mark.parametrize("token", ["", "wrong", "operator-toke", "\xff"])
     async def test_wrong_token(self, call, settings, token):
-        """Without a right token nothing is read or changed."""
+        """A wrong token is rejected and changes nothing."""
         body = [{"path": "/", "key": "weight", "value": 2}]
         reply = await call("PATCH", "settings", body, token=token, if_match="1")
         assert (reply.status, reply.document["kind"]) == (401, "denied")
         assert reply.headers["www-authenticate"] == "Bearer"
         assert settings.document.version == 1
 
-    async def test_denied_before_the_path_is_looked_up(self, call):
-        """A stranger does not learn which resources exist."""
+    async def test_denied_before_routing(self, call):
+        """Unauthenticated clients cannot find out which resources exist."""
         assert (await call("GET", "no-such", token="wrong")).status == 401
 
 
 class TestRoutes:
     async def test_unknown_path(self, call):
-        """An unknown path is a typed error."""
+        """An unknown path gets status 404 and a problem body."""
         for path in ("no-such", "settings/changes/", "settings/changes", "targets/a"):
             reply = await call("GET", path)
             assert (reply.status, reply.document["kind"]) == (404, "not-found")
 
     async def test_wrong_method(self, call):
-        """The answer names the methods that the resource takes."""
+        """The response lists the methods that the resource supports."""
         reply = await call("DELETE", "settings")
         assert (reply.status, reply.headers["allow"]) == (405, "GET, PATCH")
 
     async def test_fleet(self, call, snapshot):
-        """Targets, nodes with their settings version, and tiers are shown."""
+        """Targets, nodes with their settings versions, and tiers are listed."""
         replies = [await call("GET", path) for path in ("targets", "nodes", "tiers")]
         assert [reply.document for reply in replies] == snapshot
 
-    async def test_fault_is_a_typed_error(self, call, settings):
-        """A fault of a service is answered, without its details."""
+    async def test_exception_is_internal_error(self, call, settings):
+        """An exception in a service gets status 500 without its details."""
         settings.document = "not a document"
         reply = await call("GET", "settings/tree")
         assert (reply.status, reply.document["kind"]) == (500, "internal")
@@ -49,12 +49,12 @@
 
 class TestOrders:
     async def test_without_service(self, call):
-        """Where no orders are offered, the answer says so."""
+        """Without an order service, orders get status 501."""
         reply = await call("POST", "orders", ORDER)
         assert (reply.status, reply.document["kind"]) == (501, "unsupported")
 
     async def test_refused_order(self, make_call):
-        """A refused order tells the reason; a malformed one all its mistakes."""
+        """A refused order gets status 409, a malformed one all its findings."""
 
         class Orders:
             async def send(self, order):
@@ -71,7 +71,7 @@
         [(OrderOutcome.DONE, 200), (OrderOutcome.UNKNOWN, 503)],
     )
     async def test_outcome_of_order(self, make_call, outcome, status):
-        """Only an order that the target carried out is answered as done."""
+        """Only an order that the target executed gets status 200."""
 
         class Orders:
             async def send(self, order):
@@ -83,7 +83,7 @@
 
 class TestSubmitTimeout:
     async def test_slow_store(self, settings, make_call):
-        """A submit that hangs is undecided, not an error without a change id."""
+        """A submission that times out gets status 503 with its change id."""
 
         async def hang(patch, author):
             await anyio.sleep_forever()
