--- a/libs/caller/src/berylwalk/caller/_app.py
+++ b/libs/caller/src/berylwalk/caller/_app.py
@@ -123,7 +123,7 @@
 
 async def _serve(api: _Api, scope: Scope, receive: Receive, send: Send) -> None:
     if scope["type"] != "http":
-        raise RuntimeError(f"scope {scope['type']} is not served")
+        raise RuntimeError(f"ASGI scope type {scope['type']} is not supported")
     exchange = open_exchange(
         scope,
         receive,
--- a/libs/caller/src/berylwalk/caller/_bodies.py
+++ b/libs/caller/src/berylwalk/caller/_bodies.py
@@ -88,7 +88,7 @@
         Whether the response is to be streamed.
     max_tokens : int or None
         Maximum output of one choice, in tokens.
-    limit_place : str
+    max_tokens_place : str
         JSON pointer of the field that holds `max_tokens`.
     choices : int
         Number of outputs that the target computes.
--- a/libs/caller/src/berylwalk/caller/_headers.py
+++ b/libs/caller/src/berylwalk/caller/_headers.py
@@ -114,10 +114,10 @@
 
     ``Accept-Encoding`` is left out, because the event stream is parsed.
     """
-    passed_on = [
+    forwarded = [
         (name, value) for name in _MODEL_CALL_HEADERS for value in values.get(name, ())
     ]
-    return (("content-type", "application/json"), *passed_on)
+    return (("content-type", "application/json"), *forwarded)
 
 
 def response_headers(raw_headers: RawHeaders) -> list[tuple[bytes, bytes]]:
--- a/libs/caller/src/berylwalk/caller/_json.py
+++ b/libs/caller/src/berylwalk/caller/_json.py
@@ -18,7 +18,7 @@
 _LONG_LIST_START = re.compile(rb"\[[0-9,\s.eE+-]{32}")
 _LONG_NUMBER_LIST = re.compile(rb"\[[0-9,\s.eE+-]{32,}\]")
 _LONG_LIST_MIN_BYTES = 34
-_SHORT_LIST = b"[0]"
+_PLACEHOLDER_LIST = b"[0]"
 
 
 def parse_json(body: bytes, read_names: Collection[str] = ()) -> object | Problem:
@@ -55,9 +55,9 @@
     without_number_lists = body
     for name in numbers_by_name:
         without_number_lists = without_number_lists.replace(
-            raw_by_name[name], _SHORT_LIST, 1
+            raw_by_name[name], _PLACEHOLDER_LIST, 1
         )
-    shortened = _LONG_NUMBER_LIST.sub(_SHORT_LIST, without_number_lists)
+    shortened = _LONG_NUMBER_LIST.sub(_PLACEHOLDER_LIST, without_number_lists)
     # All names are still in the shortened text, so that duplicates are detected.
     document = _parse(shortened)
     if isinstance(document, Problem):
--- a/libs/caller/src/berylwalk/caller/_known_resources.py
+++ b/libs/caller/src/berylwalk/caller/_known_resources.py
@@ -22,7 +22,7 @@
         Returns the resources known at present.
     clock : callable
         Monotonic time in seconds.
-    remember_s : float
+    retention_s : float
         Time for which a resource is retained, in seconds.
 
     Returns
--- a/libs/caller/src/berylwalk/caller/_limits.py
+++ b/libs/caller/src/berylwalk/caller/_limits.py
@@ -16,7 +16,7 @@
     ----------
     max_body_bytes : int
         Maximum size of a request body.
-    max_held_bytes : int
+    max_total_held_bytes : int
         Maximum size of the request bodies and buffered responses of all requests
         together.
     max_buffered_bytes : int
@@ -30,7 +30,7 @@
         Maximum deadline that a caller may request.
     max_key_length : int
         Maximum length of ``Idempotency-Key``, in characters.
-    max_passed_on_bytes : int
+    max_forwarded_header_bytes : int
         Maximum size of the path and headers for a target, in bytes. With the grant
         they must fit into the agents' limit on headers.
     max_choices : int
--- a/libs/caller/src/berylwalk/caller/_request_builder.py
+++ b/libs/caller/src/berylwalk/caller/_request_builder.py
@@ -202,7 +202,7 @@
     service_policy: ServicePolicy,
     details: _CallDetails,
 ) -> Request:
-    idempotent_header = options.idempotent
+    declared = options.idempotent
     deadline_s = options.deadline_s or service_policy.deadline_s
     return Request(
         request_id=received.request_id,
@@ -211,9 +211,7 @@
         estimate=details.estimate,
         arrived_at=received.arrived_at,
         deadline_at=received.arrived_at + deadline_s,
-        idempotent=details.idempotent
-        if idempotent_header is None
-        else idempotent_header,
+        idempotent=details.idempotent if declared is None else declared,
         idempotency_key=options.idempotency_key,
         prefix=details.prefix,
         traceparent=received.traceparent,
--- a/libs/caller/tests/test_caller_answers.py
+++ b/libs/caller/tests/test_caller_answers.py
@@ -137,8 +137,8 @@
     async def test_large_response(self, make_caller, limit):
         """A response too large to buffer is streamed, and aborted if it breaks."""
         chunks = [b"a" * 300, b"b" * 300, b"c"]
-        whole = make_caller(responding_with((), chunks), **{limit: 500})
-        response = await whole.chat()
+        complete = make_caller(responding_with((), chunks), **{limit: 500})
+        response = await complete.chat()
         assert response.outcome == "streaming"
         assert (response.body, response.ended) == (b"".join(chunks), True)
         broken = make_caller(responding_with((), chunks, UNKNOWN), **{limit: 500})
--- a/libs/caller/tests/test_caller_sockets.py
+++ b/libs/caller/tests/test_caller_sockets.py
@@ -105,12 +105,12 @@
         """Concurrent streamed and buffered calls receive their own responses."""
         texts_by_mode = {}
 
-        async def whole(client):
+        async def buffered(client):
             message = {"role": "user", "content": "box 17"}
             response = await client.chat.completions.create(
                 model="small", messages=[message]
             )
-            texts_by_mode["whole"] = response.choices[0].message.content
+            texts_by_mode["buffered"] = response.choices[0].message.content
 
         async def streamed(client):
             message = {"role": "user", "content": "level two is full"}
@@ -126,9 +126,9 @@
                 openai_client(address) as client,
                 create_task_group() as tasks,
             ):
-                tasks.start_soon(whole, client)
+                tasks.start_soon(buffered, client)
                 tasks.start_soon(streamed, client)
-        assert texts_by_mode == {"whole": "box 17", "streamed": "level two is full "}
+        assert texts_by_mode == {"buffered": "box 17", "streamed": "level two is full "}
 
     async def test_broken_stream_raises(self, serve):
         """The client raises on a broken stream after the pieces it received."""
