--- a/libs/admin/src/berylwalk/admin/_submit_answers.py
+++ b/libs/admin/src/berylwalk/admin/_submit_answers.py
@@ -13,8 +13,8 @@
 )
 from berylwalk.settings import (
     Accepted,
-    Clash,
-    ClashingEdit,
+    ConflictingEdit,
+    PatchConflict,
     Rejected,
     Stale,
     SubmitResult,
@@ -75,9 +75,9 @@
 
 
 def _error_for(
-    result: Clash | Stale | Rejected | Undecided, change_id: str
+    result: PatchConflict | Stale | Rejected | Undecided, change_id: str
 ) -> ProblemError:
-    if isinstance(result, Clash):
+    if isinstance(result, PatchConflict):
         return _clash(result, change_id)
     if isinstance(result, Stale):
         problem = Problem(ProblemKind.STALE, str(result), change_id=change_id)
@@ -93,7 +93,7 @@
     return ProblemError(503, problem, headers)
 
 
-def _clash(result: Clash, change_id: str) -> ProblemError:
+def _clash(result: PatchConflict, change_id: str) -> ProblemError:
     problem = Problem(
         ProblemKind.CLASH,
         f"{len(result.edits)} edit(s) clash with later changes; nothing was changed",
@@ -104,7 +104,7 @@
     return ProblemError(409, problem, {CHANGE_ID: change_id})
 
 
-def _clash_details(edit: ClashingEdit) -> ClashDetails:
+def _clash_details(edit: ConflictingEdit) -> ClashDetails:
     return ClashDetails(
         path=edit.path,
         key=edit.key,
--- a/libs/admin/tests/conftest.py
+++ b/libs/admin/tests/conftest.py
@@ -68,7 +68,7 @@
         if fate != "lost":
             self.value = value
             self.revision += 1
-        return SwapResult.SWAPPED if fate == "answered" else SwapResult.LOST
+        return SwapResult.SWAPPED if fate == "answered" else SwapResult.OUTCOME_UNKNOWN
 
 
 class MemorySettings:
--- a/libs/agent/src/berylwalk/agent/_settings_puller.py
+++ b/libs/agent/src/berylwalk/agent/_settings_puller.py
@@ -83,7 +83,7 @@
         """Pull whenever a router announces a newer version."""
         while True:
             await self._behind.wait()
-            router = self._replica.needs_pull(self._clock())
+            router = self._replica.start_pull(self._clock())
             if router is not None:
                 await sleep(self._rng.uniform(0, MAX_PULL_JITTER_S))
                 await self._pull(router)
@@ -106,7 +106,7 @@
             self._on_change()
 
     def _is_current(self) -> bool:
-        return self.version >= self._replica.highest_heard
+        return self.version >= self._replica.highest_known_version
 
 
 def _decode_document(response: bytes | SyncFailed) -> SettingsDocument | None:
--- a/libs/orders/src/berylwalk/orders/__init__.py
+++ b/libs/orders/src/berylwalk/orders/__init__.py
@@ -1,6 +1,6 @@
 """Fenced orders to targets: load models and adapters, change role."""
 
-from berylwalk.orders._gate import FencingGate, PassOn, lock_key
+from berylwalk.orders._gate import FencingGate, ForwardOrder, lock_key
 from berylwalk.orders._messages import (
     Order,
     OrderKind,
@@ -11,17 +11,17 @@
     open_order,
     seal_order,
 )
-from berylwalk.orders._sender import LEAST_REMAINING_S, OrderSender, Transmit
+from berylwalk.orders._sender import MIN_REMAINING_S, OrderSender, Transmit
 
 __all__ = [
-    "LEAST_REMAINING_S",
+    "MIN_REMAINING_S",
     "FencingGate",
+    "ForwardOrder",
     "Order",
     "OrderKind",
     "OrderOutcome",
     "OrderResult",
     "OrderSender",
-    "PassOn",
     "Transmit",
     "decode_result",
     "encode_result",
--- a/libs/orders/src/berylwalk/orders/_gate.py
+++ b/libs/orders/src/berylwalk/orders/_gate.py
@@ -13,7 +13,7 @@
 
 LOCK_PREFIX = b"/berylwalk/orders/"
 
-PassOn = Callable[[Order], Awaitable[OrderResult]]
+ForwardOrder = Callable[[Order], Awaitable[OrderResult]]
 """Passes an order to the target and returns what became of it."""
 
 
@@ -31,14 +31,16 @@
         Node identifier of the agent.
     store : KeyValueStore
         Where the lease of the holder is kept.
-    pass_on : callable
+    forward : callable
         Passes an order to the target.
     """
 
-    def __init__(self, target: str, store: KeyValueStore, pass_on: PassOn) -> None:
+    def __init__(
+        self, target: str, store: KeyValueStore, forward: ForwardOrder
+    ) -> None:
         self._target = target
         self._store = store
-        self._pass_on = pass_on
+        self._forward = forward
         self._highest = 0
         self._lock = anyio.Lock()
 
@@ -61,7 +63,7 @@
             if refusal is not None:
                 return refusal
             self._highest = order.fencing
-            return await self._pass_on(order)
+            return await self._forward(order)
 
     async def _check(self, fencing: int) -> OrderResult | None:
         if fencing < self._highest:
--- a/libs/orders/src/berylwalk/orders/_sender.py
+++ b/libs/orders/src/berylwalk/orders/_sender.py
@@ -10,7 +10,7 @@
 from berylwalk.platform import KeyValueStore, LeasedLock, LockHeld
 
 LEASE_TTL_S = 15.0
-LEAST_REMAINING_S = 5.0
+MIN_REMAINING_S = 5.0
 """An order is not sent with less time left on the lease."""
 
 Transmit = Callable[[Order], Awaitable[OrderResult]]
@@ -75,7 +75,7 @@
             await lease.release()
 
     async def _send_under(self, lease: LeasedLock, order: Order) -> OrderResult:
-        if lease.remaining_s(self._clock()) < LEAST_REMAINING_S:
+        if lease.remaining_s(self._clock()) < MIN_REMAINING_S:
             return _refused("the lease nearly lapsed before the order was sent")
         numbered = msgspec.structs.replace(order, fencing=lease.fencing)
         return await self._transmit(numbered)
--- a/libs/orders/tests/test_orders_fencing.py
+++ b/libs/orders/tests/test_orders_fencing.py
@@ -1,7 +1,7 @@
 import anyio
 
 from berylwalk.orders import (
-    LEAST_REMAINING_S,
+    MIN_REMAINING_S,
     FencingGate,
     Order,
     OrderKind,
@@ -152,7 +152,7 @@
 
     async def compare_and_swap(self, *args, **kwargs):
         result = await super().compare_and_swap(*args, **kwargs)
-        self._pause.now += 15.0 - LEAST_REMAINING_S
+        self._pause.now += 15.0 - MIN_REMAINING_S
         return result
 
 
--- a/libs/router/src/berylwalk/router/_admin_views.py
+++ b/libs/router/src/berylwalk/router/_admin_views.py
@@ -61,7 +61,7 @@
             self._store,
             patch,
             author,
-            minimum_version=self._replica.highest_heard,
+            minimum_version=self._replica.highest_known_version,
         )
         if isinstance(result, Accepted):
             self._sync.accept(result.document)
--- a/libs/router/src/berylwalk/router/_settings_store.py
+++ b/libs/router/src/berylwalk/router/_settings_store.py
@@ -12,7 +12,7 @@
 _RESULT_BY_TYPE = {
     Swapped: SwapResult.SWAPPED,
     Conflict: SwapResult.CONFLICT,
-    OutcomeUnknown: SwapResult.LOST,
+    OutcomeUnknown: SwapResult.OUTCOME_UNKNOWN,
     Unavailable: SwapResult.UNAVAILABLE,
 }
 
--- a/libs/router/src/berylwalk/router/_settings_sync.py
+++ b/libs/router/src/berylwalk/router/_settings_sync.py
@@ -107,7 +107,7 @@
 
     def forget_router(self, router: str) -> None:
         """Note that a router is gone."""
-        self._replica.on_peer_gone(router)
+        self._replica.on_peer_left(router)
 
     def accept(self, document: SettingsDocument) -> None:
         """Take a document that was just written to the store, and announce it."""
@@ -169,7 +169,7 @@
         Agents are asked only while the store does not answer.
         """
         is_outage = self._store_answers is False
-        peer = self._replica.needs_pull(self._clock(), ask_fallbacks=is_outage)
+        peer = self._replica.start_pull(self._clock(), allow_fallbacks=is_outage)
         if peer is None:
             return False
         await sleep(self._rng.uniform(0, self._pull_jitter_s()))
@@ -193,7 +193,7 @@
         while True:
             await sleep(self._poll_s * (1 + JITTER_SHARE * self._rng.random()))
             # Only agents may be left that know of a version.
-            is_behind = self._replica.highest_heard > self._replica.version
+            is_behind = self._replica.highest_known_version > self._replica.version
             if is_behind or self._clock() >= slow_poll_at:
                 return
 
@@ -242,6 +242,6 @@
             logging.warning("the settings cannot be read: %s", reason)
 
     def _note_new(self, source: str) -> None:
-        if self._replica.version >= self._replica.highest_heard:
+        if self._replica.version >= self._replica.highest_known_version:
             self._address_by_agent.clear()
         logging.info("settings version %d is in force, from %s", self.version, source)
--- a/libs/settings/src/berylwalk/settings/__init__.py
+++ b/libs/settings/src/berylwalk/settings/__init__.py
@@ -26,8 +26,8 @@
 from berylwalk.settings._keys import NodeKeys, TierKeys
 from berylwalk.settings._merge import (
     AlreadyAccepted,
-    Clash,
-    ClashingEdit,
+    ConflictingEdit,
+    PatchConflict,
     PatchResult,
     Rejected,
     Stale,
@@ -82,8 +82,7 @@
     "AlreadyAccepted",
     "CallerSection",
     "Change",
-    "Clash",
-    "ClashingEdit",
+    "ConflictingEdit",
     "Edit",
     "Explanation",
     "FleetSection",
@@ -92,6 +91,7 @@
     "NodeSection",
     "NodeSettings",
     "Patch",
+    "PatchConflict",
     "PatchResult",
     "PlatformSection",
     "PortsSection",
--- a/libs/settings/src/berylwalk/settings/_merge.py
+++ b/libs/settings/src/berylwalk/settings/_merge.py
@@ -20,7 +20,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class ClashingEdit:
+class ConflictingEdit:
     """An edit of what another operator changed meanwhile.
 
     Parameters
@@ -52,19 +52,19 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Clash:
+class PatchConflict:
     """The patch is refused as a whole: other changes since its base clash.
 
     Parameters
     ----------
     version : int
         Version of the document that was compared with.
-    edits : tuple of ClashingEdit
+    edits : tuple of ConflictingEdit
         At least one.
     """
 
     version: int
-    edits: tuple[ClashingEdit, ...]
+    edits: tuple[ConflictingEdit, ...]
 
 
 @dataclass(frozen=True, slots=True)
@@ -110,7 +110,7 @@
     findings: tuple[Finding, ...]
 
 
-PatchResult = SettingsDocument | AlreadyAccepted | Clash | Stale | Rejected
+PatchResult = SettingsDocument | AlreadyAccepted | PatchConflict | Stale | Rejected
 
 
 def apply_patch(document: SettingsDocument, patch: Patch, author: str) -> PatchResult:
@@ -130,7 +130,7 @@
 
     Returns
     -------
-    SettingsDocument or AlreadyAccepted or Clash or Stale or Rejected
+    SettingsDocument or AlreadyAccepted or PatchConflict or Stale or Rejected
         The next document, or why there is none.
     """
     known = document.find_change(patch.change_id)
@@ -149,11 +149,13 @@
         return Stale(patch.change_id, patch.base_version, oldest)
     clashing = tuple(_clashing_edits(document, patch))
     if clashing:
-        return Clash(document.version, clashing)
+        return PatchConflict(document.version, clashing)
     return _next_document(document, patch, author)
 
 
-def _clashing_edits(document: SettingsDocument, patch: Patch) -> Iterator[ClashingEdit]:
+def _clashing_edits(
+    document: SettingsDocument, patch: Patch
+) -> Iterator[ConflictingEdit]:
     later = [
         change
         for change in reversed(document.recent_changes)
@@ -176,11 +178,11 @@
 
 def _clashing_edit(
     document: SettingsDocument, edit: Edit, change: Change, touch: Touch
-) -> ClashingEdit:
+) -> ConflictingEdit:
     # Where the edit deletes a section, their value is that of the touched key.
     shown = touch if edit.is_delete else edit
     theirs = document.tree.sections.get(shown.path, {}).get(shown.key, UNSET)
-    return ClashingEdit(
+    return ConflictingEdit(
         path=edit.path,
         key=edit.key,
         yours=edit.value,
--- a/libs/settings/src/berylwalk/settings/_replica.py
+++ b/libs/settings/src/berylwalk/settings/_replica.py
@@ -82,7 +82,7 @@
         self._max_behind_s = max_behind_s
         self._document: SettingsDocument | None = None
         self._peers_by_id: dict[str, _Peer] = {}
-        self._highest_heard = 0
+        self._highest_known_version = 0
         self._behind_since: float | None = None
         self._pull: tuple[str, float] | None = None
         self._has_read_store = False
@@ -99,9 +99,9 @@
         return 0 if self._document is None else self._document.version
 
     @property
-    def highest_heard(self) -> int:
+    def highest_known_version(self) -> int:
         """Highest version seen or heard of; it never goes down."""
-        return self._highest_heard
+        return self._highest_known_version
 
     def on_announcement(
         self,
@@ -206,14 +206,14 @@
             self._peers_by_id[peer].retry_at = now + self._retry_s
             self._peers_by_id[peer].failures += 1
 
-    def on_peer_gone(self, peer: str) -> None:
+    def on_peer_left(self, peer: str) -> None:
         """Forget a peer that has left; the versions heard from it still count."""
         self._peers_by_id.pop(peer, None)
         self._settled_peers.discard(peer)
         if self._pull is not None and self._pull[0] == peer:
             self._pull = None
 
-    def needs_pull(self, now: float, *, ask_fallbacks: bool = False) -> str | None:
+    def start_pull(self, now: float, *, allow_fallbacks: bool = False) -> str | None:
         """Choose the peer to ask for its document.
 
         The pull counts as started: the caller asks the peer and reports back by
@@ -223,7 +223,7 @@
         ----------
         now : float
             Monotonic clock, in seconds.
-        ask_fallbacks : bool
+        allow_fallbacks : bool
             Whether fallbacks may be asked.
 
         Returns
@@ -248,7 +248,7 @@
                     peer,
                 )
                 for peer, known in self._peers_ahead(now)
-                if known.retry_at <= now and (ask_fallbacks or not known.is_fallback)
+                if known.retry_at <= now and (allow_fallbacks or not known.is_fallback)
             ),
             default=None,
         )
@@ -275,7 +275,7 @@
             return False
         if self._has_been_ready:
             return not self._is_behind_too_long(now)
-        is_current = self.version >= self._highest_heard
+        is_current = self.version >= self._highest_known_version
         self._has_been_ready = is_current and self._has_listened(now)
         return self._has_been_ready
 
@@ -286,7 +286,7 @@
         self._document = document
         self._forget_fallbacks()
         # A node that makes progress is not stuck, even if it is behind again.
-        self._behind_since = now if self.version < self._highest_heard else None
+        self._behind_since = now if self.version < self._highest_known_version else None
         return True
 
     def _forget_fallbacks(self) -> None:
@@ -298,8 +298,8 @@
         }
 
     def _hear_of(self, version: int, now: float) -> None:
-        self._highest_heard = max(self._highest_heard, version)
-        if self._behind_since is None and self._highest_heard > self.version:
+        self._highest_known_version = max(self._highest_known_version, version)
+        if self._behind_since is None and self._highest_known_version > self.version:
             self._behind_since = now
 
     def _can_be_asked(self, known: _Peer, now: float) -> bool:
--- a/libs/settings/src/berylwalk/settings/_store.py
+++ b/libs/settings/src/berylwalk/settings/_store.py
@@ -8,7 +8,7 @@
 from berylwalk.settings._document import SettingsDocument
 from berylwalk.settings._merge import (
     AlreadyAccepted,
-    Clash,
+    PatchConflict,
     Rejected,
     Stale,
     apply_patch,
@@ -29,7 +29,7 @@
     CONFLICT = "conflict"
     """The key had another revision; nothing was written."""
 
-    LOST = "lost"
+    OUTCOME_UNKNOWN = "lost"
     """No answer came: the value was written, will be written or never will."""
 
     UNAVAILABLE = "unavailable"
@@ -102,7 +102,7 @@
     reason: str
 
 
-SubmitResult = Accepted | Clash | Stale | Rejected | Undecided
+SubmitResult = Accepted | PatchConflict | Stale | Rejected | Undecided
 
 
 async def read_document(store: SettingsStore) -> SettingsDocument | ReadFailed:
@@ -158,7 +158,7 @@
 
     Returns
     -------
-    Accepted or Clash or Stale or Rejected or Undecided
+    Accepted or PatchConflict or Stale or Rejected or Undecided
         Any but ``Undecided`` is final, and any but ``Undecided`` and ``Stale`` is
         certain: ``Stale`` leaves open whether the change was accepted earlier.
     """
@@ -180,13 +180,14 @@
             return Accepted(result.version, result)
         if swap is SwapResult.UNAVAILABLE:
             return Undecided("the key-value service is unavailable")
-        if swap is SwapResult.LOST:
+        if swap is SwapResult.OUTCOME_UNKNOWN:
             reason = "the answers of the key-value service were lost"
     return Undecided(reason)
 
 
 def _settled(
-    result: AlreadyAccepted | Clash | Stale | Rejected, document: SettingsDocument
+    result: AlreadyAccepted | PatchConflict | Stale | Rejected,
+    document: SettingsDocument,
 ) -> SubmitResult:
     if isinstance(result, AlreadyAccepted):
         return Accepted(result.version, document)
--- a/libs/settings/tests/test_settings_merge.py
+++ b/libs/settings/tests/test_settings_merge.py
@@ -7,9 +7,9 @@
 from berylwalk.settings import (
     MAX_RECENT_CHANGES,
     AlreadyAccepted,
-    Clash,
     Edit,
     Patch,
+    PatchConflict,
     Rejected,
     SettingsDocument,
     SettingsTree,
@@ -52,7 +52,7 @@
         document = _after(Edit("/a", "weight", 5))
         patch = _patch("2", Edit("/ab", "weight", 9), Edit("/a", "weight", 7))
         clash = apply_patch(document, patch, "bo")
-        assert isinstance(clash, Clash)
+        assert isinstance(clash, PatchConflict)
         (edit,) = clash.edits
         assert (edit.path, edit.key, edit.yours, edit.theirs) == ("/a", "weight", 7, 5)
         assert (edit.their_author, edit.their_version) == ("ana", 5)
@@ -71,7 +71,9 @@
     )
     def test_clash_with_delete(self, first, second):
         """A delete clashes with every change below it, whichever came first."""
-        assert isinstance(apply_patch(_after(first), _patch("2", second), "bo"), Clash)
+        assert isinstance(
+            apply_patch(_after(first), _patch("2", second), "bo"), PatchConflict
+        )
 
     @pytest.mark.parametrize(
         ("first", "second"),
--- a/libs/settings/tests/test_settings_replica.py
+++ b/libs/settings/tests/test_settings_replica.py
@@ -26,12 +26,12 @@
         """After listening, a node pulls from the peer that is furthest."""
         replica = SettingsReplica(0.0, listen_s=3.0)
         replica.on_announcement("p", 4, 0.1)
-        assert replica.needs_pull(0.1) == "p"
+        assert replica.start_pull(0.1) == "p"
         replica.on_document(_document(4), 0.2, peer="p")
         assert not replica.ready_to_serve(0.2)
         replica.on_announcement("q", 5, 2.9)
         assert not replica.ready_to_serve(3.0)
-        assert replica.needs_pull(3.0) == "q"
+        assert replica.start_pull(3.0) == "q"
         replica.on_document(_document(5), 3.1, peer="q")
         assert replica.ready_to_serve(3.1)
 
@@ -39,7 +39,7 @@
         """The only peer with the version is gone: wait for the store."""
         replica = SettingsReplica(0.0, listen_s=1.0)
         replica.on_announcement("p", 5, 0.1)
-        replica.on_peer_gone("p")
+        replica.on_peer_left("p")
         replica.on_announcement("q", 4, 0.2)
         replica.on_document(_document(4), 0.3, peer="q")
         assert not replica.ready_to_serve(1000.0)
@@ -76,13 +76,13 @@
         replica = SettingsReplica(0.0, pull_timeout_s=2.0, retry_s=10.0)
         for peer, version in (("p", 9), ("q", 8), ("r", 7)):
             replica.on_announcement(peer, version, 0.0)
-        assert replica.needs_pull(0.0) == "p"
-        assert replica.needs_pull(1.9) is None
-        assert replica.needs_pull(2.0) == "q"
+        assert replica.start_pull(0.0) == "p"
+        assert replica.start_pull(1.9) is None
+        assert replica.start_pull(2.0) == "q"
         replica.on_pull_failed("q", 2.1)
-        assert replica.needs_pull(2.1) == "r"
+        assert replica.start_pull(2.1) == "r"
         replica.on_document(_document(6), 2.2, peer="r")
-        assert replica.needs_pull(2.2) is None
+        assert replica.start_pull(2.2) is None
         assert not replica.on_document(_document(6), 2.3)
         assert not replica.on_store_document(_document(5), 2.3)
         assert replica.version == 6
@@ -91,13 +91,13 @@
         """A peer that fell silent is left until it is heard again."""
         replica = SettingsReplica(0.0, peer_timeout_s=5.0)
         replica.on_announcement("p", 9, 0.0)
-        assert replica.needs_pull(5.0) is None
+        assert replica.start_pull(5.0) is None
 
     def test_peer_that_cannot_send_counts_but_is_not_asked(self):
         """A version is heard of from any peer, but pulled only where it can be."""
         replica = SettingsReplica(0.0, listen_s=0.0)
         replica.on_announcement("agent", 9, 0.0, can_send=False)
-        assert replica.needs_pull(0.0) is None
+        assert replica.start_pull(0.0) is None
         replica.on_store_document(_document(8), 0.1)
         assert not replica.ready_to_serve(0.1)
 
@@ -108,7 +108,7 @@
             replica = SettingsReplica(0.0, node_id=f"node-{number}")
             for peer in "pqrs":
                 replica.on_announcement(peer, 4, 0.1)
-            asked.add(replica.needs_pull(0.1))
+            asked.add(replica.start_pull(0.1))
         assert asked == set("pqrs")
 
 
@@ -144,14 +144,14 @@
             elif kind == "fail":
                 replica.on_pull_failed(peer, now)
             elif kind == "gone":
-                replica.on_peer_gone(peer)
+                replica.on_peer_left(peer)
             else:
-                replica.needs_pull(now)
+                replica.start_pull(now)
             if kind in ("announce", "document", "store"):
                 highest = max(highest, number)
             assert replica.version >= version
             version = replica.version
-            assert replica.highest_heard == highest
+            assert replica.highest_known_version == highest
             if replica.ready_to_serve(now):
                 assert has_served or version == highest
                 has_served = True
--- a/libs/settings/tests/test_settings_store.py
+++ b/libs/settings/tests/test_settings_store.py
@@ -10,9 +10,9 @@
 from berylwalk.settings import (
     MAX_RECENT_CHANGES,
     Accepted,
-    Clash,
     Edit,
     Patch,
+    PatchConflict,
     ReadFailed,
     Rejected,
     SettingsDocument,
@@ -58,11 +58,11 @@
             return SwapResult.UNAVAILABLE
         if fate == "lost-late":
             self.late.append((value, expected_mod_revision))
-            return SwapResult.LOST
+            return SwapResult.OUTCOME_UNKNOWN
         swapped = fate != "lost-never" and self.swap(value, expected_mod_revision)
         await _Pause()
         if fate != "answered":
-            return SwapResult.LOST
+            return SwapResult.OUTCOME_UNKNOWN
         return SwapResult.SWAPPED if swapped else SwapResult.CONFLICT
 
     def swap(self, value, expected_mod_revision):
@@ -132,7 +132,7 @@
     def _note(self, operator, patch, result):
         if isinstance(result, Accepted):
             self.accepted_by_id[patch.change_id] = result.version
-        elif isinstance(result, Clash | Rejected):
+        elif isinstance(result, PatchConflict | Rejected):
             self.refused_ids.add(patch.change_id)
         else:
             assert isinstance(result, Undecided)
--- a/tests/fuzz/faults.py
+++ b/tests/fuzz/faults.py
@@ -465,7 +465,7 @@
         (
             Edit(
                 "settings/_replica",
-                "is_current = self.version >= self._highest_heard",
+                "is_current = self.version >= self._highest_known_version",
                 "is_current = True",
             ),
         ),
@@ -504,7 +504,7 @@
         (
             Edit(
                 "orders/_sender",
-                "if lease.remaining_s(self._clock()) < LEAST_REMAINING_S:",
+                "if lease.remaining_s(self._clock()) < MIN_REMAINING_S:",
                 "if False:",
             ),
         ),
--- a/tests/fuzz/test_fuzz_orders.py
+++ b/tests/fuzz/test_fuzz_orders.py
@@ -11,7 +11,7 @@
 from step_counts import STEPS_BY_TEST
 
 from berylwalk.orders import (
-    LEAST_REMAINING_S,
+    MIN_REMAINING_S,
     FencingGate,
     Order,
     OrderKind,
@@ -98,7 +98,7 @@
         assert order.fencing == self.holder(), "sent without the lease"
         lease = self.store._store.get(lock_key(TARGET)).lease_id
         left_s = self.store._store.leases_by_id[lease].expires_at - self.now
-        assert left_s >= LEAST_REMAINING_S, "sent with too little time left"
+        assert left_s >= MIN_REMAINING_S, "sent with too little time left"
         transmission = Transmission(order)
         self.sending.append(transmission)
         await transmission.arrived.wait()
--- a/tests/fuzz/test_fuzz_settings.py
+++ b/tests/fuzz/test_fuzz_settings.py
@@ -293,7 +293,7 @@
 
     def _pull(self, puller: str, *, works: bool) -> None:
         replica = self.nodes_by_id[puller].replica
-        peer = replica.needs_pull(self.now, ask_fallbacks=self.key_value.down)
+        peer = replica.start_pull(self.now, allow_fallbacks=self.key_value.down)
         if peer is None:
             return
         document = self.nodes_by_id[peer].replica.document
