--- a/libs/orders/src/berylwalk/orders/__init__.py
+++ b/libs/orders/src/berylwalk/orders/__init__.py
@@ -1,4 +1,4 @@
-"""Fenced orders to targets: load models and adapters, change role."""
+"""Fenced commands to targets: load models and adapters, change the role."""
 
 from berylwalk.orders._gate import FencingGate, ForwardOrder, lock_key
 from berylwalk.orders._messages import (
--- a/libs/orders/src/berylwalk/orders/_gate.py
+++ b/libs/orders/src/berylwalk/orders/_gate.py
@@ -1,7 +1,7 @@
-"""The agent's check of fencing numbers, the same for every target.
+"""Validation of fencing tokens by the agent.
 
-Some targets refuse an order with an old fencing number, others ignore it. All
-orders to a target pass through its agent, which therefore checks for both.
+Not every target rejects an order with an outdated fencing token. All orders to a
+target pass through its agent, which validates the token on behalf of the target.
 """
 
 from collections.abc import Awaitable, Callable
@@ -14,25 +14,25 @@
 LOCK_PREFIX = b"/berylwalk/orders/"
 
 ForwardOrder = Callable[[Order], Awaitable[OrderResult]]
-"""Passes an order to the target and returns what became of it."""
+"""Forwards an order to the target and returns its result."""
 
 
 def lock_key(target: str) -> bytes:
-    """Return the key of the lease that protects orders to a target."""
+    """Return the store key of the lease that serializes orders to a target."""
     return LOCK_PREFIX + target.encode()
 
 
 class FencingGate:
-    """Passes orders to one target, one at a time, from the current holder only.
+    """Forward orders of the current lease holder to a target, one at a time.
 
     Parameters
     ----------
     target : str
         Node identifier of the agent.
     store : KeyValueStore
-        Where the lease of the holder is kept.
+        Holds the lease of the target.
     forward : callable
-        Passes an order to the target.
+        Forwards an order to the target.
     """
 
     def __init__(
@@ -41,41 +41,43 @@
         self._target = target
         self._store = store
         self._forward = forward
-        self._highest = 0
+        self._highest_token = 0
         self._lock = anyio.Lock()
 
     async def handle(self, order: Order) -> OrderResult:
-        """Pass an order on, or refuse it.
+        """Forward an order, or refuse it if its fencing token is outdated.
 
-        The lease is read for every order: a holder that was paused past its
-        lease may be the first to reach this agent, so that comparing with the
-        highest number seen isn't enough.
+        The lease is read for every order. Comparing with the highest token seen is
+        not sufficient: a sender that was paused until its lease expired may be the
+        first to reach this agent.
 
         Returns
         -------
         OrderResult
-            ``refused`` means that the target never saw the order, or refused it.
+            ``refused`` if the order was not forwarded, or the target refused it.
         """
         if order.target != self._target:
-            return _refused(f"the order is for {order.target}")
+            return _refused(f"the order is addressed to {order.target}")
         async with self._lock:
             refusal = await self._check(order.fencing)
             if refusal is not None:
                 return refusal
-            self._highest = order.fencing
+            self._highest_token = order.fencing
             return await self._forward(order)
 
     async def _check(self, fencing: int) -> OrderResult | None:
-        if fencing < self._highest:
-            return _refused(f"fencing number {fencing} is below {self._highest}")
+        if fencing < self._highest_token:
+            return _refused(
+                f"fencing token {fencing} is lower than {self._highest_token}"
+            )
         current = await self._store.get(lock_key(self._target))
         if isinstance(current, Unavailable):
-            return _refused("the lease can't be checked: no key-value service")
+            return _refused("lease not verified: the key-value service is unavailable")
         if current is None:
-            return _refused("nobody holds the lease for orders to this target")
+            return _refused("no router holds the lease for orders to this target")
         if current.mod_revision != fencing:
             return _refused(
-                f"fencing number {fencing} is not that of the lease's holder"
+                f"fencing token {fencing} does not belong to the current lease holder"
             )
         return None
 
--- a/libs/orders/src/berylwalk/orders/_messages.py
+++ b/libs/orders/src/berylwalk/orders/_messages.py
@@ -1,4 +1,4 @@
-"""Orders and their results, and how both travel."""
+"""Orders, their results and the encoding of both."""
 
 from enum import StrEnum
 
@@ -8,7 +8,7 @@
 
 
 class OrderKind(StrEnum):
-    """What a target can be told to do."""
+    """Kind of operation that a target is to perform."""
 
     LOAD_ADAPTER = "load-adapter"
     UNLOAD_ADAPTER = "unload-adapter"
@@ -17,20 +17,20 @@
 
 
 class Order(msgspec.Struct, frozen=True):
-    """One order to one target.
+    """Order to a target.
 
     Parameters
     ----------
     target : str
         Node identifier of the target's agent.
     kind : OrderKind
-        What to do.
+        Requested operation.
     name : str
-        Adapter, model or role.
+        Name of the adapter, model or role.
     source : str
-        Where an adapter or model is loaded from; empty where not needed.
+        Location that an adapter or model is loaded from; empty if not applicable.
     fencing : int
-        Number of the lease under which the order is given.
+        Fencing token of the lease under which the order is sent.
     """
 
     target: str
@@ -41,20 +41,20 @@
 
 
 class OrderOutcome(StrEnum):
-    """What became of an order."""
+    """Outcome of an order."""
 
     DONE = "done"
-    """The target carried it out."""
+    """The target executed the order."""
 
     REFUSED = "refused"
-    """It was not passed to the target, or the target refused it."""
+    """The order was not forwarded to the target, or the target refused it."""
 
     UNKNOWN = "unknown"
-    """It was passed on, and no answer came."""
+    """The order was forwarded, and no response was received."""
 
 
 class OrderResult(msgspec.Struct, frozen=True):
-    """Outcome of an order, with one sentence for the operator."""
+    """Outcome of an order, with an explanation for the operator."""
 
     outcome: OrderOutcome
     detail: str = ""
@@ -66,12 +66,12 @@
 
 
 def seal_order(order: Order, key: FleetKey) -> bytes:
-    """Return the order as a sealed request body."""
+    """Encode an order as a sealed request body."""
     return key.seal(_encoder.encode(order))
 
 
 def open_order(body: bytes, key: FleetKey) -> Order | None:
-    """Return the order, or None when it is malformed or not sealed by the key."""
+    """Decode an order; None if it is malformed or not sealed with the key."""
     payload = key.open(body)
     if payload is None:
         return None
@@ -82,13 +82,15 @@
 
 
 def encode_result(result: OrderResult) -> bytes:
-    """Return the result as a response body."""
+    """Encode a result as a response body."""
     return _encoder.encode(result)
 
 
 def decode_result(body: bytes) -> OrderResult:
-    """Return the result; a malformed one counts as unknown."""
+    """Decode a result; a malformed body yields the outcome ``unknown``."""
     try:
         return _result_decoder.decode(body)
     except msgspec.MsgspecError:
-        return OrderResult(OrderOutcome.UNKNOWN, "the agent's answer is malformed")
+        return OrderResult(
+            OrderOutcome.UNKNOWN, "the response of the agent is malformed"
+        )
--- a/libs/orders/src/berylwalk/orders/_sender.py
+++ b/libs/orders/src/berylwalk/orders/_sender.py
@@ -1,4 +1,4 @@
-"""The router's side: takes the lease and sends orders under it."""
+"""Sending of orders under a lease of the target."""
 
 from collections.abc import Awaitable, Callable
 from time import monotonic
@@ -11,23 +11,23 @@
 
 LEASE_TTL_S = 15.0
 MIN_REMAINING_S = 5.0
-"""An order is not sent with less time left on the lease."""
+"""Orders are not sent when the lease expires sooner than this."""
 
 Transmit = Callable[[Order], Awaitable[OrderResult]]
-"""Sends an order to its agent and returns the agent's answer."""
+"""Sends an order to the agent of its target and returns the result."""
 
 
 class OrderSender:
-    """Sends orders, each under a lease of its target.
+    """Send orders, each under a lease of its target.
 
     Parameters
     ----------
     node_id : str
-        Name of this node, stored with the lease for operators.
+        Identifier of this node, stored with the lease to show its owner.
     store : KeyValueStore
-        Where leases are kept.
+        Holds the leases.
     transmit : callable
-        Sends an order to its agent.
+        Sends an order to the agent of its target.
     clock : callable
         Monotonic clock, in seconds.
     """
@@ -46,17 +46,17 @@
         self._clock = clock
 
     async def send(self, order: Order) -> OrderResult:
-        """Take the target's lease, send the order, give the lease up.
+        """Acquire the lease of the target, send the order and release the lease.
 
         Parameters
         ----------
         order : Order
-            Its fencing number is replaced by the lease's.
+            Its fencing token is replaced by that of the lease.
 
         Returns
         -------
         OrderResult
-            ``refused`` also when the lease can't be had.
+            Also ``refused`` when the lease cannot be acquired.
         """
         lease = await LeasedLock.acquire(
             self._store,
@@ -66,19 +66,19 @@
             clock=self._clock,
         )
         if isinstance(lease, LockHeld):
-            return _refused("another router sends an order to this target")
+            return _refused("another router is sending an order to this target")
         if not isinstance(lease, LeasedLock):
-            return _refused("the lease can't be taken: no key-value service")
+            return _refused("lease not acquired: the key-value service is unavailable")
         try:
-            return await self._send_under(lease, order)
+            return await self._send_with_lease(lease, order)
         finally:
             await lease.release()
 
-    async def _send_under(self, lease: LeasedLock, order: Order) -> OrderResult:
+    async def _send_with_lease(self, lease: LeasedLock, order: Order) -> OrderResult:
         if lease.remaining_s(self._clock()) < MIN_REMAINING_S:
-            return _refused("the lease nearly lapsed before the order was sent")
-        numbered = msgspec.structs.replace(order, fencing=lease.fencing)
-        return await self._transmit(numbered)
+            return _refused("too little time remained on the lease to send the order")
+        fenced_order = msgspec.structs.replace(order, fencing=lease.fencing)
+        return await self._transmit(fenced_order)
 
 
 def _refused(detail: str) -> OrderResult:
--- a/libs/orders/tests/test_orders_fencing.py
+++ b/libs/orders/tests/test_orders_fencing.py
@@ -26,39 +26,39 @@
 
 
 class FakeTarget:
-    """A target that ignores fencing numbers and records what reaches it."""
+    """A target that ignores fencing tokens and records the orders it receives."""
 
     def __init__(self):
         self.orders = []
 
-    async def carry_out(self, order):
+    async def execute(self, order):
         self.orders.append(order)
         return OrderResult(OrderOutcome.DONE)
 
 
 class TestFencingGate:
-    def test_order_of_current_holder_is_passed_on(self):
+    def test_order_of_current_holder_is_forwarded(self):
         """An order under the current lease reaches the target."""
 
         async def scenario():
             store, target = InMemoryKeyValue(), FakeTarget()
-            gate = FencingGate(TARGET, store, target.carry_out)
+            gate = FencingGate(TARGET, store, target.execute)
             result = await OrderSender("r1", store, gate.handle).send(ORDER)
             assert result.outcome is OrderOutcome.DONE
             assert target.orders[0].fencing > 0
 
         anyio.run(scenario)
 
-    def test_paused_holder_changes_nothing(self):
-        """A holder that wakes past its lease is refused on every target.
+    def test_paused_holder_is_refused(self):
+        """An order sent after its lease expired must not reach the target.
 
-        The agent has seen no newer order, so only reading the lease helps.
+        The agent has not seen a newer token and must read the lease to detect this.
         """
 
         async def scenario():
             clock = FakeClock()
             store, target = InMemoryKeyValue(clock=clock), FakeTarget()
-            gate = FencingGate(TARGET, store, target.carry_out)
+            gate = FencingGate(TARGET, store, target.execute)
 
             async def transmit_after_pause(order):
                 clock.now += 60.0
@@ -72,30 +72,32 @@
 
         anyio.run(scenario)
 
-    def test_restarted_agent_learns_the_current_number(self):
-        """A fresh agent refuses an old number though it has seen none."""
+    def test_restarted_agent_refuses_outdated_token(self):
+        """An agent that has lost its highest token still refuses an outdated one."""
 
         async def scenario():
             store, target = InMemoryKeyValue(), FakeTarget()
-            old = await LeasedLock.acquire(
+            expired_lease = await LeasedLock.acquire(
                 store, lock_key(TARGET), owner="r1", ttl_s=60.0
             )
-            await old.release()
+            await expired_lease.release()
             await LeasedLock.acquire(store, lock_key(TARGET), owner="r2", ttl_s=60.0)
-            fresh = FencingGate(TARGET, store, target.carry_out)
-            late = Order(TARGET, OrderKind.CHANGE_ROLE, "decode", fencing=old.fencing)
-            result = await fresh.handle(late)
+            restarted_gate = FencingGate(TARGET, store, target.execute)
+            late_order = Order(
+                TARGET, OrderKind.CHANGE_ROLE, "decode", fencing=expired_lease.fencing
+            )
+            result = await restarted_gate.handle(late_order)
             assert result.outcome is OrderOutcome.REFUSED
             assert target.orders == []
 
         anyio.run(scenario)
 
-    def test_outage_refuses(self):
-        """Without the key-value service no order is passed on."""
+    def test_order_is_refused_during_outage(self):
+        """Orders must not be forwarded while the lease cannot be verified."""
 
         async def scenario():
             store, target = InMemoryKeyValue(), FakeTarget()
-            gate = FencingGate(TARGET, store, target.carry_out)
+            gate = FencingGate(TARGET, store, target.execute)
 
             async def transmit_in_outage(order):
                 store.down = True
@@ -109,8 +111,8 @@
 
 
 class TestOrderSender:
-    def test_nearly_lapsed_lease_sends_nothing(self):
-        """A holder that was paused before sending does not send."""
+    def test_nothing_is_sent_shortly_before_lease_expires(self):
+        """A sender paused after acquiring the lease must not send an order."""
 
         async def scenario():
             clock = FakeClock()
@@ -127,8 +129,8 @@
 
         anyio.run(scenario)
 
-    def test_second_sender_is_refused(self):
-        """Two routers don't send to one target at once."""
+    def test_concurrent_sender_is_refused(self):
+        """Two routers must not send orders to one target concurrently."""
 
         async def scenario():
             store = InMemoryKeyValue()
@@ -144,15 +146,15 @@
 
 
 class PausingStore(InMemoryKeyValue):
-    """Pauses its caller after the lock is taken until the lease nearly lapsed."""
+    """Advances the clock after a write until the lease is about to expire."""
 
     def __init__(self, clock):
         super().__init__(clock=clock)
-        self._pause = clock
+        self._fake_clock = clock
 
     async def compare_and_swap(self, *args, **kwargs):
         result = await super().compare_and_swap(*args, **kwargs)
-        self._pause.now += 15.0 - MIN_REMAINING_S
+        self._fake_clock.now += 15.0 - MIN_REMAINING_S
         return result
 
 
--- a/libs/settings/src/berylwalk/settings/__init__.py
+++ b/libs/settings/src/berylwalk/settings/__init__.py
@@ -1,10 +1,11 @@
 """Node settings files and the operators' settings tree.
 
 A router or an agent reads its own settings from an INI file
-(:class:`RouterSettings`, :class:`AgentSettings`). How work is treated is set in
-one tree with inheritance (:class:`SettingsTree`), which is kept as a versioned
-document (:class:`SettingsDocument`) in the key-value service, changed by patches
-(:func:`submit_patch`) and copied to every node (:class:`SettingsReplica`).
+(:class:`RouterSettings`, :class:`AgentSettings`). Operators define how requests are
+scheduled in a tree with inheritance (:class:`SettingsTree`). The tree is stored as a
+versioned document (:class:`SettingsDocument`) in the key-value service, changed by
+patches (:func:`submit_patch`) and replicated to every node
+(:class:`SettingsReplica`).
 """
 
 from berylwalk.settings._agent import (
--- a/libs/settings/src/berylwalk/settings/_agent.py
+++ b/libs/settings/src/berylwalk/settings/_agent.py
@@ -1,4 +1,4 @@
-"""Settings file of an agent."""
+"""Models of the settings file of an agent."""
 
 from enum import StrEnum
 
@@ -9,7 +9,7 @@
 
 
 class AdmissionPolicy(StrEnum):
-    """In which order an agent admits waiting requests."""
+    """Order in which an agent admits queued requests."""
 
     BERYLWALK = "berylwalk"
     FIFO = "fifo"
@@ -44,7 +44,7 @@
 
     @field_validator("services")
     @classmethod
-    def _check_serves(cls, value: tuple, info: ValidationInfo) -> tuple:
+    def _check_models_or_services(cls, value: tuple, info: ValidationInfo) -> tuple:
         if not value and info.data.get("models") == ():
             raise ValueError("models and services are both empty")
         return value
--- a/libs/settings/src/berylwalk/settings/_checks.py
+++ b/libs/settings/src/berylwalk/settings/_checks.py
@@ -17,39 +17,41 @@
 def check_sections(
     raw: Mapping[str, Mapping[str, object]], source: str
 ) -> tuple[dict[str, dict[str, Value]], list[Finding]]:
-    """Validate the sections of a tree, each alone and all together.
+    """Validate each section of a tree and the references between sections.
 
     Parameters
     ----------
     raw : mapping of str to mapping of str to object
         Values by section and key, typed or as text.
     source : str
-        Name of the file or document, for the findings.
+        Name of the file or document, used in findings.
 
     Returns
     -------
     sections : dict of str to dict of str to Value
-        The validated values, without those in error.
+        The validated values, without invalid ones.
     findings : list of Finding
-        Every mistake.
+        Every problem found.
     """
     sections: dict[str, dict[str, Value]] = {}
     findings: list[Finding] = []
     for section, values in raw.items():
-        model = _model_of(section)
+        model = _section_model(section)
         if model is None:
             problem = "is neither a path such as /a/b nor a tier such as 'tier NAME'"
             findings.append(Finding(section_place(source, section), problem))
             continue
-        sections[section], more = _check_section(model, values, source, section)
-        findings += more
+        sections[section], section_findings = _check_section(
+            model, values, source, section
+        )
+        findings += section_findings
     findings += _check_ranks(sections, source)
     findings += _check_tiers_exist(sections, source)
     findings += _check_credentials(sections, source)
     return sections, findings
 
 
-def _model_of(section: str) -> type[StrictModel] | None:
+def _section_model(section: str) -> type[StrictModel] | None:
     if is_node(section):
         return NodeKeys
     return TierKeys if is_tier(section) else None
@@ -64,12 +66,14 @@
         findings = findings_from(
             error, lambda location: section_place(source, section, ".".join(location))
         )
-        bad_keys = {details["loc"][0] for details in error.errors()}
-    # What is valid is still compared with the other sections.
-    good = {key: value for key, value in values.items() if key not in bad_keys}
-    if "rank" in bad_keys:
+        invalid_keys = {details["loc"][0] for details in error.errors()}
+    # Valid keys are kept for the checks across sections.
+    valid_values = {
+        key: value for key, value in values.items() if key not in invalid_keys
+    }
+    if "rank" in invalid_keys:
         return {}, findings
-    return model.model_validate(good).model_dump(exclude_unset=True), findings
+    return model.model_validate(valid_values).model_dump(exclude_unset=True), findings
 
 
 def _check_ranks(sections: Sections, source: str) -> Iterable[Finding]:
--- a/libs/settings/src/berylwalk/settings/_document.py
+++ b/libs/settings/src/berylwalk/settings/_document.py
@@ -1,4 +1,4 @@
-"""The versioned settings document, as it is stored and passed on."""
+"""Versioned settings document and its stored form."""
 
 from typing import Self
 
@@ -16,14 +16,14 @@
 
 
 class Touch(Struct, frozen=True, omit_defaults=True):
-    """What one edit of an accepted change touched.
+    """Key or section changed by one edit of an accepted change.
 
     Parameters
     ----------
     path, key : str
-        As in the edit.
+        Path and key of the edit.
     deleted : bool
-        Whether the edit deleted the section and all below it.
+        Whether the edit deleted the section and its descendants.
     """
 
     path: str
@@ -32,36 +32,36 @@
 
     @classmethod
     def from_edit(cls, edit: Edit) -> Self:
-        """Keep of an edit what later patches are compared with."""
+        """Return the path and key of an edit, without its value."""
         return cls(edit.path, edit.key, edit.is_delete)
 
     def overlaps(self, other: Self) -> bool:
-        """Tell whether two touches change the same thing."""
+        """Return whether both affect the same key or section."""
         if self.deleted and is_within(other.path, self.path):
             return True
         if other.deleted and is_within(self.path, other.path):
             return True
         if self.path != other.path or self.key != other.key:
             return False
-        # Two operators may create the same section: neither loses anything.
+        # Creating the same section twice is not a conflict.
         return self.key != WHOLE_SECTION
 
 
 class Change(Struct, frozen=True):
-    """An accepted change, kept for a while after it was accepted.
+    """Accepted change, retained to detect retries and conflicts.
 
     Parameters
     ----------
     change_id : str
-        Name of the change.
+        Identifier of the change.
     digest : str
-        Digest of its edits.
+        Digest of the edits.
     version : int
-        Version of the document that the change made.
+        Version of the document that the change created.
     author : str
-        Who made it.
+        Author of the change.
     touches : tuple of Touch
-        What it changed.
+        Keys and sections that it changed.
     """
 
     change_id: str
@@ -78,16 +78,16 @@
 
 
 class SettingsDocument(Struct, frozen=True):
-    """One version of the settings tree; immutable.
+    """One version of the settings tree, immutable.
 
     Parameters
     ----------
     version : int
-        Counts up by one with each accepted change; 0 before the first.
+        Number of accepted changes so far.
     tree : SettingsTree
-        The settings.
+        Settings of this version.
     recent_changes : tuple of Change
-        The latest accepted changes, the oldest first.
+        Latest accepted changes, oldest first.
     """
 
     version: int
@@ -96,17 +96,17 @@
 
     @classmethod
     def empty(cls) -> Self:
-        """Document in force before the first change."""
+        """Return the document that is active before the first change."""
         return cls(0, SettingsTree({}))
 
     @classmethod
     def decode(cls, data: bytes) -> Self:
-        """Read a document that :meth:`encode` wrote.
+        """Decode a document.
 
         Parameters
         ----------
         data : bytes
-            JSON.
+            Output of :meth:`encode`.
 
         Returns
         -------
@@ -115,7 +115,7 @@
         Raises
         ------
         FindingsError
-            When the data are malformed or the tree in them is invalid.
+            If the data are malformed or contain an invalid tree.
         """
         try:
             stored = json.decode(data, type=_StoredDocument)
@@ -125,7 +125,7 @@
         return cls(stored.version, tree, stored.recent_changes)
 
     def encode(self) -> bytes:
-        """Write the document as JSON.
+        """Encode the document as JSON.
 
         Returns
         -------
@@ -135,7 +135,7 @@
         Raises
         ------
         FindingsError
-            When the document is too large.
+            If the document is larger than ``MAX_DOCUMENT_BYTES``.
         """
         sections: dict[str, dict[str, Value]] = {
             name: dict(values) for name, values in self.tree.sections.items()
@@ -143,50 +143,51 @@
         stored = _StoredDocument(self.version, sections, self.recent_changes)
         data = json.encode(stored)
         if len(data) > MAX_DOCUMENT_BYTES:
-            problem = f"takes {len(data)} bytes; at most {MAX_DOCUMENT_BYTES} fit"
+            problem = f"has {len(data)} bytes; at most {MAX_DOCUMENT_BYTES} are allowed"
             raise FindingsError([Finding(DOCUMENT_SOURCE, problem)])
         return data
 
     @property
     def oldest_base_version(self) -> int:
-        """Oldest base version whose later changes are all still known."""
+        """Oldest base version for which all later changes are retained."""
         if not self.recent_changes:
             return self.version
         return self.recent_changes[0].version - 1
 
     def find_change(self, change_id: str) -> Change | None:
-        """Find an accepted change; None when it is not among the latest."""
+        """Return an accepted change; None if it is not retained."""
         for change in reversed(self.recent_changes):
             if change.change_id == change_id:
                 return change
         return None
 
     def with_change(self, tree: SettingsTree, change: Change) -> Self:
-        """Make the next version of the document.
+        """Return the next version of the document.
 
         Parameters
         ----------
         tree : SettingsTree
             The changed tree.
         change : Change
-            The change, with the next version.
+            The change; its version is that of the new document.
 
         Returns
         -------
         SettingsDocument
-            Changes that no longer fit are dropped, the oldest first.
+            The oldest changes are dropped to stay within the retention limits.
         """
-        changes = _bounded((*self.recent_changes, change))
+        changes = _trim_changes((*self.recent_changes, change))
         return type(self)(change.version, tree, changes)
 
 
-def _bounded(changes: tuple[Change, ...]) -> tuple[Change, ...]:
-    kept = []
-    room = MAX_RECENT_BYTES
+def _trim_changes(changes: tuple[Change, ...]) -> tuple[Change, ...]:
+    retained = []
+    remaining_bytes = MAX_RECENT_BYTES
     for change in reversed(changes[-MAX_RECENT_CHANGES:]):
-        room -= len(json.encode(change))
-        # The newest always stays: a lost answer is resolved by finding it.
-        if room < 0 and kept:
+        remaining_bytes -= len(json.encode(change))
+        # The newest change is always retained: submit_patch searches for it after
+        # a lost response.
+        if remaining_bytes < 0 and retained:
             break
-        kept.append(change)
-    return tuple(reversed(kept))
+        retained.append(change)
+    return tuple(reversed(retained))
--- a/libs/settings/src/berylwalk/settings/_explanation.py
+++ b/libs/settings/src/berylwalk/settings/_explanation.py
@@ -1,4 +1,4 @@
-"""Where an effective value of the settings tree comes from."""
+"""Source of an effective value in the settings tree."""
 
 from dataclasses import dataclass
 
@@ -7,21 +7,21 @@
 
 @dataclass(frozen=True, slots=True)
 class Explanation:
-    """Where the effective value of a key comes from.
+    """Effective value of a key, with its source.
 
     Parameters
     ----------
     key : str
-        The key.
+        Name of the key.
     value : Value
-        Its effective value.
+        Effective value of the key.
     source : str
-        Path of the node that sets it.
+        Path of the node that sets the value.
     inherited : bool
-        Whether ``source`` lies above the explained node.
+        Whether ``source`` is an ancestor of the explained node.
     overrides : tuple of (str, Value)
-        Nodes further up whose value is not in force here, and that value,
-        the nearest first.
+        Ancestors of ``source`` whose values are overridden, with these values;
+        nearest first.
     """
 
     key: str
--- a/libs/settings/src/berylwalk/settings/_files.py
+++ b/libs/settings/src/berylwalk/settings/_files.py
@@ -1,4 +1,4 @@
-"""Settings file of a node, read and validated."""
+"""Loading of the settings file of a node."""
 
 from os import PathLike
 from pathlib import Path
@@ -20,7 +20,7 @@
 
 
 class NodeSettings(StrictModel):
-    """Settings of a process; the sections that routers and agents share."""
+    """Settings of a process: the sections shared by routers and agents."""
 
     node: NodeSection
     fleet: FleetSection
@@ -30,21 +30,21 @@
 
     @classmethod
     def from_file(cls, path: str | PathLike[str]) -> Self:
-        """Read and validate a settings file.
+        """Load and validate a settings file.
 
         Parameters
         ----------
         path : path-like
-            An INI file with one section for each field of the class.
+            INI file with a section for each field of the class.
 
         Raises
         ------
         FindingsError
-            With every mistake of the file.
+            If the file is invalid; lists every problem.
         """
         path = Path(path)
         sections, findings = read_sections(_read_text(path), str(path))
-        # Keys of a missing section are reported one by one, as missing.
+        # An absent section is validated as empty, to report each missing key.
         data = {name: {} for name in cls.model_fields}
         data.update({name: dict(values) for name, values in sections.items()})
         key_findings = _load_key(data["fleet"], path)
@@ -54,7 +54,7 @@
             settings = cls.model_validate(data)
         except ValidationError as error:
             found = findings_from(error, lambda location: _place(path, location))
-            findings += _without_key(found, path) if key_findings else found
+            findings += _without_key_findings(found, path) if key_findings else found
         if settings is None or findings:
             raise FindingsError(findings)
         return settings
@@ -73,24 +73,24 @@
 
 
 def _load_key(fleet: dict[str, str], path: Path) -> list[Finding]:
-    """Put the content of ``key_file`` in the place of ``key``."""
+    """Set ``key`` to the contents of ``key_file``."""
     key_file = fleet.get("key_file")
     if key_file is None:
         return []
     place = section_place(str(path), "fleet", "key_file")
     if "key" in fleet:
-        return [Finding(place, "key and key_file are both set")]
+        return [Finding(place, "key and key_file are mutually exclusive")]
     try:
         key = (path.parent / key_file).read_text(encoding="utf-8").strip()
     except (OSError, UnicodeDecodeError) as error:
         return [Finding(place, f"cannot be read: {error}")]
     if len(key) < MIN_KEY_LENGTH:
-        return [Finding(place, f"holds less than {MIN_KEY_LENGTH} characters")]
+        return [Finding(place, f"contains fewer than {MIN_KEY_LENGTH} characters")]
     fleet["key"] = key
     return []
 
 
-def _without_key(findings: list[Finding], path: Path) -> list[Finding]:
-    # A mistake of the key file is reported at key_file alone.
+def _without_key_findings(findings: list[Finding], path: Path) -> list[Finding]:
+    # A problem with the key file is reported for key_file only.
     place = section_place(str(path), "fleet", "key")
     return [finding for finding in findings if finding.place != place]
--- a/libs/settings/src/berylwalk/settings/_ini.py
+++ b/libs/settings/src/berylwalk/settings/_ini.py
@@ -1,4 +1,4 @@
-"""Reading INI text without stopping at the first mistake."""
+"""INI parser that reports every syntax error."""
 
 import re
 from collections.abc import Mapping
@@ -12,19 +12,19 @@
 
 from berylwalk.model import Finding
 
-_RENAMED = "\x00"
+_RENAME_MARKER = "\x00"
 _COMMENT = ";"
 
 SectionValues = Mapping[str, Mapping[str, str]]
 
 
 def section_place(file: str, section: str, key: str = "") -> str:
-    """Name a place in an INI file, as findings carry it.
+    """Format a location in an INI file for findings.
 
     Parameters
     ----------
     file, section, key : str
-        ``key`` is empty for the section itself.
+        Location; ``key`` is empty for the section itself.
 
     Returns
     -------
@@ -35,26 +35,26 @@
 
 
 def read_sections(text: str, file: str) -> tuple[SectionValues, list[Finding]]:
-    """Parse INI text and collect every syntax mistake.
+    """Parse INI text and collect every syntax error.
 
-    The parser of the standard library stops at a duplicate. Each line it
-    complains about is therefore neutralized and the text is parsed again.
+    The parser of the standard library stops at the first duplicate. Each line that
+    it rejects is therefore renamed or commented out, and the text is parsed again.
 
     Parameters
     ----------
     text : str
-        The content of the file.
+        Contents of the file.
     file : str
-        Name of the file, for the findings.
+        Name of the file, used in findings.
 
     Returns
     -------
     sections : mapping of str to mapping of str to str
-        Values by section and key; of duplicates the first is kept.
+        Values by section and key; the first of duplicate keys is kept.
     findings : list of Finding
         Unparsable lines and duplicates.
     """
-    lines = text.replace(_RENAMED, "\ufffd").splitlines()
+    lines = text.replace(_RENAME_MARKER, "\ufffd").splitlines()
     findings: list[Finding] = []
     while True:
         parser = _new_parser()
@@ -65,7 +65,7 @@
         except DuplicateOptionError as error:
             _rename_option(lines, error, file, findings)
         except ParsingError as error:
-            _drop_lines(lines, error, file, findings)
+            _comment_out_lines(lines, error, file, findings)
         else:
             return _merge_renamed(parser, file, findings), findings
 
@@ -74,7 +74,7 @@
     parser = RawConfigParser(
         delimiters=("=",),
         comment_prefixes=("#", ";"),
-        default_section=_RENAMED,
+        default_section=_RENAME_MARKER,
         empty_lines_in_values=False,
         strict=True,
     )
@@ -94,7 +94,7 @@
             f"the section is repeated in line {error.lineno}",
         )
     )
-    lines[error.lineno - 1] = f"[{error.section}{_RENAMED}{error.lineno}]"
+    lines[error.lineno - 1] = f"[{error.section}{_RENAME_MARKER}{error.lineno}]"
 
 
 def _rename_option(
@@ -103,18 +103,18 @@
     file: str,
     findings: list[Finding],
 ) -> None:
-    section = error.section.partition(_RENAMED)[0]
+    section = error.section.partition(_RENAME_MARKER)[0]
     findings.append(
         Finding(
             section_place(file, section, error.option),
             f"the key is repeated in line {error.lineno}",
         )
     )
-    # The renamed key keeps the continuation lines of the duplicate to itself.
-    lines[error.lineno - 1] = f"{_RENAMED}{error.lineno} ="
+    # Renamed, so that its continuation lines are not appended to the key before it.
+    lines[error.lineno - 1] = f"{_RENAME_MARKER}{error.lineno} ="
 
 
-def _drop_lines(
+def _comment_out_lines(
     lines: list[str], error: ParsingError, file: str, findings: list[Finding]
 ) -> None:
     if isinstance(error, MissingSectionHeaderError):
@@ -130,7 +130,7 @@
 
 def _parsing_problem(line: str) -> str:
     if re.match(r"[^=]+=", line):
-        return "the key stands before the first section"
+        return "the key precedes the first section header"
     return "the line is neither a section, a key = value pair nor a comment"
 
 
@@ -139,10 +139,10 @@
 ) -> dict[str, dict[str, str]]:
     sections: dict[str, dict[str, str]] = {}
     for name in parser.sections():
-        section, _, line = name.partition(_RENAMED)
+        section, _, line = name.partition(_RENAME_MARKER)
         merged = sections.setdefault(section, {})
         for key, value in parser.items(name):
-            if key.startswith(_RENAMED):
+            if key.startswith(_RENAME_MARKER):
                 continue
             if key in merged:
                 findings.append(
--- a/libs/settings/src/berylwalk/settings/_keys.py
+++ b/libs/settings/src/berylwalk/settings/_keys.py
@@ -25,7 +25,7 @@
 class NodeKeys(StrictModel):
     """Keys of a node; each is optional and inherited unless it says otherwise."""
 
-    # None stands for an absent key and is not accepted as a value.
+    # The default None means that the key is absent; None is not a valid value.
     tier: Name = Field(
         default=None, description="Tier of the work; the lowest tier when unset."
     )
--- a/libs/settings/src/berylwalk/settings/_merge.py
+++ b/libs/settings/src/berylwalk/settings/_merge.py
@@ -1,4 +1,4 @@
-"""Applying a patch to a settings document."""
+"""Application of patches to a settings document, with conflict detection."""
 
 from collections.abc import Iterator
 from dataclasses import dataclass
@@ -14,30 +14,30 @@
 
 @dataclass(frozen=True, slots=True)
 class AlreadyAccepted:
-    """The change is part of the document; it was accepted as ``version``."""
+    """The document already contains the change, accepted as ``version``."""
 
     version: int
 
 
 @dataclass(frozen=True, slots=True)
 class ConflictingEdit:
-    """An edit of what another operator changed meanwhile.
+    """Edit that conflicts with a change accepted since the base version.
 
     Parameters
     ----------
     path, key : str
-        As in the refused edit.
+        Path and key of the refused edit.
     yours : Value or None or UNSET
-        Value of the refused edit; UNSET stands for a removal.
+        Value of the refused edit; UNSET if it removes the key or section.
     theirs : Value or UNSET
-        Value in force now; UNSET where there is none.
+        Current value; UNSET if there is none.
     their_path, their_key : str
-        What the other operator changed; differs from ``path`` and ``key``
-        when one of the edits deletes a section with all below it.
+        Path and key of the accepted edit. They differ from ``path`` and ``key``
+        if one of the two edits deletes a section with its descendants.
     their_author, their_change_id : str
-        Who made the other change, and its name.
+        Author and identifier of the accepted change.
     their_version : int
-        Version that the other change made.
+        Version that the accepted change created.
     """
 
     path: str
@@ -53,12 +53,12 @@
 
 @dataclass(frozen=True, slots=True)
 class PatchConflict:
-    """The patch is refused as a whole: other changes since its base clash.
+    """The patch is refused: it conflicts with changes since its base version.
 
     Parameters
     ----------
     version : int
-        Version of the document that was compared with.
+        Version of the document that the patch was checked against.
     edits : tuple of ConflictingEdit
         At least one.
     """
@@ -69,14 +69,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Stale:
-    """The patch is refused: changes since its base are no longer known.
+    """The patch is refused: changes since its base version are not all retained.
 
-    Whether the same change was accepted long ago cannot be told either.
+    It is unknown whether the same change was accepted earlier.
 
     Parameters
     ----------
     change_id : str
-        Name of the refused change.
+        Identifier of the refused change.
     base_version : int
         Base version of the patch.
     oldest_base_version : int
@@ -90,21 +90,20 @@
     def __str__(self) -> str:
         return (
             f"base version {self.base_version} is older than "
-            f"{self.oldest_base_version}, the oldest that can be merged; whether "
-            f"change {self.change_id!r} was accepted earlier cannot be told, and it "
-            "will not be written any more: read the settings again and send a new "
-            "change"
+            f"{self.oldest_base_version}, the oldest that can be merged; it is unknown "
+            f"whether change {self.change_id!r} was accepted earlier, but it will not "
+            "be written later: read the settings again and submit a new change"
         )
 
 
 @dataclass(frozen=True, slots=True)
 class Rejected:
-    """The patch, or the tree that it would make, is invalid.
+    """The patch, or the tree that results from it, is invalid.
 
     Parameters
     ----------
     findings : tuple of Finding
-        Every mistake.
+        Every problem found.
     """
 
     findings: tuple[Finding, ...]
@@ -114,72 +113,74 @@
 
 
 def apply_patch(document: SettingsDocument, patch: Patch, author: str) -> PatchResult:
-    """Apply a patch to a document, merging it with changes since its base.
+    """Apply a patch to a document, merged with changes since its base version.
 
-    The result depends on the arguments alone, so that two attempts at the same
-    document write the same next version.
+    The result depends only on the arguments, so that a retry on the same document
+    writes the same value.
 
     Parameters
     ----------
     document : SettingsDocument
         The latest document.
     patch : Patch
-        The patch, made to an equal or earlier version.
+        The patch, based on this or an earlier version.
     author : str
-        Who sent it.
+        Author of the patch.
 
     Returns
     -------
     SettingsDocument or AlreadyAccepted or PatchConflict or Stale or Rejected
-        The next document, or why there is none.
+        The next version of the document, or the reason for the refusal.
     """
     known = document.find_change(patch.change_id)
     if known is not None and known.digest == patch.digest():
         return AlreadyAccepted(known.version)
     findings = check_patch(patch, author)
     if known is not None:
-        findings.append(Finding("/change_id", "is the name of another change"))
+        findings.append(
+            Finding("/change_id", "is already the identifier of another change")
+        )
     if not 0 <= patch.base_version <= document.version:
-        problem = f"there is no version {patch.base_version} yet"
+        problem = f"version {patch.base_version} does not exist"
         findings.append(Finding("/base_version", problem))
     if findings:
         return Rejected(tuple(findings))
     if patch.base_version < document.oldest_base_version:
         oldest = document.oldest_base_version
         return Stale(patch.change_id, patch.base_version, oldest)
-    clashing = tuple(_clashing_edits(document, patch))
-    if clashing:
-        return PatchConflict(document.version, clashing)
+    conflicting = tuple(_conflicting_edits(document, patch))
+    if conflicting:
+        return PatchConflict(document.version, conflicting)
     return _next_document(document, patch, author)
 
 
-def _clashing_edits(
+def _conflicting_edits(
     document: SettingsDocument, patch: Patch
 ) -> Iterator[ConflictingEdit]:
-    later = [
+    later_changes = [
         change
         for change in reversed(document.recent_changes)
         if change.version > patch.base_version
     ]
     for edit in patch.edits:
-        found = _latest_overlap(edit, later)
-        if found is not None:
-            yield _clashing_edit(document, edit, *found)
+        overlap = _latest_overlap(edit, later_changes)
+        if overlap is not None:
+            yield _conflicting_edit(document, edit, *overlap)
 
 
 def _latest_overlap(edit: Edit, changes: list[Change]) -> tuple[Change, Touch] | None:
-    mine = Touch.from_edit(edit)
+    own_touch = Touch.from_edit(edit)
     for change in changes:
         for touch in change.touches:
-            if mine.overlaps(touch):
+            if own_touch.overlaps(touch):
                 return change, touch
     return None
 
 
-def _clashing_edit(
+def _conflicting_edit(
     document: SettingsDocument, edit: Edit, change: Change, touch: Touch
 ) -> ConflictingEdit:
-    # Where the edit deletes a section, their value is that of the touched key.
+    # A delete has no key, so the value shown is that of the key that they changed.
     shown = touch if edit.is_delete else edit
     theirs = document.tree.sections.get(shown.path, {}).get(shown.key, UNSET)
     return ConflictingEdit(
@@ -204,10 +205,10 @@
     change = Change(patch.change_id, patch.digest(), version, author, touches)
     try:
         tree = SettingsTree.from_sections(sections)
-        following = document.with_change(tree, change)
-        following.encode()
+        next_document = document.with_change(tree, change)
+        next_document.encode()
     except FindingsError as error:
         findings += error.findings
     if findings:
         return Rejected(tuple(findings))
-    return following
+    return next_document
--- a/libs/settings/src/berylwalk/settings/_node.py
+++ b/libs/settings/src/berylwalk/settings/_node.py
@@ -1,4 +1,4 @@
-"""Models of the sections that routers and agents have in common."""
+"""Models of the settings sections shared by routers and agents."""
 
 from enum import StrEnum
 from pathlib import Path
@@ -20,7 +20,7 @@
 
 
 class LogLevel(StrEnum):
-    """Least severity that is logged."""
+    """Minimum severity of logged messages."""
 
     DEBUG = "debug"
     INFO = "info"
@@ -29,7 +29,7 @@
 
 
 class TraceExporter(StrEnum):
-    """Where trace spans go."""
+    """Destination of trace spans."""
 
     NONE = "none"
     FILE = "file"
@@ -118,16 +118,18 @@
     @field_validator("trace_path")
     @classmethod
     def _check_path(cls, value: Path | None, info: ValidationInfo) -> Path | None:
-        _require_for(TraceExporter.FILE, value, info)
+        _check_required_by(TraceExporter.FILE, value, info)
         return value
 
     @field_validator("trace_endpoint")
     @classmethod
     def _check_endpoint(cls, value: str | None, info: ValidationInfo) -> str | None:
-        _require_for(TraceExporter.OTLP, value, info)
+        _check_required_by(TraceExporter.OTLP, value, info)
         return value
 
 
-def _require_for(exporter: TraceExporter, value: object, info: ValidationInfo) -> None:
+def _check_required_by(
+    exporter: TraceExporter, value: object, info: ValidationInfo
+) -> None:
     if value is None and info.data.get("trace_exporter") is exporter:
         raise ValueError(f"is required by trace_exporter = {exporter}")
--- a/libs/settings/src/berylwalk/settings/_patches.py
+++ b/libs/settings/src/berylwalk/settings/_patches.py
@@ -1,4 +1,4 @@
-"""Patches of the settings tree, as operators send them."""
+"""Patches that operators submit to change the settings tree."""
 
 from collections.abc import Mapping
 from hashlib import sha256
@@ -18,17 +18,17 @@
 
 
 class Edit(Struct, frozen=True, omit_defaults=True):
-    """One step of a patch.
+    """Change of one key or section.
 
     Parameters
     ----------
     path : str
         Path of a node, or ``tier NAME``.
     key : str
-        The key to change; empty for the whole section.
+        Key to change; empty for the whole section.
     value : Value or None or UNSET
-        The new value. UNSET removes the key, or, without a key, the section
-        and all below it. None, without a key, creates an empty section.
+        New value. UNSET removes the key or, without a key, the section and its
+        descendants. None without a key creates an empty section.
     """
 
     path: str
@@ -37,32 +37,32 @@
 
     @classmethod
     def create(cls, path: str) -> Self:
-        """Create an empty section; one that exists is left as it is."""
+        """Create an empty section; an existing section is left unchanged."""
         return cls(path, WHOLE_SECTION, None)
 
     @classmethod
     def delete(cls, path: str) -> Self:
-        """Delete a section and all sections below it."""
+        """Delete a section and its descendants."""
         return cls(path)
 
     @property
     def is_delete(self) -> bool:
-        """Whether the step deletes sections."""
+        """Whether the edit deletes sections."""
         return self.key == WHOLE_SECTION and self.value is UNSET
 
 
 class Patch(Struct, frozen=True):
-    """Edits that an operator made to one version of the settings.
+    """Edits relative to one version of the settings.
 
     Parameters
     ----------
     change_id : str
-        Unique name of the change. A repeat is the same patch with the same name;
-        a patch with another base or other edits needs another.
+        Unique identifier, which makes retries idempotent. A retry repeats the same
+        patch; a patch with another base or other edits needs a new identifier.
     base_version : int
-        Version of the document that the operator read.
+        Version of the document that the edits are based on.
     edits : tuple of Edit
-        Applied in order, all or none.
+        Applied atomically, in order.
     """
 
     change_id: str
@@ -70,24 +70,24 @@
     edits: tuple[Edit, ...]
 
     def digest(self) -> str:
-        """Digest of the edits, which tells a repeat from a reused change id."""
+        """Return a digest of the edits, to distinguish retries from reused ids."""
         return sha256(json.encode(self.edits)).hexdigest()
 
 
 def check_patch(patch: Patch, author: str) -> list[Finding]:
-    """Check what can be checked of a patch without a document.
+    """Validate the parts of a patch that do not depend on a document.
 
     Parameters
     ----------
     patch : Patch
         The patch.
     author : str
-        Who sent it.
+        Author of the patch.
 
     Returns
     -------
     list of Finding
-        Every mistake.
+        Every problem found.
     """
     findings = []
     if not 0 < len(patch.change_id) <= MAX_CHANGE_ID_LENGTH:
@@ -112,42 +112,42 @@
 
 def _edit_problem(edit: Edit) -> str:
     if not is_node(edit.path) and not is_tier(edit.path):
-        return f"{edit.path!r} is neither a path nor a tier"
+        return f"{edit.path!r} is neither a node path nor a tier section"
     if edit.key == WHOLE_SECTION and edit.value is not None and not edit.is_delete:
-        return "a value needs a key"
+        return "a value requires a key"
     if edit.key != WHOLE_SECTION and edit.value is None:
-        return "null is no value; leave the value out to remove the key"
+        return "null is not a valid value; omit the value to remove the key"
     return ""
 
 
 def edit_sections(
     tree: SettingsTree, edits: tuple[Edit, ...]
 ) -> tuple[dict[str, dict[str, Value]], list[Finding]]:
-    """Apply edits to the sections of a tree, unchecked.
+    """Apply edits to the sections of a tree without validating the result.
 
     Parameters
     ----------
     tree : SettingsTree
-        The tree; it is left as it is.
+        The tree, which is not modified.
     edits : tuple of Edit
         Applied in order.
 
     Returns
     -------
     sections : dict of str to dict of str to Value
-        The edited sections, still to be validated.
+        The edited sections, not yet validated.
     findings : list of Finding
-        Edits that delete what does not exist.
+        One for each edit that deletes a section that does not exist.
     """
     sections = {name: dict(values) for name, values in tree.sections.items()}
     findings = []
     for index, edit in enumerate(edits):
         if edit.is_delete:
-            doomed = [name for name in sections if is_within(name, edit.path)]
-            if not doomed:
+            deleted = [name for name in sections if is_within(name, edit.path)]
+            if not deleted:
                 problem = f"{edit.path!r} does not exist"
                 findings.append(Finding(f"/edits/{index}", problem))
-            for name in doomed:
+            for name in deleted:
                 del sections[name]
         elif edit.value is UNSET:
             sections.get(edit.path, {}).pop(edit.key, None)
@@ -164,25 +164,28 @@
     Parameters
     ----------
     old, new : SettingsTree
-        For instance the tree in force and one that was read from a file.
+        Trees to compare, such as the active one and one read from a file.
 
     Returns
     -------
     tuple of Edit
-        Empty when the trees are equal.
+        Empty if the trees are equal.
     """
     removed = [name for name in old.sections if name not in new.sections]
-    # Below a deleted section all is deleted, and what stays is set anew.
-    tops = [name for name in removed if not _is_below_any(name, removed)]
-    edits = [Edit.delete(name) for name in tops]
+    # Deleting a section also deletes its descendants; those still in the new tree
+    # are created again.
+    deleted_roots = [name for name in removed if not _is_below_any(name, removed)]
+    edits = [Edit.delete(name) for name in deleted_roots]
     for name, values in new.sections.items():
-        is_kept = name in old.sections and not _is_below_any(name, tops)
-        edits += _section_edits(name, old.sections[name] if is_kept else None, values)
+        is_retained = name in old.sections and not _is_below_any(name, deleted_roots)
+        edits += _section_edits(
+            name, old.sections[name] if is_retained else None, values
+        )
     return tuple(edits)
 
 
-def _is_below_any(name: str, tops: list[str]) -> bool:
-    return any(name != top and is_within(name, top) for top in tops)
+def _is_below_any(name: str, deleted_roots: list[str]) -> bool:
+    return any(name != root and is_within(name, root) for root in deleted_roots)
 
 
 def _section_edits(
--- a/libs/settings/src/berylwalk/settings/_reference.py
+++ b/libs/settings/src/berylwalk/settings/_reference.py
@@ -1,4 +1,4 @@
-"""Reference of all settings, generated from the models."""
+"""Settings reference in Markdown, generated from the models."""
 
 from enum import StrEnum
 from pathlib import Path
@@ -30,12 +30,12 @@
 
 
 def settings_reference() -> str:
-    """Describe every setting.
+    """Generate the reference of all settings.
 
     Returns
     -------
     str
-        Markdown with one table for each section.
+        Markdown text with one table for each section.
     """
     lines = ["# Settings", ""]
     lines += _file_reference("Settings file of a router", RouterSettings)
--- a/libs/settings/src/berylwalk/settings/_replica.py
+++ b/libs/settings/src/berylwalk/settings/_replica.py
@@ -1,4 +1,4 @@
-"""A node's copy of the settings, kept up to date by its peers and the store."""
+"""Replica of the settings document, updated from peers and the store."""
 
 from dataclasses import dataclass
 from hashlib import blake2b
@@ -15,7 +15,7 @@
 @dataclass(slots=True)
 class _Peer:
     version: int
-    heard_at: float
+    last_heard_at: float
     can_send: bool
     is_fallback: bool
     retry_at: float = 0.0
@@ -23,39 +23,39 @@
 
 
 class SettingsReplica:
-    """Hold the highest settings document seen; do no input or output.
-
-    A node that starts is not ready until it can assume that its document is
-    the latest: it has read the store, or it has listened to its peers for
-    ``listen_s`` or heard all of ``seeds``. It must also hold every version that
-    it has heard of. If all peers that announced such a version are gone, it
-    waits until another peer or the store has it; in its earlier life it may have
-    applied that version already.
-
-    A node that has become ready stays so while it catches up, for the version it
-    serves was in force a moment ago. It stops being ready when it stays behind a
-    reachable peer for longer than ``max_behind_s``. If no reachable peer has the
-    higher version, it goes on with its own: it has not applied the higher one, so
-    nothing reverts, and stopping would take the fleet down with the store.
-
-    A *fallback* is a peer that is asked only on demand and when no other peer that
-    is ahead can be. A node does not stop because of one: it may be of a release that
-    does not answer. The first one heard of starts the listening anew, for others
-    may know of higher versions.
+    """State machine that tracks the highest settings version; performs no I/O.
+
+    After a start, the replica becomes ready when its document can be assumed to be
+    the latest: the store has been read, all ``seeds`` have announced a confirmed
+    version, or announcements have been received for ``listen_s``. It must also hold
+    the highest announced version, even if every peer that announced it has left: the
+    node may have applied that version before a restart and must not revert it.
+
+    A replica that has become ready remains so while it catches up, and loses
+    readiness when it stays behind a reachable peer for longer than ``max_behind_s``.
+    If no reachable peer has the higher version, the replica stays ready with its own:
+    this node has not applied the higher version, so nothing is reverted, and an
+    outage of the store does not stop the fleet.
+
+    A *fallback* is a peer that is asked only on request and only if no other peer
+    with a higher version can be asked. Being behind a fallback does not affect
+    readiness, because a peer of another release may not respond. The first
+    announcement of a fallback extends the initial listening period, because further
+    fallbacks may announce higher versions.
 
     Parameters
     ----------
     started_at : float
         Monotonic clock, in seconds.
     node_id : str
-        Name of this node; it decides which of several equal peers is asked, so
-        that the nodes of a fleet do not all ask the same one.
+        Identifier of this node. It determines which of several equal peers is
+        asked, to distribute the requests of a fleet over the peers.
     seeds : iterable of str
-        Peers that are expected to announce themselves.
+        Peers that are expected to announce their version.
     listen_s, peer_timeout_s, pull_timeout_s, retry_s, max_behind_s : float
-        Times in seconds: listening at start, silence after which a peer counts
-        as unreachable, wait for a pulled document, pause after a failed pull,
-        and longest stay behind a reachable peer.
+        Durations in seconds: initial listening period, time without announcements
+        after which a peer counts as unreachable, timeout of a pull, delay before a
+        failed peer is asked again, and longest time behind a reachable peer.
     """
 
     def __init__(
@@ -72,10 +72,10 @@
     ) -> None:
         self._node_id = node_id
         self._seeds = frozenset(seeds)
-        self._settled_peers: set[str] = set()
+        self._settled_seeds: set[str] = set()
         self._listen_s = listen_s
-        self._listen_until = started_at + listen_s
-        self._has_heard_fallback = False
+        self._listen_deadline = started_at + listen_s
+        self._has_seen_fallback = False
         self._peer_timeout_s = peer_timeout_s
         self._pull_timeout_s = pull_timeout_s
         self._retry_s = retry_s
@@ -90,17 +90,17 @@
 
     @property
     def document(self) -> SettingsDocument | None:
-        """Highest document seen; None before the first."""
+        """Document with the highest version; None before the first."""
         return self._document
 
     @property
     def version(self) -> int:
-        """Version of the document held; 0 without one."""
+        """Version of the document; 0 if there is none."""
         return 0 if self._document is None else self._document.version
 
     @property
     def highest_known_version(self) -> int:
-        """Highest version seen or heard of; it never goes down."""
+        """Highest version received or announced; never decreases."""
         return self._highest_known_version
 
     def on_announcement(
@@ -113,59 +113,59 @@
         is_fallback: bool = False,
         is_settled: bool = True,
     ) -> None:
-        """Note the settings version that a peer's datagram carried.
+        """Record the settings version announced by a peer.
 
         Parameters
         ----------
         peer : str
-            The sender.
+            The peer.
         version : int
-            The version it holds.
+            Version of its document.
         now : float
             Monotonic clock, in seconds.
         can_send : bool
-            Whether the peer can be asked for its document.
+            Whether the document can be pulled from the peer.
         is_fallback : bool
-            Whether it is to be asked only when no other can be.
+            Whether the peer is asked only if no other peer can be.
         is_settled : bool
-            Whether the peer knows that its version is the latest, so that a seed
-            saves the listening.
+            Whether the peer has confirmed that its version is the latest. Only
+            settled seeds shorten the initial listening period.
         """
-        known = self._peers_by_id.setdefault(
+        peer_state = self._peers_by_id.setdefault(
             peer, _Peer(version, now, can_send, is_fallback)
         )
-        known.version = version
-        known.heard_at = now
-        known.can_send = can_send
-        known.is_fallback = is_fallback
+        peer_state.version = version
+        peer_state.last_heard_at = now
+        peer_state.can_send = can_send
+        peer_state.is_fallback = is_fallback
         if is_settled and peer in self._seeds:
-            self._settled_peers.add(peer)
-        if is_fallback and not self._has_heard_fallback:
-            self._has_heard_fallback = True
-            self._listen_until = max(self._listen_until, now + self._listen_s)
-        self._hear_of(version, now)
+            self._settled_seeds.add(peer)
+        if is_fallback and not self._has_seen_fallback:
+            self._has_seen_fallback = True
+            self._listen_deadline = max(self._listen_deadline, now + self._listen_s)
+        self._record_version(version, now)
 
     def on_document(
         self, document: SettingsDocument, now: float, *, peer: str = ""
     ) -> bool:
-        """Take a document that a peer sent, pulled or pushed.
+        """Apply a document received from a peer.
 
         Parameters
         ----------
         document : SettingsDocument
-            The document.
+            The received document.
         now : float
             Monotonic clock, in seconds.
         peer : str
-            The peer, or empty when unknown.
+            The peer, or empty if unknown.
 
         Returns
         -------
         bool
-            Whether it was higher than the one held and is now in force.
+            Whether the document replaced an older one.
         """
         if peer in self._peers_by_id:
-            # A peer that has restarted may hold less than it announced before.
+            # A restarted peer may hold a lower version than it announced before.
             self._peers_by_id[peer].version = document.version
             self._peers_by_id[peer].failures = 0
         if self._pull is not None and self._pull[0] == peer:
@@ -173,25 +173,25 @@
         return self._apply(document, now)
 
     def on_store_document(self, document: SettingsDocument, now: float) -> bool:
-        """Take the document that a linearizable read of the store gave.
+        """Apply a document read from the store by a linearizable read.
 
         Parameters
         ----------
         document : SettingsDocument
-            The document; the empty one when the store holds none.
+            The document; the empty one if the store holds none.
         now : float
             Monotonic clock, in seconds.
 
         Returns
         -------
         bool
-            Whether it was higher than the one held and is now in force.
+            Whether the document replaced an older one.
         """
         self._has_read_store = True
         return self._apply(document, now)
 
     def on_pull_failed(self, peer: str, now: float) -> None:
-        """Note that a peer did not send its document; it is asked later again.
+        """Record a failed pull; the peer is asked again after ``retry_s``.
 
         Parameters
         ----------
@@ -207,17 +207,17 @@
             self._peers_by_id[peer].failures += 1
 
     def on_peer_left(self, peer: str) -> None:
-        """Forget a peer that has left; the versions heard from it still count."""
+        """Remove a peer that has left; the versions it announced still count."""
         self._peers_by_id.pop(peer, None)
-        self._settled_peers.discard(peer)
+        self._settled_seeds.discard(peer)
         if self._pull is not None and self._pull[0] == peer:
             self._pull = None
 
     def start_pull(self, now: float, *, allow_fallbacks: bool = False) -> str | None:
-        """Choose the peer to ask for its document.
+        """Select the peer to pull the document from and record the pull as started.
 
-        The pull counts as started: the caller asks the peer and reports back by
-        :meth:`on_document` or :meth:`on_pull_failed`.
+        The caller performs the pull and reports its result by :meth:`on_document` or
+        :meth:`on_pull_failed`.
 
         Parameters
         ----------
@@ -229,9 +229,8 @@
         Returns
         -------
         str or None
-            The reachable peer that failed least often, of these the one with the
-            highest version; None when there is nothing to pull, or while a pull is
-            under way.
+            The reachable peer with the fewest failures and, of these, the highest
+            version; None if there is nothing to pull or a pull is in progress.
         """
         if self._pull is not None:
             peer, started_at = self._pull
@@ -241,14 +240,15 @@
         best = max(
             (
                 (
-                    not known.is_fallback,
-                    -known.failures,
-                    known.version,
-                    self._preference(peer),
+                    not peer_state.is_fallback,
+                    -peer_state.failures,
+                    peer_state.version,
+                    self._selection_hash(peer),
                     peer,
                 )
-                for peer, known in self._peers_ahead(now)
-                if known.retry_at <= now and (allow_fallbacks or not known.is_fallback)
+                for peer, peer_state in self._peers_ahead(now)
+                if peer_state.retry_at <= now
+                and (allow_fallbacks or not peer_state.is_fallback)
             ),
             default=None,
         )
@@ -259,7 +259,7 @@
         return peer
 
     def ready_to_serve(self, now: float) -> bool:
-        """Tell whether the document held may be served from.
+        """Return whether requests may be served with the current document.
 
         Parameters
         ----------
@@ -269,7 +269,7 @@
         Returns
         -------
         bool
-            See the class for the rules.
+            True according to the rules in the description of the class.
         """
         if self._document is None:
             return False
@@ -280,51 +280,55 @@
         return self._has_been_ready
 
     def _apply(self, document: SettingsDocument, now: float) -> bool:
-        self._hear_of(document.version, now)
+        self._record_version(document.version, now)
         if self._document is not None and document.version <= self.version:
             return False
         self._document = document
-        self._forget_fallbacks()
-        # A node that makes progress is not stuck, even if it is behind again.
+        self._prune_fallbacks()
+        # Progress restarts the time limit, even if the replica is still behind.
         self._behind_since = now if self.version < self._highest_known_version else None
         return True
 
-    def _forget_fallbacks(self) -> None:
-        # There may be thousands, and those that are not ahead are of no use.
+    def _prune_fallbacks(self) -> None:
+        # Bounds memory: fallbacks without a higher version are never asked.
         self._peers_by_id = {
-            peer: known
-            for peer, known in self._peers_by_id.items()
-            if known.version > self.version or not known.is_fallback
+            peer: peer_state
+            for peer, peer_state in self._peers_by_id.items()
+            if peer_state.version > self.version or not peer_state.is_fallback
         }
 
-    def _hear_of(self, version: int, now: float) -> None:
+    def _record_version(self, version: int, now: float) -> None:
         self._highest_known_version = max(self._highest_known_version, version)
         if self._behind_since is None and self._highest_known_version > self.version:
             self._behind_since = now
 
-    def _can_be_asked(self, known: _Peer, now: float) -> bool:
-        return known.can_send and now < known.heard_at + self._peer_timeout_s
+    def _can_pull_from(self, peer_state: _Peer, now: float) -> bool:
+        return (
+            peer_state.can_send
+            and now < peer_state.last_heard_at + self._peer_timeout_s
+        )
 
     def _peers_ahead(self, now: float) -> list[tuple[str, _Peer]]:
         return [
-            (peer, known)
-            for peer, known in self._peers_by_id.items()
-            if known.version > self.version and self._can_be_asked(known, now)
+            (peer, peer_state)
+            for peer, peer_state in self._peers_by_id.items()
+            if peer_state.version > self.version
+            and self._can_pull_from(peer_state, now)
         ]
 
     def _has_listened(self, now: float) -> bool:
         if self._has_read_store:
             return True
-        has_heard_seeds = bool(self._seeds) and self._seeds <= self._settled_peers
-        return has_heard_seeds or now >= self._listen_until
+        are_seeds_settled = bool(self._seeds) and self._seeds <= self._settled_seeds
+        return are_seeds_settled or now >= self._listen_deadline
 
     def _is_behind_too_long(self, now: float) -> bool:
         if self._behind_since is None:
             return False
-        is_late = now >= self._behind_since + self._max_behind_s
-        return is_late and any(
-            not known.is_fallback for _, known in self._peers_ahead(now)
+        is_overdue = now >= self._behind_since + self._max_behind_s
+        return is_overdue and any(
+            not peer_state.is_fallback for _, peer_state in self._peers_ahead(now)
         )
 
-    def _preference(self, peer: str) -> bytes:
+    def _selection_hash(self, peer: str) -> bytes:
         return blake2b(f"{self._node_id} {peer}".encode(), digest_size=8).digest()
--- a/libs/settings/src/berylwalk/settings/_router.py
+++ b/libs/settings/src/berylwalk/settings/_router.py
@@ -1,4 +1,4 @@
-"""Settings file of a router."""
+"""Models of the settings file of a router."""
 
 from enum import StrEnum
 from typing import Annotated
@@ -10,7 +10,7 @@
 
 
 class RoutingPolicy(StrEnum):
-    """How a router places requests."""
+    """Policy by which a router places requests."""
 
     BERYLWALK = "berylwalk"
     ROUND_ROBIN = "round-robin"
--- a/libs/settings/src/berylwalk/settings/_store.py
+++ b/libs/settings/src/berylwalk/settings/_store.py
@@ -1,4 +1,4 @@
-"""Submitting patches to the key-value service."""
+"""Submission of patches to the key-value service."""
 
 from dataclasses import dataclass
 from enum import Enum
@@ -21,7 +21,7 @@
 
 
 class SwapResult(Enum):
-    """Answer to a compare-and-swap."""
+    """Result of a compare-and-swap."""
 
     SWAPPED = "swapped"
     """The value was written."""
@@ -30,7 +30,7 @@
     """The key had another revision; nothing was written."""
 
     OUTCOME_UNKNOWN = "lost"
-    """No answer came: the value was written, will be written or never will."""
+    """No response was received; the write may or may not have taken effect."""
 
     UNAVAILABLE = "unavailable"
     """The request was never sent; nothing was written."""
@@ -38,14 +38,14 @@
 
 @dataclass(frozen=True, slots=True)
 class StoredValue:
-    """A key's value as read.
+    """Value and revision of a key.
 
     Parameters
     ----------
     value : bytes or None
-        None when the key is absent.
+        None if the key is absent.
     mod_revision : int
-        Revision of the last write; ``ABSENT_REVISION`` when the key is absent.
+        Revision of the last write; ``ABSENT_REVISION`` if the key is absent.
     """
 
     value: bytes | None
@@ -54,13 +54,13 @@
 
 @dataclass(frozen=True, slots=True)
 class ReadFailed:
-    """Sentinel returned in place of a value when a read fails, with its reason."""
+    """Failed read, with the reason for the operator."""
 
     reason: str
 
 
 class SettingsStore(Protocol):
-    """What is needed of the key-value service."""
+    """Operations of the key-value service that this library uses."""
 
     async def get(self, key: str) -> StoredValue | ReadFailed:
         """Read a key with a linearizable read."""
@@ -68,19 +68,19 @@
     async def compare_and_swap(
         self, key: str, value: bytes, expected_mod_revision: int
     ) -> SwapResult:
-        """Write a key if its revision is the expected one."""
+        """Write a key if it has the expected revision."""
 
 
 @dataclass(frozen=True, slots=True)
 class Accepted:
-    """The change is in the store.
+    """The change was written to the store.
 
     Parameters
     ----------
     version : int
-        Version that the change made.
+        Version that the change created.
     document : SettingsDocument
-        Latest document known to hold the change, to be passed on to peers.
+        Latest known document that contains the change, to be sent to peers.
     """
 
     version: int
@@ -89,14 +89,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Undecided:
-    """Whether the change is in the store, or will be, is not known.
+    """It is unknown whether the change was or will be written to the store.
 
-    Repeating the same patch is harmless and may settle it.
+    Submitting the same patch again is safe and may resolve the outcome.
 
     Parameters
     ----------
     reason : str
-        One sentence for the operator.
+        Explanation for the operator.
     """
 
     reason: str
@@ -116,7 +116,7 @@
     Returns
     -------
     SettingsDocument or ReadFailed
-        The empty document when nothing was accepted yet.
+        The empty document if no change has been accepted.
     """
     document, _ = await _read(store)
     return document
@@ -130,17 +130,18 @@
     minimum_version: int = 0,
     max_attempts: int = MAX_ATTEMPTS,
 ) -> SubmitResult:
-    """Write a patch to the store.
-
-    A swap whose answer was lost may still take effect, but only while the key
-    keeps the revision that the swap expected. Each attempt therefore reads the
-    document again. If the change is found there, it is accepted. If the revision
-    has moved and the change is not there, no earlier swap can take effect any
-    more. If the revision has not moved, the same swap is sent again. A refusal
-    follows from one document alone, and a patch that is refused at a revision was
-    never sent at that revision. So a refusal is certain also after a lost answer.
-    ``Stale`` alone cannot tell whether the change was accepted before others that
-    are forgotten by now; it is certain that it will not be written any more.
+    """Apply a patch to the stored document.
+
+    A compare-and-swap whose response was lost can take effect only while the key
+    still has the expected revision. Each attempt therefore reads the document
+    again. If it contains the change, the change is accepted. If the revision has
+    advanced and the change is absent, no earlier attempt can take effect any more.
+    If the revision is unchanged, the same write is sent again.
+
+    A refusal depends on one document only, and a patch that is refused at a
+    revision is never sent at that revision. Refusals are therefore conclusive even
+    after a lost response, except that ``Stale`` does not exclude that the change
+    was accepted before the oldest retained change. It will not be written later.
 
     Parameters
     ----------
@@ -151,28 +152,28 @@
     author : str
         Who sent it.
     minimum_version : int
-        Highest version heard of. A store that holds less has lost accepted
+        Highest known version. A store with a lower version has lost accepted
         changes and is not written to.
     max_attempts : int
-        Number of swaps that are tried.
+        Maximum number of writes.
 
     Returns
     -------
     Accepted or PatchConflict or Stale or Rejected or Undecided
-        Any but ``Undecided`` is final, and any but ``Undecided`` and ``Stale`` is
-        certain: ``Stale`` leaves open whether the change was accepted earlier.
+        Only ``Undecided`` is worth a retry. ``Stale`` does not tell whether the
+        change was accepted earlier.
     """
-    reason = "other changes kept coming first"
+    reason = "concurrent changes were written first in every attempt"
     for attempt in range(max_attempts + 1):
         document, revision = await _read(store)
         if isinstance(document, ReadFailed):
             return Undecided(document.reason)
         if document.version < minimum_version:
-            return Undecided(_regression(document.version, minimum_version))
+            return Undecided(_describe_regression(document.version, minimum_version))
         result = apply_patch(document, patch, author)
         if not isinstance(result, SettingsDocument):
-            return _settled(result, document)
-        # The last round only looks whether the last swap took effect.
+            return _to_submit_result(result, document)
+        # The last iteration only checks whether the last write took effect.
         if attempt == max_attempts:
             break
         swap = await store.compare_and_swap(SETTINGS_KEY, result.encode(), revision)
@@ -181,11 +182,11 @@
         if swap is SwapResult.UNAVAILABLE:
             return Undecided("the key-value service is unavailable")
         if swap is SwapResult.OUTCOME_UNKNOWN:
-            reason = "the answers of the key-value service were lost"
+            reason = "the key-value service did not respond to the write"
     return Undecided(reason)
 
 
-def _settled(
+def _to_submit_result(
     result: AlreadyAccepted | PatchConflict | Stale | Rejected,
     document: SettingsDocument,
 ) -> SubmitResult:
@@ -210,5 +211,8 @@
         return ReadFailed(f"the stored settings cannot be read: {error}")
 
 
-def _regression(found: int, minimum: int) -> str:
-    return f"the store holds version {found}, but version {minimum} was accepted"
+def _describe_regression(stored_version: int, required_version: int) -> str:
+    return (
+        f"the store holds version {stored_version}, but version {required_version} "
+        "was accepted"
+    )
--- a/libs/settings/src/berylwalk/settings/_tree.py
+++ b/libs/settings/src/berylwalk/settings/_tree.py
@@ -1,4 +1,4 @@
-"""The operators' settings tree and its evaluation."""
+"""Settings tree and the computation of effective values."""
 
 from collections.abc import Mapping
 from hashlib import sha256
@@ -38,9 +38,9 @@
 
 
 class SettingsTree:
-    """An immutable, valid tree of settings with inheritance.
+    """Immutable, validated tree of settings with inheritance.
 
-    Use :meth:`from_sections` to construct one from unchecked values.
+    Use :meth:`from_sections` to construct a tree from unvalidated values.
 
     Parameters
     ----------
@@ -58,7 +58,7 @@
             for section, values in self._sections.items()
             for credential in values.get(CREDENTIAL_KEY, ())
         }
-        # The tree never changes, so service_policies of its nodes are computed once.
+        # Cache of evaluated policies; the tree is immutable.
         self._policy_by_path: dict[str, ServicePolicy] = {}
 
     @classmethod
@@ -68,14 +68,14 @@
         *,
         source: str = DOCUMENT_SOURCE,
     ) -> Self:
-        """Validate sections and build a tree of them.
+        """Validate sections and build a tree from them.
 
         Parameters
         ----------
         raw : mapping of str to mapping of str to object
             Values by section and key, typed or as text.
         source : str
-            Name of the file or document, for the findings.
+            Name of the file or document, used in findings.
 
         Returns
         -------
@@ -84,7 +84,7 @@
         Raises
         ------
         FindingsError
-            With every mistake.
+            If the sections are invalid; lists every problem.
         """
         sections, findings = check_sections(raw, source)
         if findings:
@@ -93,12 +93,12 @@
 
     @property
     def sections(self) -> Sections:
-        """Values by section and key, as they were set."""
+        """Values by section and key, without inherited ones."""
         return self._sections
 
     @property
     def tiers_by_name(self) -> Mapping[str, TierPolicy]:
-        """All tiers that the tree defines."""
+        """Tiers that the tree defines, by name."""
         return MappingProxyType(self._tiers_by_name)
 
     @property
@@ -107,18 +107,18 @@
         return tuple(sorted(set(self._account_by_credential.values())))
 
     def account_for_token(self, token: str) -> str | None:
-        """Find the client account of a bearer token; None when unknown."""
+        """Return the client account of a bearer token; None if unknown."""
         return self._account_by_credential.get(sha256(token.encode()).hexdigest())
 
     def account_of(self, path: str) -> str | None:
-        """Find the nearest client account at or above a path; None without one."""
+        """Return the nearest client account at or above a path; None if absent."""
         for section in ancestry(path):
             if self._sections.get(section, {}).get(CREDENTIAL_KEY):
                 return section
         return None
 
     def lookup(self, path: str, key: str) -> Value | None:
-        """Find the effective value of a key; None when it is set nowhere.
+        """Return the effective value of a key; None if no node sets it.
 
         Raises
         ------
@@ -129,17 +129,17 @@
         return None if explanation is None else explanation.value
 
     def explain(self, path: str) -> tuple[Explanation, ...]:
-        """Tell for each effective key of a node where its value comes from.
+        """Return the source of each effective value of a node.
 
         Parameters
         ----------
         path : str
-            A path; the node need not exist.
+            Path of a node, which need not exist.
 
         Returns
         -------
         tuple of Explanation
-            In the order of the reference; keys that are set nowhere are left out.
+            In the order of the settings reference, without keys that are not set.
 
         Raises
         ------
@@ -150,30 +150,30 @@
         return tuple(explanation for explanation in found if explanation is not None)
 
     def evaluate(self, path: str) -> ServicePolicy:
-        """Compute how requests of a node are treated.
+        """Compute the service policy of a node.
 
         Parameters
         ----------
         path : str
-            A path; a node that does not exist is treated as the node above it.
+            Path of a node; one that does not exist inherits all values.
 
         Returns
         -------
         ServicePolicy
-            ``client_account`` is the nearest account at or above the path (the
-            path itself without one), ``service`` the rest of the path.
+            ``client_account`` is the nearest account at or above the path, or the
+            path itself if there is none; ``service`` is the rest of the path.
         """
-        known = self._policy_by_path.get(path)
-        if known is not None:
-            return known
+        cached = self._policy_by_path.get(path)
+        if cached is not None:
+            return cached
         service_policy = self._compute_service_policy(path)
-        # Paths outside the tree come from callers and would fill the memory.
+        # Callers choose the other paths; caching them would use unbounded memory.
         if path in self._sections:
             self._policy_by_path[path] = service_policy
         return service_policy
 
     def service_policy_for(self, account: str, service: str = "") -> ServicePolicy:
-        """Compute how a service of a client account is treated.
+        """Compute the service policy of a service of a client account.
 
         Parameters
         ----------
@@ -185,7 +185,7 @@
         Returns
         -------
         ServicePolicy
-            That of the account itself when it has no such node.
+            The policy of the account if it has no such node.
         """
         path = child_path(account, service)
         return self.evaluate(path if path in self._sections else account)
@@ -193,15 +193,15 @@
     def _explain_key(self, path: str, key: str) -> Explanation | None:
         if not is_node(path):
             raise ValueError(f"{path!r} is not a path such as /a/b")
-        reach = (path,) if key in NOT_INHERITED else ancestry(path)
-        setting = [
+        candidates = (path,) if key in NOT_INHERITED else ancestry(path)
+        definitions = [
             (section, self._sections[section][key])
-            for section in reach
+            for section in candidates
             if key in self._sections.get(section, {})
         ]
-        if not setting:
+        if not definitions:
             return None
-        (source, value), *overrides = setting
+        (source, value), *overrides = definitions
         return Explanation(key, value, source, source != path, tuple(overrides))
 
     def _compute_service_policy(self, path: str) -> ServicePolicy:
@@ -218,7 +218,7 @@
     def _tier(self, name: Value | None) -> TierPolicy:
         if name is not None:
             return self._tiers_by_name[name]
-        # Work that nobody has ranked must not displace work that somebody has.
+        # Requests without a tier must not displace requests with one.
         by_rank = sorted(self._tiers_by_name.values(), key=lambda tier: tier.rank)
         return by_rank[-1] if by_rank else _BUILT_IN_TIER
 
--- a/libs/settings/src/berylwalk/settings/_tree_ini.py
+++ b/libs/settings/src/berylwalk/settings/_tree_ini.py
@@ -1,4 +1,4 @@
-"""The settings tree as INI text."""
+"""Conversion of the settings tree to and from INI text."""
 
 from berylwalk.model import FindingsError
 from berylwalk.settings._checks import Value, check_sections
@@ -8,7 +8,7 @@
 
 
 def export_ini(tree: SettingsTree) -> str:
-    """Write a tree as INI text, tiers first and nodes by path.
+    """Format a tree as INI text: tiers first, then nodes sorted by path.
 
     Parameters
     ----------
@@ -18,27 +18,27 @@
     Returns
     -------
     str
-        Text that :func:`parse_ini` reads back to an equal tree.
+        Text from which :func:`parse_ini` builds an equal tree.
     """
     names = sorted(tree.sections, key=lambda name: (not is_tier(name), name))
     blocks = []
     for name in names:
         lines = [f"[{name}]"]
         values = sorted(tree.sections[name].items())
-        lines += [f"{key} = {_text(value)}".rstrip() for key, value in values]
+        lines += [f"{key} = {_format_value(value)}".rstrip() for key, value in values]
         blocks.append("\n".join(lines) + "\n")
     return "\n".join(blocks)
 
 
 def parse_ini(text: str, *, file: str = "settings.ini") -> SettingsTree:
-    """Read a tree from INI text.
+    """Parse a tree from INI text.
 
     Parameters
     ----------
     text : str
         Sections ``[tier NAME]`` and ``[/path]``.
     file : str
-        Name of the file, for the findings.
+        Name of the file, used in findings.
 
     Returns
     -------
@@ -47,17 +47,17 @@
     Raises
     ------
     FindingsError
-        With every mistake of the text.
+        If the text is invalid; lists every problem.
     """
     raw, findings = read_sections(text, file)
-    sections, more = check_sections(raw, file)
-    findings += more
+    sections, tree_findings = check_sections(raw, file)
+    findings += tree_findings
     if findings:
         raise FindingsError(findings)
     return SettingsTree(sections)
 
 
-def _text(value: Value) -> str:
+def _format_value(value: Value) -> str:
     if isinstance(value, bool):
         return str(value).lower()
     if isinstance(value, tuple):
--- a/libs/settings/src/berylwalk/settings/_validation.py
+++ b/libs/settings/src/berylwalk/settings/_validation.py
@@ -1,4 +1,4 @@
-"""Field types shared by the models, and findings from their errors."""
+"""Field types of the models and conversion of validation errors to findings."""
 
 import re
 from collections.abc import Callable
@@ -22,7 +22,7 @@
 
 
 class StrictModel(BaseModel):
-    """Base of the validated models: frozen and closed to unknown keys."""
+    """Base class of the models: frozen, and without unknown keys."""
 
     model_config = ConfigDict(
         extra="forbid", frozen=True, str_strip_whitespace=True, allow_inf_nan=False
@@ -30,7 +30,7 @@
 
 
 def split_commas(value: object) -> object:
-    """Split a comma list; anything but a string passes unchanged."""
+    """Split a comma-separated string; return other values unchanged."""
     if not isinstance(value, str):
         return value
     parts = [part.strip() for part in value.split(",")]
@@ -51,23 +51,23 @@
     return value.rstrip("/")
 
 
-def _refuse_bool(value: object) -> object:
+def _reject_bool(value: object) -> object:
     if isinstance(value, bool):
         raise ValueError("must be a number")
     return value
 
 
 def _check_distinct(values: tuple[str, ...]) -> tuple[str, ...]:
-    doubled = sorted({value for value in values if values.count(value) > 1})
-    if doubled:
-        raise ValueError(f"repeats {', '.join(doubled)}")
+    duplicates = sorted({value for value in values if values.count(value) > 1})
+    if duplicates:
+        raise ValueError(f"repeats {', '.join(duplicates)}")
     return values
 
 
 Name = Annotated[str, StringConstraints(pattern=r"^[A-Za-z0-9._-]{1,64}$")]
 ResourceName = Annotated[str, StringConstraints(pattern=r"^[A-Za-z0-9._:/@+-]{1,128}$")]
-Integer = Annotated[int, BeforeValidator(_refuse_bool)]
-Number = Annotated[float, BeforeValidator(_refuse_bool)]
+Integer = Annotated[int, BeforeValidator(_reject_bool)]
+Number = Annotated[float, BeforeValidator(_reject_bool)]
 Address = Annotated[str, AfterValidator(_check_address)]
 Url = Annotated[str, AfterValidator(_check_url)]
 Sha256 = Annotated[str, StringConstraints(pattern=r"^[0-9a-f]{64}$")]
@@ -83,19 +83,19 @@
 def findings_from(
     error: ValidationError, place: Callable[[tuple[str, ...]], str]
 ) -> list[Finding]:
-    """Turn the errors of a model into findings.
+    """Convert the validation errors of a model to findings.
 
     Parameters
     ----------
     error : ValidationError
         Raised by the model.
     place : callable
-        Names the place of a location; positions inside lists are left out.
+        Formats the location of an error, which omits indexes of lists.
 
     Returns
     -------
     list of Finding
-        One for each error.
+        One for each error, in the order of the errors.
     """
     findings = []
     for details in error.errors(include_url=False):
--- a/tests/fuzz/faults.py
+++ b/tests/fuzz/faults.py
@@ -475,7 +475,7 @@
     Fault(
         "a clash of two patches is not noticed",
         IN_FORCE,
-        (Edit("settings/_merge", "    if clashing:\n", "    if False:\n"),),
+        (Edit("settings/_merge", "    if conflicting:\n", "    if False:\n"),),
         SETTINGS,
         "a change was overwritten unseen",
     ),
