--- a/libs/settings/tests/test_settings_merge.py
+++ b/libs/settings/tests/test_settings_merge.py
@@ -1,4 +1,4 @@
-"""Patches of a document that others have changed meanwhile."""
+"""Application of patches to a settings document with concurrent changes."""
 
 import pytest
 from msgspec import UNSET, json
@@ -41,19 +41,19 @@
 
 class TestMerge:
     def test_disjoint_edits_are_merged(self):
-        """Two operators who change different keys both get their way."""
+        """Concurrent changes of different keys must both be applied."""
         document = _after(Edit("/a", "weight", 5))
         document = apply_patch(document, _patch("2", Edit("/a", "tier", "batch")), "bo")
         assert document.version == 6
         assert dict(document.tree.sections["/a"]) == {"weight": 5.0, "tier": "batch"}
 
-    def test_clash_shows_both_values(self):
-        """The whole patch is refused, with what each of the two wants."""
+    def test_conflict_contains_both_values(self):
+        """A conflict refuses the whole patch and reports both values and the author."""
         document = _after(Edit("/a", "weight", 5))
         patch = _patch("2", Edit("/ab", "weight", 9), Edit("/a", "weight", 7))
-        clash = apply_patch(document, patch, "bo")
-        assert isinstance(clash, PatchConflict)
-        (edit,) = clash.edits
+        conflict = apply_patch(document, patch, "bo")
+        assert isinstance(conflict, PatchConflict)
+        (edit,) = conflict.edits
         assert (edit.path, edit.key, edit.yours, edit.theirs) == ("/a", "weight", 7, 5)
         assert (edit.their_author, edit.their_version) == ("ana", 5)
 
@@ -69,8 +69,8 @@
             (Edit.delete("tier batch"), Edit("tier batch", "headroom", 0.1)),
         ],
     )
-    def test_clash_with_delete(self, first, second):
-        """A delete clashes with every change below it, whichever came first."""
+    def test_delete_conflicts_with_changes_below(self, first, second):
+        """A delete conflicts with every change below it, in either order."""
         assert isinstance(
             apply_patch(_after(first), _patch("2", second), "bo"), PatchConflict
         )
@@ -83,26 +83,26 @@
             (Edit("/", "weight", 1), Edit("/a", "weight", 7)),
         ],
     )
-    def test_no_clash_between_neighbours(self, first, second):
-        """Similar paths, equal creations and inherited keys do not clash."""
+    def test_unrelated_edits_do_not_conflict(self, first, second):
+        """Path prefixes, equal creations and inherited keys are not conflicts."""
         result = apply_patch(_after(first), _patch("2", second), "bo")
         assert isinstance(result, SettingsDocument)
 
-    def test_repeat_is_already_accepted(self):
-        """A repeated change id gives the version of the first time."""
+    def test_retry_is_already_accepted(self):
+        """A retried change must not be applied twice."""
         document = _after(Edit("/a", "weight", 5))
         document = apply_patch(document, _patch("2", Edit("/a", "tier", "batch")), "bo")
-        again = apply_patch(document, _patch("first", Edit("/a", "weight", 5)), "ana")
-        assert again == AlreadyAccepted(5)
+        retried = apply_patch(document, _patch("first", Edit("/a", "weight", 5)), "ana")
+        assert retried == AlreadyAccepted(5)
 
     def test_reused_change_id_is_rejected(self):
-        """Another change under a known id is not taken for a repeat."""
+        """Another change with a known id must not be treated as a retry."""
         document = _after(Edit("/a", "weight", 5))
         result = apply_patch(document, _patch("first", Edit("/a", "weight", 6)), "ana")
         assert isinstance(result, Rejected)
 
-    def test_base_older_than_known_changes_is_stale(self):
-        """A patch that cannot be compared with all later changes is refused."""
+    def test_base_older_than_retained_changes_is_stale(self):
+        """A patch that cannot be checked against all later changes is refused."""
         document = BASE
         for number in range(MAX_RECENT_CHANGES + 1):
             edit = Edit("/", "max_waiting", number)
@@ -116,7 +116,7 @@
 
 class TestInvalidTree:
     def test_every_finding_is_reported(self):
-        """A patch is refused with all that its tree would break."""
+        """A refused patch reports every problem of the resulting tree."""
         patch = _patch(
             "1",
             Edit.delete("tier urgent"),
@@ -135,7 +135,7 @@
         }
 
     def test_merged_patches_are_checked_together(self):
-        """Patches that are valid alone may not be so together."""
+        """The merged tree is validated, not only each patch."""
         document = _after(Edit("/ab", "tier", "batch"))
         result = apply_patch(document, _patch("2", Edit.delete("tier batch")), "bo")
         assert [str(finding) for finding in result.findings] == [
@@ -143,15 +143,15 @@
         ]
 
     @pytest.mark.parametrize("value", [True, 10**30, float("nan"), "x", ("1",)])
-    def test_value_of_another_type(self, value):
-        """Whatever a patch may carry as a value is refused in good order."""
+    def test_value_of_wrong_type_is_rejected(self, value):
+        """A value of the wrong type or range yields a finding, not an exception."""
         result = apply_patch(BASE, _patch("1", Edit("/a", "max_waiting", value)), "ana")
         assert [finding.place for finding in result.findings] == [
             "settings [/a] max_waiting"
         ]
 
-    def test_malformed_patch(self):
-        """Form, base version and edits of a patch are checked."""
+    def test_malformed_patch_is_rejected(self):
+        """Change id, base version and edits are validated."""
         edits = (Edit("a", "weight", 1), Edit("/a", "", 1), Edit("/a", "weight", None))
         result = apply_patch(BASE, Patch("", 9, edits), "ana")
         assert [finding.place for finding in result.findings] == [
@@ -165,12 +165,12 @@
 
 class TestEncoding:
     def test_round_trip(self):
-        """A document is decoded as it was, with its recent changes."""
+        """Decoding restores the tree and the recent changes."""
         document = _after(Edit("/a", "models", ("m", "n")), Edit.delete("/ab"))
         assert SettingsDocument.decode(document.encode()) == document
 
-    def test_patch_is_read_from_json(self):
-        """A left out value means removal, null a creation."""
+    def test_patch_is_decoded_from_json(self):
+        """An absent value means removal, null means creation."""
         data = (
             b'{"change_id":"c","base_version":1,"edits":['
             b'{"path":"/a"},{"path":"/b","value":null},'
@@ -182,13 +182,13 @@
     @pytest.mark.parametrize(
         "data", [b"\xff", b"{}", b'{"version":1,"sections":{"/":{"x":1}}}']
     )
-    def test_malformed_document(self, data):
-        """Stored data are not trusted."""
+    def test_malformed_document_is_rejected(self, data):
+        """Invalid stored data raise FindingsError."""
         with pytest.raises(FindingsError):
             SettingsDocument.decode(data)
 
     def test_too_large_document_is_rejected(self):
-        """A tree that the store could not hold is refused."""
+        """A document larger than the limit must not be written."""
         sections = {f"/{number:0>60}": {"weight": 1} for number in range(14_000)}
         document = SettingsDocument(1, SettingsTree.from_sections(sections))
         patch = _patch("c", Edit("/", "weight", 1), base=1)
--- a/libs/settings/tests/test_settings_node.py
+++ b/libs/settings/tests/test_settings_node.py
@@ -39,21 +39,21 @@
 
 @pytest.fixture
 def path(tmp_path):
-    """File to be read."""
+    """Return the path of the settings file under test."""
     return tmp_path / "node.ini"
 
 
 class TestRouterSettings:
-    def test_defaults_fill_missing_sections(self, path):
-        """A file with required keys alone is valid."""
+    def test_missing_sections_use_defaults(self, path):
+        """A file with only the required keys is valid."""
         path.write_text(ROUTER, encoding="utf-8")
         settings = RouterSettings.from_file(path)
         assert settings.fleet.peers == ("127.0.1.1", "127.0.1.2")
         assert settings.ports.dispatch == 7003
         assert settings.routing.policy is RoutingPolicy.BERYLWALK
 
-    def test_every_mistake_is_reported(self, path):
-        """Mistakes of syntax and of values are found in one reading."""
+    def test_every_problem_is_reported(self, path):
+        """Syntax errors and invalid values are reported together."""
         text = ROUTER.replace("address = 127.0.1.1", "address = entry-1") + (
             "unparsable\n"
             "[routing]\nretry_ratio = 1.5\nretry_ratio = 0.2\ntypo = 1\n"
@@ -77,24 +77,24 @@
         }
         assert findings["[platform] vm_list_url"] == "is required and missing"
 
-    def test_two_tcp_ports_differ(self, path):
-        """Servers of one process cannot share a port."""
+    def test_equal_tcp_ports_are_rejected(self, path):
+        """Two servers of a process cannot listen on the same port."""
         findings = _findings(RouterSettings, path, ROUTER + "[ports]\nadmin = 8080\n")
         assert findings == {"[ports]": "two TCP ports are the same"}
 
-    def test_key_before_first_section(self, path):
-        """A key outside of all sections has a line as its place."""
+    def test_key_before_first_section_is_reported(self, path):
+        """A key before the first section header is reported by line number."""
         assert "line 1" in _findings(RouterSettings, path, "a = 1\n" + ROUTER)
 
-    def test_missing_file(self, path):
-        """A file that cannot be read is a finding too."""
+    def test_missing_file_is_reported(self, path):
+        """An unreadable file raises FindingsError instead of OSError."""
         with pytest.raises(FindingsError, match="cannot be read"):
             RouterSettings.from_file(path)
 
 
 class TestFleetKey:
-    def test_key_file_is_read_next_to_the_settings(self, path):
-        """A relative key file is found, and the key is not shown."""
+    def test_key_file_is_relative_to_settings_file(self, path):
+        """The key is read from the key file and does not appear in the repr."""
         (path.parent / "key").write_text("fedcba9876543210\n", encoding="utf-8")
         path.write_text(
             ROUTER.replace("key = 0123456789abcdef", "key_file = key"),
@@ -113,8 +113,8 @@
             ("key_file = node.ini\nkey = 0123456789abcdef", "[fleet] key_file"),
         ],
     )
-    def test_bad_key_is_reported_once(self, path, lines, place):
-        """Each way of not giving one good key has one finding."""
+    def test_invalid_key_is_reported_once(self, path, lines, place):
+        """A missing, short or duplicate key yields one finding without the key."""
         text = ROUTER.replace("key = 0123456789abcdef", lines)
         findings = _findings(RouterSettings, path, text)
         assert list(findings) == [place]
@@ -122,13 +122,13 @@
 
 
 class TestAgentSettings:
-    def test_lists(self, path):
-        """Comma lists are split."""
+    def test_comma_lists_are_split(self, path):
+        """Comma-separated values are parsed as tuples."""
         path.write_text(AGENT, encoding="utf-8")
         assert AgentSettings.from_file(path).target.models == ("a/b:1", "c")
 
-    def test_settings_that_depend_on_others(self, path):
-        """Each contradiction is placed at one key."""
+    def test_inconsistent_settings_are_reported(self, path):
+        """Each inconsistency between keys is reported at one key."""
         text = AGENT.replace("models = a/b:1, c", "decode_tokens_per_s = nan") + (
             "[admission]\nmin_limit = 9\n"
             "[telemetry]\ntrace_exporter = file\n"
@@ -144,5 +144,5 @@
 
 
 def test_reference(snapshot):
-    """The reference names every setting with its default."""
+    """The reference lists every setting with its default."""
     assert settings_reference() == snapshot
--- a/libs/settings/tests/test_settings_replica.py
+++ b/libs/settings/tests/test_settings_replica.py
@@ -1,4 +1,4 @@
-"""A node's copy of the settings through restarts and outages."""
+"""Settings replica during restarts, pulls and outages."""
 
 from hypothesis import given, settings
 from hypothesis import strategies as st
@@ -12,7 +12,7 @@
 
 events = st.lists(
     st.tuples(
-        st.sampled_from(["announce", "document", "store", "fail", "gone", "pull"]),
+        st.sampled_from(["announce", "document", "store", "fail", "leave", "pull"]),
         st.sampled_from("pqr"),
         st.integers(0, 5),
         st.floats(0, 3),
@@ -22,8 +22,8 @@
 
 
 class TestRestart:
-    def test_waits_for_the_highest_version_heard(self):
-        """After listening, a node pulls from the peer that is furthest."""
+    def test_waits_for_highest_announced_version(self):
+        """A replica must not become ready below the highest announced version."""
         replica = SettingsReplica(0.0, listen_s=3.0)
         replica.on_announcement("p", 4, 0.1)
         assert replica.start_pull(0.1) == "p"
@@ -35,8 +35,8 @@
         replica.on_document(_document(5), 3.1, peer="q")
         assert replica.ready_to_serve(3.1)
 
-    def test_does_not_serve_below_a_version_of_a_lost_peer(self):
-        """The only peer with the version is gone: wait for the store."""
+    def test_not_ready_below_version_of_departed_peer(self):
+        """A version counts even if the only peer that announced it has left."""
         replica = SettingsReplica(0.0, listen_s=1.0)
         replica.on_announcement("p", 5, 0.1)
         replica.on_peer_left("p")
@@ -46,14 +46,14 @@
         replica.on_store_document(_document(5), 1000.0)
         assert replica.ready_to_serve(1000.0)
 
-    def test_ready_at_once_after_reading_the_store(self):
-        """The store holds the latest version, so there is nothing to listen for."""
+    def test_ready_immediately_after_store_read(self):
+        """The store holds the latest version, so no listening period is needed."""
         replica = SettingsReplica(0.0)
         replica.on_store_document(SettingsDocument.empty(), 0.1)
         assert replica.ready_to_serve(0.1)
 
-    def test_ready_at_once_after_all_seeds(self):
-        """When every seed was heard, listening on brings nothing."""
+    def test_ready_immediately_after_all_seeds(self):
+        """The listening period ends when every seed has announced its version."""
         replica = SettingsReplica(0.0, seeds=("p", "q"))
         replica.on_announcement("p", 4, 0.1)
         replica.on_document(_document(4), 0.2, peer="p")
@@ -61,8 +61,8 @@
         replica.on_announcement("q", 3, 0.3)
         assert replica.ready_to_serve(0.3)
 
-    def test_a_seed_that_is_not_ready_makes_nobody_ready(self):
-        """Routers that were all replaced know no more of each other's past."""
+    def test_unsettled_seed_does_not_end_listening(self):
+        """Routers restarted together must not confirm each other's old version."""
         replica = SettingsReplica(0.0, seeds=("p",), listen_s=3.0)
         replica.on_announcement("p", 4, 0.1, is_settled=False)
         replica.on_document(_document(4), 0.2, peer="p")
@@ -71,8 +71,8 @@
 
 
 class TestPull:
-    def test_failed_and_silent_peers_are_left(self):
-        """Another peer is asked when one fails, does not answer or holds less."""
+    def test_another_peer_is_asked_after_failure(self):
+        """A failed, unresponsive or outdated peer must not block the pull."""
         replica = SettingsReplica(0.0, pull_timeout_s=2.0, retry_s=10.0)
         for peer, version in (("p", 9), ("q", 8), ("r", 7)):
             replica.on_announcement(peer, version, 0.0)
@@ -88,13 +88,13 @@
         assert replica.version == 6
 
     def test_unreachable_peer_is_not_asked(self):
-        """A peer that fell silent is left until it is heard again."""
+        """A peer without recent announcements is not asked."""
         replica = SettingsReplica(0.0, peer_timeout_s=5.0)
         replica.on_announcement("p", 9, 0.0)
         assert replica.start_pull(5.0) is None
 
-    def test_peer_that_cannot_send_counts_but_is_not_asked(self):
-        """A version is heard of from any peer, but pulled only where it can be."""
+    def test_version_of_peer_that_cannot_send_counts(self):
+        """A peer that cannot send its document is not asked, but blocks readiness."""
         replica = SettingsReplica(0.0, listen_s=0.0)
         replica.on_announcement("agent", 9, 0.0, can_send=False)
         assert replica.start_pull(0.0) is None
@@ -102,7 +102,7 @@
         assert not replica.ready_to_serve(0.1)
 
     def test_nodes_ask_different_peers(self):
-        """Nodes that hear of a version at once do not all ask one peer."""
+        """The pulls of many nodes are distributed over the peers."""
         asked = set()
         for number in range(40):
             replica = SettingsReplica(0.0, node_id=f"node-{number}")
@@ -113,8 +113,8 @@
 
 
 class TestServing:
-    def test_stops_behind_a_reachable_peer_only(self):
-        """A node that cannot catch up stops, unless nobody has the version."""
+    def test_not_ready_when_behind_reachable_peer(self):
+        """A replica that cannot catch up loses readiness only to a reachable peer."""
         replica = SettingsReplica(0.0, max_behind_s=5.0, peer_timeout_s=4.0)
         replica.on_store_document(_document(1), 0.0)
         assert replica.ready_to_serve(0.0)
@@ -129,8 +129,8 @@
 
     @settings(derandomize=True, database=None, deadline=None, max_examples=300)
     @given(events)
-    def test_never_goes_back(self, events):
-        """Versions only rise, and the first is served when it is the highest."""
+    def test_version_never_decreases(self, events):
+        """Versions only increase, and the first one served is the highest known."""
         replica = SettingsReplica(0.0)
         now, version, highest, has_served = 0.0, 0, 0, False
         for kind, peer, number, pause in events:
@@ -143,7 +143,7 @@
                 replica.on_store_document(_document(number), now)
             elif kind == "fail":
                 replica.on_pull_failed(peer, now)
-            elif kind == "gone":
+            elif kind == "leave":
                 replica.on_peer_left(peer)
             else:
                 replica.start_pull(now)
--- a/libs/settings/tests/test_settings_store.py
+++ b/libs/settings/tests/test_settings_store.py
@@ -1,4 +1,4 @@
-"""Operators who submit patches through a store that loses answers."""
+"""Concurrent submission of patches to a store that loses responses."""
 
 import itertools
 
@@ -24,7 +24,7 @@
 )
 
 OPERATORS = ("ana", "bo")
-FATES = ("answered", "lost-applied", "lost-never", "lost-late", "unavailable")
+OUTCOMES = ("answered", "lost-applied", "lost-never", "lost-late", "unavailable")
 
 
 class _Pause:
@@ -33,19 +33,19 @@
 
 
 class _Store:
-    """A key-value service of one key; keeps every value ever written."""
+    """Key-value service with a single key that records every written value."""
 
     def __init__(self):
         self.values = []
-        self.late = []
-        self.fates = []
+        self.delayed_swaps = []
+        self.outcomes = []
 
-    def fate(self):
-        return self.fates.pop() if self.fates else "answered"
+    def outcome(self):
+        return self.outcomes.pop() if self.outcomes else "answered"
 
     async def get(self, key):
         await _Pause()
-        if self.fate() == "unavailable":
+        if self.outcome() == "unavailable":
             return ReadFailed("down")
         stored = StoredValue(self.values[-1] if self.values else None, len(self.values))
         await _Pause()
@@ -53,15 +53,15 @@
 
     async def compare_and_swap(self, key, value, expected_mod_revision):
         await _Pause()
-        fate = self.fate()
-        if fate == "unavailable":
+        outcome = self.outcome()
+        if outcome == "unavailable":
             return SwapResult.UNAVAILABLE
-        if fate == "lost-late":
-            self.late.append((value, expected_mod_revision))
+        if outcome == "lost-late":
+            self.delayed_swaps.append((value, expected_mod_revision))
             return SwapResult.OUTCOME_UNKNOWN
-        swapped = fate != "lost-never" and self.swap(value, expected_mod_revision)
+        swapped = outcome != "lost-never" and self.swap(value, expected_mod_revision)
         await _Pause()
-        if fate != "answered":
+        if outcome != "answered":
             return SwapResult.OUTCOME_UNKNOWN
         return SwapResult.SWAPPED if swapped else SwapResult.CONFLICT
 
@@ -73,7 +73,7 @@
 
 
 class ConcurrentOperators(RuleBasedStateMachine):
-    """Drive two operators a step at a time and compare with a list of changes."""
+    """Interleave two operators and compare the store with a sequential model."""
 
     def __init__(self):
         super().__init__()
@@ -97,7 +97,7 @@
         invalid=st.sampled_from([False, False, False, True]),
     )
     def submit(self, operator, lag, path, key, invalid):
-        """Start a new patch, perhaps read a few versions ago."""
+        """Submit a new patch, possibly with an outdated base version."""
         if operator in self.running_by_operator:
             return
         serial = next(self.serial)
@@ -109,7 +109,7 @@
 
     @rule(operator=st.sampled_from(OPERATORS))
     def repeat(self, operator):
-        """Repeat a patch whose result stayed open."""
+        """Retry a patch whose outcome is unknown."""
         if operator in self.running_by_operator:
             return
         patch = self.undecided_by_operator.pop(operator, None)
@@ -118,7 +118,7 @@
 
     @rule(operator=st.sampled_from(OPERATORS), steps=st.integers(1, 8))
     def proceed(self, operator, steps):
-        """Let an operator's submission run on for a few steps."""
+        """Advance the submission of an operator by a few steps."""
         for _ in range(steps):
             if operator not in self.running_by_operator:
                 return
@@ -127,9 +127,9 @@
                 coroutine.send(None)
             except StopIteration as stop:
                 del self.running_by_operator[operator]
-                self._note(operator, patch, stop.value)
+                self._record_result(operator, patch, stop.value)
 
-    def _note(self, operator, patch, result):
+    def _record_result(self, operator, patch, result):
         if isinstance(result, Accepted):
             self.accepted_by_id[patch.change_id] = result.version
         elif isinstance(result, PatchConflict | Rejected):
@@ -138,21 +138,23 @@
             assert isinstance(result, Undecided)
             self.undecided_by_operator[operator] = patch
 
-    @rule(fate=st.sampled_from(FATES))
-    def trouble(self, fate):
-        """Decide the fate of the next call."""
-        self.store.fates.append(fate)
+    @rule(outcome=st.sampled_from(OUTCOMES))
+    def inject_fault(self, outcome):
+        """Select the outcome of the next call to the store."""
+        self.store.outcomes.append(outcome)
 
-    @precondition(lambda self: self.store.late)
+    @precondition(lambda self: self.store.delayed_swaps)
     @rule(index=st.integers(0, 5))
-    def late_swap(self, index):
-        """Let a swap whose answer was lost reach the store only now."""
-        value, revision = self.store.late.pop(index % len(self.store.late))
+    def complete_delayed_swap(self, index):
+        """Apply a write whose response was lost earlier."""
+        value, revision = self.store.delayed_swaps.pop(
+            index % len(self.store.delayed_swaps)
+        )
         self.store.swap(value, revision)
 
     @invariant()
-    def store_holds_what_was_told(self):
-        """Replay all written changes; compare with the store and the answers."""
+    def store_matches_reported_results(self):
+        """Replay the written changes and compare with the store and the results."""
         documents = [SettingsDocument.decode(value) for value in self.store.values]
         versions = range(1, len(documents) + 1)
         assert [document.version for document in documents] == list(versions)
@@ -179,7 +181,7 @@
         assert not self.refused_ids & set(written)
 
     def teardown(self):
-        """End what still runs."""
+        """Close the coroutines that are still running."""
         for _, coroutine in self.running_by_operator.values():
             coroutine.close()
 
@@ -206,7 +208,7 @@
     PATCH = Patch("c", 0, (Edit("/", "weight", 2),))
 
     @pytest.mark.parametrize(
-        ("fates", "kind"),
+        ("outcomes", "kind"),
         [
             (["answered", "answered"], Accepted),
             (["answered", "lost-applied"], Accepted),
@@ -218,36 +220,36 @@
             ([*(["answered", "lost-never"] * 7), "answered", "lost-applied"], Accepted),
         ],
     )
-    def test_result_after_trouble(self, fates, kind):
-        """A lost answer is resolved by reading back, as long as that works."""
+    def test_result_after_store_failures(self, outcomes, kind):
+        """A lost response is resolved by reading the document again."""
         store = _Store()
-        store.fates = fates[::-1]
+        store.outcomes = outcomes[::-1]
         result = _run(submit_patch(store, self.PATCH, "ana"))
         assert isinstance(result, kind)
         assert not isinstance(result, Accepted) or result.version == 1
 
-    @pytest.mark.parametrize("fates", [[], ["answered", "lost-never"]])
-    def test_too_old_a_base_is_final(self, fates):
-        """Repeating cannot help a patch whose base is forgotten: it is told so."""
+    @pytest.mark.parametrize("outcomes", [[], ["answered", "lost-never"]])
+    def test_stale_base_is_refused(self, outcomes):
+        """A base older than the retained changes is Stale and nothing is written."""
         store = _Store()
         for number in range(MAX_RECENT_CHANGES + 1):
             patch = Patch(str(number), number, (Edit("/", "max_waiting", number),))
             _run(submit_patch(store, patch, "ana"))
         written = len(store.values)
-        store.fates = fates[::-1]
+        store.outcomes = outcomes[::-1]
         result = _run(submit_patch(store, self.PATCH, "bo"))
         assert result == Stale("c", 0, 1)
         assert len(store.values) == written
 
-    def test_store_that_went_back_is_not_written(self):
-        """A store that lost accepted changes does not get new ones."""
+    def test_store_below_minimum_version_is_not_written(self):
+        """A store that lost accepted changes must not be written to."""
         store = _Store()
         result = _run(submit_patch(store, self.PATCH, "ana", minimum_version=3))
         assert isinstance(result, Undecided)
         assert store.values == []
 
     def test_unreadable_store_is_not_overwritten(self):
-        """Foreign data under the key are left alone."""
+        """Data that cannot be decoded must not be replaced."""
         store = _Store()
         store.values = [b"not settings"]
         result = _run(submit_patch(store, self.PATCH, "ana"))
--- a/libs/settings/tests/test_settings_tree.py
+++ b/libs/settings/tests/test_settings_tree.py
@@ -1,4 +1,4 @@
-"""Inheritance in the settings tree, and the tree as INI text."""
+"""Inheritance, client accounts and INI format of the settings tree."""
 
 from hashlib import sha256
 
@@ -54,8 +54,8 @@
 )
 
 
-def _naive(sections, path):
-    """Lay the values of all nodes on the way down over each other."""
+def _merge_from_root(sections, path):
+    """Return the effective values by merging all nodes from the root down."""
     names = [name for name in path.split("/") if name]
     values = {}
     for depth in range(len(names) + 1):
@@ -66,9 +66,9 @@
 class TestInheritance:
     @FUZZ
     @given(trees, paths)
-    def test_agrees_with_naive_evaluation(self, tree, path):
+    def test_agrees_with_reference_implementation(self, tree, path):
         """Each key has the value of the nearest node that sets it."""
-        expected = _naive(tree.sections, path)
+        expected = _merge_from_root(tree.sections, path)
         service_policy = tree.evaluate(path)
         tier = TIERS[f"tier {expected.get('tier', 'batch')}"]
         assert service_policy.tier.rank == tier["rank"]
@@ -82,8 +82,8 @@
         explained = {entry.key: entry.value for entry in tree.explain(path)}
         assert explained == expected
 
-    def test_explain_names_source_and_overridden(self):
-        """An override shows what it hides, an inherited value where it is set."""
+    def test_explain_returns_source_and_overrides(self):
+        """Explanations contain the source of a value and the overridden values."""
         tree = SettingsTree.from_sections(
             {"/": {"weight": 1, "max_waiting": 7}, "/a": {"weight": 2}}
         )
@@ -106,13 +106,13 @@
     )
 
     def test_token_finds_its_account(self):
-        """Only the node with the credential is the account."""
+        """A token maps to the node that has its credential."""
         assert self.TREE.account_for_token(TOKEN) == "/p/field"
         assert self.TREE.account_for_token("other") is None
         assert self.TREE.accounts == ("/p/field",)
 
-    def test_service_below_account(self):
-        """A service inherits from its account but is no account itself."""
+    def test_service_inherits_from_account(self):
+        """A service node inherits from its account and is not an account itself."""
         service_policy = self.TREE.service_policy_for("/p/field", "logs")
         assert service_policy.client_account == "/p/field"
         assert service_policy.service == "logs"
@@ -124,8 +124,8 @@
         assert self.TREE.lookup("/p/field/logs/x", "target_service") is None
 
     @pytest.mark.parametrize("service", ["", "unknown", "../../p", "a b\n"])
-    def test_other_services_are_treated_as_the_account(self, service):
-        """A service without a node, or with a bad name, gets the account's settings."""
+    def test_unknown_service_uses_policy_of_account(self, service):
+        """A service without a node or with an invalid name has no policy of its own."""
         service_policy = self.TREE.service_policy_for("/p/field", service)
         assert service_policy == self.TREE.evaluate("/p/field")
         assert service_policy.service == ""
@@ -135,13 +135,13 @@
     @FUZZ
     @given(trees)
     def test_round_trip(self, tree):
-        """An exported tree is read back unchanged."""
+        """Parsing an exported tree yields an equal tree."""
         assert parse_ini(export_ini(tree)) == tree
 
     @FUZZ
     @given(st.lists(ini_lines, max_size=12).map("\n".join))
-    def test_any_text_is_read_or_refused(self, text):
-        """No text raises anything but findings, and no finding comes twice."""
+    def test_arbitrary_text_is_parsed_or_rejected(self, text):
+        """Parsing raises nothing but FindingsError, without duplicate findings."""
         findings = ()
         try:
             parse_ini(text)
@@ -149,8 +149,8 @@
             findings = error.findings
         assert len(set(findings)) == len(findings)
 
-    def test_every_mistake_is_reported(self):
-        """Syntax, values and references are checked in one reading."""
+    def test_every_problem_is_reported(self):
+        """Syntax, values and references are validated together."""
         text = (
             "[tier urgent]\nrank = 0\n[tier batch]\nrank = 0\n[tier broken]\nrank = x\n"
             "[/a]\ntier = none\nweight = 0\nweight = 1\n"
@@ -181,8 +181,8 @@
 class TestEditsBetween:
     @FUZZ
     @given(trees, trees)
-    def test_edits_lead_from_one_tree_to_the_other(self, old, new):
-        """A patch of the difference makes exactly the new tree."""
+    def test_edits_transform_old_tree_into_new(self, old, new):
+        """Applying the computed edits must yield exactly the new tree."""
         edits = edits_between(old, new)
         if old == new:
             assert edits == ()
