--- a/libs/settings/src/berylwalk/settings/_replica.py
+++ b/libs/settings/src/berylwalk/settings/_replica.py
@@ -5,10 +5,10 @@
 
 from berylwalk.settings._document import SettingsDocument
 
-LISTEN_S = 3.0
+LISTEN_PERIOD_S = 3.0
 PEER_TIMEOUT_S = 5.0
 PULL_TIMEOUT_S = 2.0
-RETRY_S = 0.5
+RETRY_DELAY_S = 0.5
 MAX_BEHIND_S = 5.0
 
 
@@ -27,9 +27,9 @@
 
     After a start, the replica becomes ready when its document can be assumed to be
     the latest: the store has been read, all ``seeds`` have announced a confirmed
-    version, or announcements have been received for ``listen_s``. It must also hold
-    the highest announced version, even if every peer that announced it has left: the
-    node may have applied that version before a restart and must not revert it.
+    version, or ``listen_period_s`` has passed. It must also hold the highest
+    announced version, even if every peer that announced it has left: the node may
+    have applied that version before a restart and must not revert it.
 
     A replica that has become ready remains so while it catches up, and loses
     readiness when it stays behind a reachable peer for longer than ``max_behind_s``.
@@ -52,7 +52,7 @@
         asked, to distribute the requests of a fleet over the peers.
     seeds : iterable of str
         Peers that are expected to announce their version.
-    listen_s, peer_timeout_s, pull_timeout_s, retry_s, max_behind_s : float
+    listen_period_s, peer_timeout_s, pull_timeout_s, retry_delay_s, max_behind_s : float
         Durations in seconds: initial listening period, time without announcements
         after which a peer counts as unreachable, timeout of a pull, delay before a
         failed peer is asked again, and longest time behind a reachable peer.
@@ -64,21 +64,21 @@
         *,
         node_id: str = "",
         seeds: tuple[str, ...] = (),
-        listen_s: float = LISTEN_S,
+        listen_period_s: float = LISTEN_PERIOD_S,
         peer_timeout_s: float = PEER_TIMEOUT_S,
         pull_timeout_s: float = PULL_TIMEOUT_S,
-        retry_s: float = RETRY_S,
+        retry_delay_s: float = RETRY_DELAY_S,
         max_behind_s: float = MAX_BEHIND_S,
     ) -> None:
         self._node_id = node_id
         self._seeds = frozenset(seeds)
         self._settled_seeds: set[str] = set()
-        self._listen_s = listen_s
-        self._listen_deadline = started_at + listen_s
+        self._listen_period_s = listen_period_s
+        self._listen_deadline = started_at + listen_period_s
         self._has_seen_fallback = False
         self._peer_timeout_s = peer_timeout_s
         self._pull_timeout_s = pull_timeout_s
-        self._retry_s = retry_s
+        self._retry_delay_s = retry_delay_s
         self._max_behind_s = max_behind_s
         self._document: SettingsDocument | None = None
         self._peers_by_id: dict[str, _Peer] = {}
@@ -142,7 +142,9 @@
             self._settled_seeds.add(peer)
         if is_fallback and not self._has_seen_fallback:
             self._has_seen_fallback = True
-            self._listen_deadline = max(self._listen_deadline, now + self._listen_s)
+            self._listen_deadline = max(
+                self._listen_deadline, now + self._listen_period_s
+            )
         self._record_version(version, now)
 
     def on_document(
@@ -191,7 +193,7 @@
         return self._apply(document, now)
 
     def on_pull_failed(self, peer: str, now: float) -> None:
-        """Record a failed pull; the peer is asked again after ``retry_s``.
+        """Record a failed pull; the peer is asked again after ``retry_delay_s``.
 
         Parameters
         ----------
@@ -203,7 +205,7 @@
         if self._pull is not None and self._pull[0] == peer:
             self._pull = None
         if peer in self._peers_by_id:
-            self._peers_by_id[peer].retry_at = now + self._retry_s
+            self._peers_by_id[peer].retry_at = now + self._retry_delay_s
             self._peers_by_id[peer].failures += 1
 
     def on_peer_left(self, peer: str) -> None:
--- a/libs/settings/tests/test_settings_replica.py
+++ b/libs/settings/tests/test_settings_replica.py
@@ -24,7 +24,7 @@
 class TestRestart:
     def test_waits_for_highest_announced_version(self):
         """A replica must not become ready below the highest announced version."""
-        replica = SettingsReplica(0.0, listen_s=3.0)
+        replica = SettingsReplica(0.0, listen_period_s=3.0)
         replica.on_announcement("p", 4, 0.1)
         assert replica.start_pull(0.1) == "p"
         replica.on_document(_document(4), 0.2, peer="p")
@@ -37,7 +37,7 @@
 
     def test_not_ready_below_version_of_departed_peer(self):
         """A version counts even if the only peer that announced it has left."""
-        replica = SettingsReplica(0.0, listen_s=1.0)
+        replica = SettingsReplica(0.0, listen_period_s=1.0)
         replica.on_announcement("p", 5, 0.1)
         replica.on_peer_left("p")
         replica.on_announcement("q", 4, 0.2)
@@ -63,7 +63,7 @@
 
     def test_unsettled_seed_does_not_end_listening(self):
         """Routers restarted together must not confirm each other's old version."""
-        replica = SettingsReplica(0.0, seeds=("p",), listen_s=3.0)
+        replica = SettingsReplica(0.0, seeds=("p",), listen_period_s=3.0)
         replica.on_announcement("p", 4, 0.1, is_settled=False)
         replica.on_document(_document(4), 0.2, peer="p")
         assert not replica.ready_to_serve(2.9)
@@ -73,7 +73,7 @@
 class TestPull:
     def test_another_peer_is_asked_after_failure(self):
         """A failed, unresponsive or outdated peer must not block the pull."""
-        replica = SettingsReplica(0.0, pull_timeout_s=2.0, retry_s=10.0)
+        replica = SettingsReplica(0.0, pull_timeout_s=2.0, retry_delay_s=10.0)
         for peer, version in (("p", 9), ("q", 8), ("r", 7)):
             replica.on_announcement(peer, version, 0.0)
         assert replica.start_pull(0.0) == "p"
@@ -95,7 +95,7 @@
 
     def test_version_of_peer_that_cannot_send_counts(self):
         """A peer that cannot send its document is not asked, but blocks readiness."""
-        replica = SettingsReplica(0.0, listen_s=0.0)
+        replica = SettingsReplica(0.0, listen_period_s=0.0)
         replica.on_announcement("agent", 9, 0.0, can_send=False)
         assert replica.start_pull(0.0) is None
         replica.on_store_document(_document(8), 0.1)
