--- a/libs/router/src/berylwalk/router/__init__.py
+++ b/libs/router/src/berylwalk/router/__init__.py
@@ -1,7 +1,6 @@
-"""The process on each entry VM: callers, placement, grants, settings.
+"""The router process on each entry VM: callers, placement, grants and settings.
 
-`RouterMachine` decides without input or output; `RouterDaemon` is the thin
-shell around it.
+`RouterMachine` is a state machine without I/O; `RouterDaemon` runs it.
 """
 
 from berylwalk.router._config import RouterConfig
--- a/libs/router/src/berylwalk/router/_accounts.py
+++ b/libs/router/src/berylwalk/router/_accounts.py
@@ -10,12 +10,12 @@
 def account_refusal(
     service_policy: ServicePolicy, requests: Iterable[RequestState]
 ) -> Refusal | None:
-    """Return why the account may not add a request, or None.
+    """Return the refusal of a request that exceeds a limit of its account, or None.
 
     Parameters
     ----------
     service_policy : ServicePolicy
-        Settings of the new request's account.
+        Service policy of the new request.
     requests : iterable of RequestState
         Requests of the account that have not ended.
     """
@@ -23,9 +23,9 @@
     running = sum(state.grant is not None for state in states)
     waiting = len(states) - running
     if waiting >= service_policy.max_waiting:
-        return _over_limit(f"{waiting} requests of the account wait")
+        return _over_limit(f"{waiting} requests of the account are waiting")
     if running >= service_policy.max_running:
-        return _over_limit(f"{running} requests of the account run")
+        return _over_limit(f"{running} requests of the account are running")
     return None
 
 
--- a/libs/router/src/berylwalk/router/_active_requests.py
+++ b/libs/router/src/berylwalk/router/_active_requests.py
@@ -1,4 +1,4 @@
-"""What the shell keeps of each request until its end."""
+"""State that the shell keeps for each request until it ends."""
 
 from collections.abc import Callable
 from dataclasses import dataclass, field, replace
@@ -7,7 +7,7 @@
 from anyio import CancelScope, Event
 
 from berylwalk.model import FinalResponse, Outcome, Request, ResponseSink
-from berylwalk.router._stored_answers import AnswerCopy, StoredAnswer
+from berylwalk.router._stored_responses import ResponseCopy, StoredResponse
 from berylwalk.telemetry import Hop
 from berylwalk.wire import Grant
 
@@ -23,7 +23,7 @@
     scope : CancelScope
         Cancelling it closes the connection.
     closed : Event
-        Set when the sink will not be called any more.
+        Set once this grant makes no further calls to the sink.
     """
 
     grant: Grant
@@ -33,53 +33,53 @@
 
 @dataclass(slots=True, eq=False)
 class ActiveRequest:
-    """A request between its arrival and its end; also the sink of its answer.
+    """A request between its arrival and its end; also the sink of its response.
 
     Parameters
     ----------
     request : Request
         The request.
     sink : ResponseSink
-        Where its answer goes.
+        Receives the response.
     hop : Hop or None
         Span of the request.
-    copy : AnswerCopy or None
-        Copy of the answer for the idempotency record.
+    response_copy : ResponseCopy or None
+        Copy of the response for the idempotency record.
     clock : callable
         Monotonic clock, in seconds.
     ended : Event
         Set together with ``answer``.
     answer : FinalResponse or None
-        As the state machine ended it.
+        Final response by the state machine.
     grant : ActiveGrant or None
         The last grant.
     agent : str
-        Agent that dispatched, or empty.
+        Agent that dispatched the request, or empty.
     status : int
-        The target's status once the sink was given it, or 0.
-    replay : StoredAnswer or None
-        Answer of the earlier request that holds the idempotency key.
+        The target's status once it was passed to the sink, or 0.
+    replay : StoredResponse or None
+        Response to the earlier request that holds the idempotency key.
     started_at, first_chunk_at : float or None
-        When the status and the first piece of the body arrived.
+        Times at which the status and the first chunk of the body arrived.
     """
 
     request: Request
     sink: ResponseSink
     hop: Hop | None = None
-    copy: AnswerCopy | None = None
+    response_copy: ResponseCopy | None = None
     clock: Callable[[], float] = monotonic
     ended: Event = field(default_factory=Event)
     answer: FinalResponse | None = None
     grant: ActiveGrant | None = None
     agent: str = ""
     status: int = 0
-    replay: StoredAnswer | None = None
+    replay: StoredResponse | None = None
     started_at: float | None = None
     first_chunk_at: float | None = None
 
     @property
     def started(self) -> bool:
-        """Whether the sink was given the target's status."""
+        """Whether the target's status was passed to the sink."""
         return self.started_at is not None
 
     async def start(
@@ -88,26 +88,26 @@
         """Pass the status and headers on to the sink."""
         self.agent = agent
         self.status = status
-        # Set first: a sink that fails half-way may have sent the status.
+        # Set before the call: a sink that fails may already have sent the status.
         self.started_at = self.clock()
-        if self.copy is not None:
-            self.copy.start(status, headers)
+        if self.response_copy is not None:
+            self.response_copy.start(status, headers)
         await self.sink.start(status, headers, agent)
 
     async def chunk(self, body: bytes) -> None:
-        """Pass a piece of the body on to the sink."""
-        self._note_chunk(body)
+        """Pass a chunk of the body on to the sink."""
+        self._record_chunk(body)
         await self.sink.chunk(body)
 
     def try_chunk(self, body: bytes) -> bool:
-        """Pass a piece on if the sink can take it at once, else return False."""
+        """Pass a chunk on if the sink accepts it without waiting, else return False."""
         if not self.sink.try_chunk(body):
             return False
-        self._note_chunk(body)
+        self._record_chunk(body)
         return True
 
     def end(self, answer: FinalResponse) -> None:
-        """Note the end; a grant that is still open is closed."""
+        """Record the end, and close the connection of an open grant."""
         self.answer = answer
         self.close_grant()
         self.ended.set()
@@ -117,8 +117,8 @@
         if self.grant is not None and not self.grant.closed.is_set():
             self.grant.scope.cancel()
 
-    async def final_answer(self) -> FinalResponse:
-        """Wait for the end, and until nobody calls the sink any more."""
+    async def final_response(self) -> FinalResponse:
+        """Wait until the request ended and the sink receives no further calls."""
         await self.ended.wait()
         if self.grant is not None:
             await self.grant.closed.wait()
@@ -127,15 +127,15 @@
         agent = self.answer.agent or self.agent
         return replace(self.answer, started=self.started, agent=agent)
 
-    def _note_chunk(self, body: bytes) -> None:
+    def _record_chunk(self, body: bytes) -> None:
         if self.first_chunk_at is None:
             self.first_chunk_at = self.clock()
-        if self.copy is not None:
-            self.copy.chunk(body)
+        if self.response_copy is not None:
+            self.response_copy.chunk(body)
 
-    async def _replay(self, stored: StoredAnswer) -> FinalResponse:
-        # The record holds this answer already.
-        self.copy = None
+    async def _replay(self, stored: StoredResponse) -> FinalResponse:
+        # The record already holds this response.
+        self.response_copy = None
         await self.start(stored.status, stored.replay_headers(), stored.agent)
         if stored.body:
             await self.sink.chunk(stored.body)
--- a/libs/router/src/berylwalk/router/_admin_views.py
+++ b/libs/router/src/berylwalk/router/_admin_views.py
@@ -1,4 +1,4 @@
-"""What the administration API sees of a router."""
+"""Implementations of the admin API's interfaces for a router."""
 
 from collections.abc import Callable
 from time import monotonic
@@ -22,8 +22,8 @@
 )
 from berylwalk.wire import Member
 
-NEVER_HEARD_S = 1e9
-"""Silence told of a node that was never heard, in seconds."""
+NEVER_HEARD_SILENCE_S = 1e9
+"""Silence reported for a node that never sent a datagram, in seconds."""
 
 
 class RouterSettingsService:
@@ -34,7 +34,7 @@
     replica : SettingsReplica
         Holds the document in force.
     sync : SettingsSync
-        Passes accepted documents on.
+        Announces accepted documents.
     store : KeyValueStore
         The key-value service.
     """
@@ -48,7 +48,7 @@
 
     @property
     def document(self) -> SettingsDocument | None:
-        """Document in force here; None before the first was learned."""
+        """Document in force at this router; None before the first arrives."""
         return self._replica.document
 
     async def latest(self) -> SettingsDocument | ReadFailed:
@@ -56,7 +56,7 @@
         return await read_document(self._store)
 
     async def submit(self, patch: Patch, author: str) -> SubmitResult:
-        """Write a patch, and pass the accepted document on to peers."""
+        """Write a patch and announce the accepted document to peers."""
         result = await submit_patch(
             self._store,
             patch,
@@ -76,13 +76,13 @@
     router : str
         Node identifier of this router.
     address, failure_domain : str
-        Where this router is.
+        Address and failure domain of this router.
     machine : RouterMachine
-        Knows the agents.
+        Source of the agents' state.
     members : MemberTable
-        Knows addresses.
+        Source of addresses.
     peers : PeerRouters
-        Knows the other routers.
+        Liveness of the other routers.
     replica : SettingsReplica
         Holds the document in force.
     clock : callable
@@ -165,14 +165,16 @@
         ]
 
     def _router_node(self, member: Member, now: float) -> NodeStatus:
-        heard_at = self._peers.heard_at(member.vm_id)
+        last_heard_at = self._peers.last_heard_at(member.vm_id)
         return NodeStatus(
             node_id=member.vm_id,
             role=NodeRole.ROUTER,
             address=member.address,
             failure_domain=member.failure_domain,
             settings_version=self._peers.version_of(member.vm_id),
-            silent_s=NEVER_HEARD_S if heard_at is None else now - heard_at,
+            silent_s=NEVER_HEARD_SILENCE_S
+            if last_heard_at is None
+            else now - last_heard_at,
         )
 
     def _agent_nodes(self) -> list[NodeStatus]:
@@ -183,7 +185,9 @@
                 address=self._members.address_of(view.agent) or "",
                 failure_domain=view.failure_domain,
                 settings_version=view.settings_version,
-                silent_s=NEVER_HEARD_S if view.silent_s is None else view.silent_s,
+                silent_s=NEVER_HEARD_SILENCE_S
+                if view.silent_s is None
+                else view.silent_s,
             )
             for view in self._machine.agents_view(self._clock())
         ]
--- a/libs/router/src/berylwalk/router/_agents.py
+++ b/libs/router/src/berylwalk/router/_agents.py
@@ -1,4 +1,4 @@
-"""What the router knows about each agent."""
+"""State of each agent, as known to the router."""
 
 from collections import deque
 from dataclasses import dataclass, field
@@ -9,7 +9,7 @@
     corrected_wait_s,
     service_s,
 )
-from berylwalk.router._config import PEER_TIMEOUT_S, SETTLE_S
+from berylwalk.router._config import DIGEST_LAG_S, PEER_TIMEOUT_S
 from berylwalk.wire import Digest
 
 NEVER = float("-inf")
@@ -17,30 +17,30 @@
 
 @dataclass(slots=True, eq=False)
 class AgentState:
-    """One agent, as its datagrams and the VM list describe it.
+    """State of one agent, from its datagrams and the VM list.
 
     Parameters
     ----------
     agent : str
         Node identifier.
     listed, listed_leaving : bool
-        What the VM list says.
+        Whether the VM list contains the agent, and whether as leaving.
     incarnation : int
-        Of the last accepted datagram; 0 before the first.
+        Incarnation of the last accepted datagram; 0 before the first.
     settings_version : int
         Settings version that the agent has in force.
-    heard_at : float
-        When the last datagram arrived.
+    last_heard_at : float
+        Time of the last datagram.
     digest : Digest or None
-        Last one of this incarnation.
+        Last digest of this incarnation.
     suspect : bool
-        Whether the agent turned a connection down, or refused an incarnation
-        or said it leaves, after the last digest.
+        Whether the agent refused a connection or an incarnation, or said that it
+        leaves, after the last digest.
     full_from_rank : int or None
-        Highest tier whose conditional grant found no free slot after the last
-        digest.
+        Lowest tier rank at which a conditional grant found no free slot after the
+        last digest.
     unanswered_since : float or None
-        When the first heartbeat was sent that nothing followed.
+        Time of the first heartbeat since the last datagram.
     has_timer : bool
         Whether its next heartbeat is scheduled.
     """
@@ -50,7 +50,7 @@
     listed_leaving: bool = False
     incarnation: int = 0
     settings_version: int = 0
-    heard_at: float = NEVER
+    last_heard_at: float = NEVER
     digest: Digest | None = None
     suspect: bool = False
     full_from_rank: int | None = None
@@ -61,39 +61,39 @@
 
     @property
     def resources(self) -> tuple[str, ...]:
-        """What the target serves when it is up, as far as it is known."""
+        """Resources that the target serves when it is up, if known."""
         return () if self.digest is None else self.digest.resources
 
     @property
     def offered(self) -> tuple[str, ...]:
-        """What the target serves at present."""
+        """Resources that the target serves at present."""
         return self.resources if self.has_target() else ()
 
-    def note_greeted(self, now: float) -> None:
-        """Note that a heartbeat is sent."""
+    def record_hello_sent(self, now: float) -> None:
+        """Record that a heartbeat was sent."""
         if self.unanswered_since is None:
             self.unanswered_since = now
 
-    def note_heard(self, now: float) -> None:
-        """Note that a datagram arrived."""
-        self.heard_at = now
+    def record_datagram(self, now: float) -> None:
+        """Record that a datagram arrived."""
+        self.last_heard_at = now
         self.unanswered_since = None
 
-    def may_be_near(self, now: float) -> bool:
-        """Return whether the agent can be one of the router's subset."""
+    def is_selectable(self, now: float) -> bool:
+        """Return whether the agent can be in the router's subsets."""
         if self.digest is None or self.is_leaving():
             return False
         since = self.unanswered_since
         return since is None or now - since <= PEER_TIMEOUT_S
 
     def is_reachable(self, now: float) -> bool:
-        """Return whether the agent was heard lately."""
-        return now - self.heard_at <= PEER_TIMEOUT_S
+        """Return whether a datagram of the agent arrived within the timeout."""
+        return now - self.last_heard_at <= PEER_TIMEOUT_S
 
     def is_leaving(self) -> bool:
-        """Return whether the agent takes no new work."""
-        said_so = self.digest is not None and self.digest.leaving
-        return said_so or self.listed_leaving or not self.listed
+        """Return whether the agent is leaving and takes no new work."""
+        announced_leaving = self.digest is not None and self.digest.leaving
+        return announced_leaving or self.listed_leaving or not self.listed
 
     def has_target(self) -> bool:
         """Return whether the agent reaches its target."""
@@ -110,11 +110,11 @@
         return resource in self.offered
 
     def accepts_sender(self, incarnation: int, now: float) -> bool:
-        """Return whether a datagram of the incarnation is to be handled."""
+        """Return whether to accept datagrams of an incarnation."""
         return incarnation >= self.incarnation or not self.is_reachable(now)
 
     def restart(self, incarnation: int) -> None:
-        """Forget the earlier incarnation."""
+        """Reset the state for a new incarnation."""
         self.incarnation = incarnation
         self.digest = None
         self.suspect = False
@@ -123,25 +123,25 @@
         self._sent_s = 0.0
 
     def update(self, digest: Digest, now: float) -> bool:
-        """Take a digest; return False when it is older than the last one."""
+        """Apply a digest; return False if it is not newer than the last one."""
         if self.digest is not None and digest.sequence <= self.digest.sequence:
             return False
         self.digest = digest
         self.suspect = False
         self.full_from_rank = None
-        while self._sent and self._sent[0][0] <= now - SETTLE_S:
+        while self._sent and self._sent[0][0] <= now - DIGEST_LAG_S:
             self._sent.popleft()
         self._sent_s = sum(seconds for _, seconds in self._sent)
         return True
 
-    def note_sent(self, work: Work, now: float) -> None:
-        """Count a request that the last digest does not."""
+    def record_sent(self, work: Work, now: float) -> None:
+        """Count a request that the last digest does not include."""
         seconds = self._service_s(work)
         self._sent.append((now, seconds))
         self._sent_s += seconds
 
-    def note_full(self, rank: int) -> None:
-        """Note that no slot was free for the tier."""
+    def record_no_slot(self, rank: int) -> None:
+        """Record that no slot was free for a tier."""
         known = self.full_from_rank
         self.full_from_rank = rank if known is None else min(rank, known)
 
@@ -152,7 +152,7 @@
         sent = len(self._sent)
         busy = digest.running + digest.ready
         waiting = digest.waiting_by_rank
-        # Those of lower tiers do not stand in the way of the work.
+        # Requests of lower tiers do not delay the work.
         ahead = sum(waiting[: work.tier_rank + 1])
         free_slots = digest.limit - busy - ahead
         limit = max(digest.limit, 1)
@@ -170,7 +170,7 @@
             failure_domain=digest.failure_domain,
             slow=digest.slow,
             wait_s=wait_s,
-            # Free slots with a wait are kept free for higher tiers.
+            # Free slots despite a wait are headroom for higher tiers.
             free_slots=0 if wait_s > 0 else free_slots - sent,
             load=(busy + sum(waiting) + sent) / limit,
             prefill_tokens_per_s=digest.prefill_tokens_per_s,
--- a/libs/router/src/berylwalk/router/_arrivals.py
+++ b/libs/router/src/berylwalk/router/_arrivals.py
@@ -1,4 +1,4 @@
-"""Arrival of requests, their idempotency keys, deadlines and callers."""
+"""Handlers of request arrival, key claims, deadlines and caller disconnects."""
 
 from functools import partial
 
@@ -22,7 +22,7 @@
     KeyRefused,
     ReleaseKey,
 )
-from berylwalk.router._messages import grant_remembered
+from berylwalk.router._messages import grant_ready_reservation
 from berylwalk.router._placing import deadline_refusal, place
 from berylwalk.router._request_state import KeyState, RequestState
 
@@ -32,34 +32,34 @@
     refusal = _refusal_at_arrival(core, request)
     if refusal is not None:
         answer = FinalResponse(Outcome.NOT_RUN, refusal)
-        core.outbox.act(EndRequest(request.request_id, answer))
+        core.outbox.add_action(EndRequest(request.request_id, answer))
         return
     key = KeyState.PENDING if request.idempotency_key else KeyState.NOT_NEEDED
     state = RequestState(request, key)
     core.add(state)
     if key is KeyState.PENDING:
-        core.outbox.act(ClaimKey(request))
+        core.outbox.add_action(ClaimKey(request))
     callback = partial(_on_deadline, core, request.request_id)
     core.timers.add(request.deadline_at, callback)
     place(core, state, now)
 
 
 def on_key_claimed(core: RouterCore, event: KeyClaimed, now: float) -> None:
-    """Allow the grant, or remove the record of a request that has ended."""
+    """Allow the grant, or release the key of a request that has ended."""
     ended = core.unclaimed_by_id.pop(event.request_id, None)
     if ended is not None:
-        core.outbox.act(ReleaseKey(ended))
+        core.outbox.add_action(ReleaseKey(ended))
         return
     state = core.requests_by_id.get(event.request_id)
     if state is None or state.key is not KeyState.PENDING:
         return
     state.key = KeyState.CLAIMED
-    if not grant_remembered(core, state, now):
+    if not grant_ready_reservation(core, state, now):
         place(core, state, now)
 
 
 def on_key_refused(core: RouterCore, event: KeyRefused) -> None:
-    """End the request, whose key is not its own."""
+    """End a request whose idempotency key could not be claimed."""
     core.unclaimed_by_id.pop(event.request_id, None)
     state = core.requests_by_id.get(event.request_id)
     if state is None or state.key is not KeyState.PENDING:
@@ -69,17 +69,17 @@
 
 
 def on_caller_gone(core: RouterCore, request_id: RequestId) -> None:
-    """Withdraw the request, or leave a granted one to the agent."""
+    """Withdraw a waiting request, or abandon the grant of a granted one."""
     state = core.requests_by_id.get(request_id)
     if state is None:
         return
     if state.grant is None:
-        refusal = Refusal(RefusalReason.WITHDRAWN, detail="the caller went away")
+        refusal = Refusal(RefusalReason.WITHDRAWN, detail="the caller disconnected")
         end_not_run(core, state, refusal)
         return
     if state.grant.lost_at is None:
-        core.outbox.act(AbandonGrant(request_id, state.grant.attempt))
-    end_unknown(core, state, "the caller went away after the grant")
+        core.outbox.add_action(AbandonGrant(request_id, state.grant.attempt))
+    end_unknown(core, state, "the caller disconnected after the grant")
 
 
 def _refusal_at_arrival(core: RouterCore, request: Request) -> Refusal | None:
--- a/libs/router/src/berylwalk/router/_claim_results.py
+++ b/libs/router/src/berylwalk/router/_claim_results.py
@@ -6,12 +6,12 @@
 from berylwalk.platform import KeyValue
 from berylwalk.router._config import DEFAULT_RETRY_AFTER_MS
 from berylwalk.router._records import RecordState, decode_record, fingerprint
-from berylwalk.router._stored_answers import StoredAnswer
+from berylwalk.router._stored_responses import StoredResponse
 
 
 @dataclass(frozen=True, slots=True)
 class Claimed:
-    """The key's record names the request: it may be granted."""
+    """The record of the key names the request, so it may be granted."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -21,29 +21,30 @@
     Parameters
     ----------
     refusal : Refusal
-        Why.
-    replay : StoredAnswer or None
-        The answer of the same call under the same key.
-    unsettled : bool
-        Whether the record may yet appear; see `IdempotencyRecords.settle`.
+        The reason.
+    replay : StoredResponse or None
+        The response to the same call under the same key.
+    is_outcome_unknown : bool
+        Whether the record may still appear; see
+        `IdempotencyRecords.delete_late_record`.
     """
 
     refusal: Refusal
-    replay: StoredAnswer | None = None
-    unsettled: bool = False
+    replay: StoredResponse | None = None
+    is_outcome_unknown: bool = False
 
 
-def platform_down() -> Refusal:
-    """Return the refusal of a claim that the service did not answer."""
+def platform_down_refusal() -> Refusal:
+    """Return the refusal of a claim while the key-value service is unavailable."""
     return Refusal(
         RefusalReason.PLATFORM_DOWN,
         DEFAULT_RETRY_AFTER_MS,
-        "the idempotency key cannot be recorded at present",
+        "the idempotency key cannot be recorded: the key-value service is unavailable",
     )
 
 
-def refused_by(current: KeyValue, request: Request) -> ClaimRefused:
-    """Return the result of a claim whose key has a record already.
+def refusal_for_record(current: KeyValue, request: Request) -> ClaimRefused:
+    """Return the result of a claim whose key already has a record.
 
     Parameters
     ----------
@@ -54,13 +55,13 @@
     """
     record = decode_record(current.value)
     if record is None:
-        return _in_use("the record of the idempotency key cannot be read")
+        return _in_use("the record of the idempotency key cannot be decoded")
     name = record.request_id
     if record.fingerprint != fingerprint(request):
         detail = f"request {name} with the same key is a different call"
         return ClaimRefused(Refusal(RefusalReason.KEY_REUSED, detail=detail))
     if record.state is RecordState.CLAIMED:
-        return _in_use(f"request {name} with the same key runs or may have run")
+        return _in_use(f"request {name} with the same key is running or may have run")
     detail = f"request {name} is complete with status {record.status}"
     refusal = Refusal(RefusalReason.KEY_SETTLED, detail=detail)
     return ClaimRefused(refusal, record.answer)
--- a/libs/router/src/berylwalk/router/_config.py
+++ b/libs/router/src/berylwalk/router/_config.py
@@ -6,63 +6,63 @@
 from berylwalk.settings import RouterSettings, RoutingPolicy
 
 TICK_S = 0.01
-"""How late a `Tick` may be that something waits for, in seconds."""
+"""Maximum delay of a `Tick` for a due timer, in seconds."""
 
 IDLE_TICK_S = 0.1
-"""Longest time between two `Tick` events, in seconds."""
+"""Maximum time between two `Tick` events, in seconds."""
 
 HELLO_INTERVAL_S = 1.0
 """Time between two heartbeats to an agent."""
 
-LONGEST_HELLO_INTERVAL_S = 1.4
-"""The same when many agents have heartbeats; two of them fit into the timeout."""
+MAX_HELLO_INTERVAL_S = 1.4
+"""Upper bound of the interval; two heartbeats fit into `PEER_TIMEOUT_S`."""
 
 PEER_TIMEOUT_S = 3.0
-"""Silence after which an agent counts as unreachable."""
+"""Silence after which an agent is considered unreachable."""
 
 REVOKE_TIMEOUT_S = 2.0
 """Time after which an unanswered `Revoke` leaves the outcome unknown."""
 
-FIRST_RESEND_S = 0.03
-"""Time until an unanswered message is sent again; doubles each time."""
+INITIAL_RESEND_DELAY_S = 0.03
+"""Time until the first resend of an unanswered message; doubles each time."""
 
-LONGEST_RESEND_S = 0.5
+MAX_RESEND_DELAY_S = 0.5
 """Upper bound of the time between two resends."""
 
-RECONFIRM_S = 2.0
+RESERVATION_REFRESH_S = 2.0
 """Time between two resends of a reservation that the agent has queued."""
 
 SCAN_INTERVAL_S = 0.25
-"""Time between two searches for silent agents and stalled grants."""
+"""Time between two scans for silent agents and stalled grants."""
 
 TARGET_WAIT_S = 1.0
-"""Time a request waits for any eligible agent before it is refused."""
+"""Maximum wait of a request for an eligible agent before it is refused."""
 
-REFUSAL_LIFETIME_S = 0.5
-"""Age from which a refusal no longer proves that the agent is full."""
+REFUSAL_TTL_S = 0.5
+"""Time for which a refusal keeps the agent from being asked again."""
 
-RETRY_JITTER_S = 0.05
+INITIAL_RETRY_JITTER_S = 0.05
 """Upper bound of the random delay before the first budgeted retry; doubles."""
 
-LONGEST_RETRY_JITTER_S = 1.0
+MAX_RETRY_JITTER_S = 1.0
 """Upper bound of the random delay before any retry."""
 
 MAX_RESERVATIONS = 2
-"""Agents at which one request waits at once."""
+"""Maximum number of agents at which one request waits at the same time."""
 
-SHARED_PREFIX_PATIENCE = 0.5
-"""Share of the remaining time after which a request whose prefix is cached asks
-a second agent."""
+CACHED_PREFIX_WAIT_FRACTION = 0.5
+"""Fraction of the remaining time for which a request with a cached prefix waits
+before it reserves at a second agent."""
 
 MAX_ATTEMPTS_PER_AGENT = 4
-"""Attempts of one request that an agent may turn down for reasons which a
-new attempt can cure, before that counts as a refusal."""
+"""Failed attempts of one request at an agent, for transient reasons, that count as
+a refusal."""
 
 DEFAULT_RETRY_AFTER_MS = 1000
-"""Told to callers when no agent named a time."""
+"""Retry-After for callers if no agent specified one."""
 
-SETTLE_S = 0.02
-"""Age from which a request sent to an agent is part of its next digest."""
+DIGEST_LAG_S = 0.02
+"""Age from which a sent request is assumed to be included in the next digest."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -76,13 +76,13 @@
     incarnation : int
         Wall-clock milliseconds at the start of the process.
     failure_domain : str
-        Where the router is.
+        Failure domain of the router.
     policy : RoutingPolicy
         How requests are placed.
     second_reservation_delay_s : float
-        Wait before a second agent is asked, in seconds.
+        Delay before a reservation at a second agent, in seconds.
     subset_size : int
-        Agents that the router works with for each resource.
+        Maximum number of agents per resource that receive work.
     retry_ratio : float
         Retries allowed per success.
     """
--- a/libs/router/src/berylwalk/router/_control.py
+++ b/libs/router/src/berylwalk/router/_control.py
@@ -9,7 +9,7 @@
 from berylwalk.router._membership import MemberTable
 from berylwalk.router._peers import PeerRouters
 from berylwalk.router._settings_sync import SettingsSync
-from berylwalk.transport import Datagram as Received
+from berylwalk.transport import Datagram as ReceivedDatagram
 from berylwalk.transport import DatagramEndpoint
 from berylwalk.wire import (
     ControlMessage,
@@ -26,6 +26,8 @@
 class ControlChannel:
     """Sends and receives control datagrams.
 
+    `set_settings_sync` must be called before the first datagram.
+
     Parameters
     ----------
     endpoint : DatagramEndpoint
@@ -37,13 +39,13 @@
     incarnation : int
         Incarnation of this router.
     members : MemberTable
-        Knows addresses.
+        Source of addresses.
     peers : PeerRouters
-        Told of datagrams of other routers.
+        Records datagrams of other routers.
     seeds : iterable of str
-        Addresses of routers that are greeted before they are listed.
+        Addresses of routers that receive heartbeats before they are listed.
     handle : callable
-        Takes the datagrams of agents, as events.
+        Receives the datagrams of agents, as events.
     clock : callable
         Monotonic clock, in seconds.
     """
@@ -73,18 +75,18 @@
         self._sync: SettingsSync | None = None
         self.leaving = False
 
-    def use_sync(self, sync: SettingsSync) -> None:
-        """Set what hears the settings versions and tells this router's own."""
+    def set_settings_sync(self, sync: SettingsSync) -> None:
+        """Set the settings synchronization, which tracks reported versions."""
         self._sync = sync
 
     def send(self, node_id: str, messages: tuple[ControlMessage, ...]) -> None:
-        """Send one datagram to a member; without a known address it is dropped."""
+        """Send one datagram to a member; dropped if its address is unknown."""
         address = self._members.address_of(node_id)
         if address is not None:
             self._send_to(address, messages)
 
     def announce(self) -> None:
-        """Tell all known nodes the settings version in force."""
+        """Announce the settings version in force to all known nodes."""
         for router in self._members.router_ids:
             self.send(router, self._hello())
         for agent in self._members.agent_ids:
@@ -93,43 +95,49 @@
     async def run_hellos(self) -> None:
         """Send heartbeats to the other routers."""
         while True:
-            for router in self._peers.take_turns(self._members.router_ids):
+            for router in self._peers.next_heartbeat_recipients(
+                self._members.router_ids
+            ):
                 self.send(router, self._hello())
-            self._greet_seeds()
+            self._send_hellos_to_seeds()
             await sleep(HELLO_INTERVAL_S)
 
     async def run_receiver(self) -> None:
-        """Take datagrams in until the endpoint is closed."""
+        """Handle datagrams until the endpoint is closed."""
         async for received in self._endpoint:
-            self.take(received)
+            self.handle_received(received)
 
-    def take(self, received: Received) -> None:
-        """Take one datagram in."""
+    def handle_received(self, received: ReceivedDatagram) -> None:
+        """Handle one received datagram."""
         datagram = decode_datagram(received.payload)
         if datagram is None or datagram.sender == self._router:
             return
         now = self._clock()
-        self._members.hear(datagram.sender, now)
+        self._members.record_datagram(datagram.sender, now)
         if self._is_from_router(datagram):
-            self._take_from_router(datagram, received.address[0], now)
+            self._handle_router_datagram(datagram, received.address[0], now)
             return
         address = received.address[0]
-        self._sync.hear_agent(datagram.sender, address, datagram.settings_version)
+        self._sync.record_agent_version(
+            datagram.sender, address, datagram.settings_version
+        )
         self._handle(DatagramArrived(datagram))
 
-    def _take_from_router(self, datagram: Datagram, address: str, now: float) -> None:
+    def _handle_router_datagram(
+        self, datagram: Datagram, address: str, now: float
+    ) -> None:
         router = datagram.sender
-        self._members.learn_router(router, address, now)
-        self._peers.hear(router, datagram.settings_version, now)
-        self._sync.hear_router(router, datagram.settings_version)
+        self._members.add_router(router, address, now)
+        self._peers.record_datagram(router, datagram.settings_version, now)
+        self._sync.record_router_version(router, datagram.settings_version)
 
     def _is_from_router(self, datagram: Datagram) -> bool:
         if self._members.is_router(datagram.sender):
             return True
-        # Agents never greet; this one is a router that is not listed yet.
+        # Only routers send Hello, so this is a router that is not listed yet.
         return any(isinstance(message, Hello) for message in datagram.messages)
 
-    def _greet_seeds(self) -> None:
+    def _send_hellos_to_seeds(self) -> None:
         known = {member.address for member in self._members.members}
         for address in self._seeds:
             if address not in known:
--- a/libs/router/src/berylwalk/router/_core.py
+++ b/libs/router/src/berylwalk/router/_core.py
@@ -1,4 +1,4 @@
-"""State that the steps of the router's machine share."""
+"""State shared by the handlers of the router's state machine."""
 
 from collections import defaultdict
 from random import Random
@@ -14,8 +14,8 @@
 from berylwalk.router._agent_table import AgentTable
 from berylwalk.router._agents import AgentState
 from berylwalk.router._config import (
-    FIRST_RESEND_S,
-    LONGEST_RESEND_S,
+    INITIAL_RESEND_DELAY_S,
+    MAX_RESEND_DELAY_S,
     RouterConfig,
 )
 from berylwalk.router._outbox import Outbox
@@ -47,9 +47,9 @@
         self.agents = AgentTable(config.router, config.subset_size)
         self.budget = RetryBudget(config.retry_ratio)
         self.timers = Timers()
-        # Heartbeats and searches may be late by a tick, so that they need no
-        # wake-ups of their own.
-        self.lax_timers = Timers()
+        # Heartbeats and scans tolerate the delay of an idle tick and cause no
+        # wake-ups.
+        self.coarse_timers = Timers()
         self.outbox = Outbox()
         self.requests_by_id: dict[RequestId, RequestState] = {}
         self.ids_by_account: defaultdict[str, set[RequestId]] = defaultdict(set)
@@ -64,19 +64,19 @@
         return earliest_finish(self.history, failure_domain=domain, rng=self.rng)
 
     @property
-    def reserves(self) -> bool:
+    def uses_reservations(self) -> bool:
         """Whether the policy uses reservations."""
         return self.config.policy is not RoutingPolicy.ROUND_ROBIN
 
     def add(self, state: RequestState) -> None:
-        """Take over a new request."""
+        """Register a new request."""
         request = state.request
         self.requests_by_id[request.request_id] = state
         account = request.service_policy.client_account
         self.ids_by_account[account].add(request.request_id)
 
     def remove(self, state: RequestState) -> None:
-        """Forget a request that ended."""
+        """Remove a request that ended."""
         request = state.request
         del self.requests_by_id[request.request_id]
         self.unplaced_ids.pop(request.request_id, None)
@@ -86,11 +86,11 @@
             del self.ids_by_account[account]
 
     def eligible(self, state: RequestState, now: float) -> list[AgentState]:
-        """Return the agents that may take the request, whoever refused it."""
+        """Return the agents that can serve the request, including any that refused."""
         return self.agents.eligible(state.request.call.resource, now)
 
     def resend_delay(self, resends: int) -> float:
         """Return the jittered time until the next resend, in seconds."""
-        # The exponent is bounded because a float overflows beyond 1023.
-        delay = min(FIRST_RESEND_S * 2 ** min(resends, 10), LONGEST_RESEND_S)
+        # Bounding the exponent avoids a float overflow.
+        delay = min(INITIAL_RESEND_DELAY_S * 2 ** min(resends, 10), MAX_RESEND_DELAY_S)
         return delay * self.rng.uniform(0.75, 1.25)
--- a/libs/router/src/berylwalk/router/_daemon.py
+++ b/libs/router/src/berylwalk/router/_daemon.py
@@ -1,4 +1,4 @@
-"""The router's process: its start and its end."""
+"""Startup, shutdown and background tasks of the router process."""
 
 import time
 from collections.abc import Awaitable, Callable
@@ -17,22 +17,22 @@
 
 RECORD_WRITERS = 4
 SEED_INTERVAL_S = 0.5
-"""Time between two rounds of questions to the routers named in the settings."""
+"""Time between two rounds of settings pulls from the configured routers."""
 
-LINGER_S = 1.0
-"""Least time for which new requests are refused before the ports close."""
+MIN_DRAIN_S = 1.0
+"""Minimum time for which new requests are refused before the ports close."""
 
-FLUSH_S = 3.0
-"""Longest wait for the last writes of idempotency records."""
+FLUSH_TIMEOUT_S = 3.0
+"""Maximum wait for the last writes of idempotency records."""
 
-CLOSE_S = 5.0
-"""Longest wait for callers to read the ends of their answers."""
+CLOSE_TIMEOUT_S = 5.0
+"""Maximum wait for callers to read the rest of their responses."""
 
 Task = Callable[[], Awaitable[None]]
 
 
 class RouterDaemon:
-    """A router.
+    """A router process.
 
     Build it with :meth:`from_config`, then ``await start()``. Start and close
     it in the same task.
@@ -79,25 +79,25 @@
         await parts.listeners.start()
         for name, task in self._background_tasks():
             self._task_group.start_soon(keep_running, name, task)
-        self._spawn(self._ask_seeds)
-        logging.info("router %s is started", self._name)
+        self._spawn(self._pull_from_seeds)
+        logging.info("router %s started", self._name)
 
     async def drain(self) -> None:
-        """Refuse new requests, and return when the accepted ones ended."""
+        """Refuse new requests, and return when the accepted ones have ended."""
         logging.info("draining")
         parts = self._parts
         parts.readiness.is_draining = True
         parts.control.leaving = True
         async with create_task_group() as tasks:
-            tasks.start_soon(sleep, LINGER_S)
+            tasks.start_soon(sleep, MIN_DRAIN_S)
             tasks.start_soon(parts.requests.shell.drain)
-        with move_on_after(FLUSH_S):
+        with move_on_after(FLUSH_TIMEOUT_S):
             await parts.requests.records.flush()
-        await parts.listeners.close(timeout_s=CLOSE_S)
+        await parts.listeners.close(timeout_s=CLOSE_TIMEOUT_S)
         logging.info("drained")
 
     async def close(self) -> None:
-        """Stop at once; requests in progress are cut."""
+        """Stop immediately; requests in progress are aborted."""
         parts = self._parts
         with CancelScope(shield=True):
             await parts.listeners.close()
@@ -110,7 +110,7 @@
         parts.requests.tracing.close()
 
     def readiness(self) -> list[Finding]:
-        """Return why requests should not be sent here; empty when ready."""
+        """Return the reasons why the router is not ready; empty if it is."""
         return self._parts.readiness.findings()
 
     def _background_tasks(self) -> list[tuple[str, Task]]:
@@ -132,20 +132,20 @@
         ]
 
     def _spawn(self, function: Callable[..., Awaitable[None]], *args: Any) -> None:
-        self._task_group.start_soon(_guarded, function, *args)
+        self._task_group.start_soon(_log_exceptions, function, *args)
 
-    async def _ask_seeds(self) -> None:
-        """Ask the named routers for their settings until this one is ready."""
+    async def _pull_from_seeds(self) -> None:
+        """Pull settings from the configured routers until this one is ready."""
         sync = self._parts.settings_sync
         while not sync.is_ready:
             async with create_task_group() as tasks:
                 for address in self._parts.fleet.directory.seed_addresses:
-                    tasks.start_soon(sync.ask, address)
+                    tasks.start_soon(sync.pull_from, address)
             await sleep(SEED_INTERVAL_S)
 
 
-async def _guarded(function: Callable[..., Awaitable[None]], *args: Any) -> None:
-    # An error in a task of the group would end all the others.
+async def _log_exceptions(function: Callable[..., Awaitable[None]], *args: Any) -> None:
+    # An exception in one task would cancel all tasks of the group.
     try:
         await function(*args)
     except Exception:
@@ -153,7 +153,7 @@
 
 
 def run_router(settings: RouterSettings) -> None:
-    """Run a router until SIGTERM or SIGINT; the requests in progress end first.
+    """Run a router until SIGTERM or SIGINT, then drain it.
 
     Parameters
     ----------
--- a/libs/router/src/berylwalk/router/_ending.py
+++ b/libs/router/src/berylwalk/router/_ending.py
@@ -1,4 +1,4 @@
-"""The end of a request."""
+"""Ending of requests and withdrawal of their reservations."""
 
 from berylwalk.model import FinalResponse, Outcome, Refusal, RefusalReason
 from berylwalk.router._config import DEFAULT_RETRY_AFTER_MS
@@ -8,8 +8,8 @@
 from berylwalk.wire import Withdraw
 
 
-def drop_reservation(core: RouterCore, state: RequestState, agent: str) -> None:
-    """Give up the place at one agent and tell it."""
+def withdraw_reservation(core: RouterCore, state: RequestState, agent: str) -> None:
+    """Withdraw the reservation at one agent."""
     reservation = state.reservations_by_agent.pop(agent, None)
     if reservation is None:
         return
@@ -17,27 +17,27 @@
     core.outbox.send(agent, Withdraw(request_id, reservation.attempt))
 
 
-def drop_reservations(core: RouterCore, state: RequestState) -> None:
-    """Give up all places."""
+def withdraw_reservations(core: RouterCore, state: RequestState) -> None:
+    """Withdraw the reservations at all agents."""
     for agent in tuple(state.reservations_by_agent):
-        drop_reservation(core, state, agent)
+        withdraw_reservation(core, state, agent)
 
 
 def end_not_run(core: RouterCore, state: RequestState, refusal: Refusal) -> None:
-    """End a request that truly did not run.
+    """End a request that did not run.
 
     Raises
     ------
     RuntimeError
-        If a grant is outstanding, so that nobody can know that.
+        If a grant is outstanding, so that the request may have run.
     """
     if state.phase not in (Phase.UNPLACED, Phase.WAITING):
         raise RuntimeError(f"{state.request.request_id} has an outstanding grant")
     retry_after_ms = refusal.retry_after_ms or DEFAULT_RETRY_AFTER_MS
-    told = Refusal(refusal.reason, retry_after_ms, refusal.detail)
-    drop_reservations(core, state)
+    final_refusal = Refusal(refusal.reason, retry_after_ms, refusal.detail)
+    withdraw_reservations(core, state)
     _release_key(core, state)
-    _end(core, state, FinalResponse(Outcome.NOT_RUN, told))
+    _end(core, state, FinalResponse(Outcome.NOT_RUN, final_refusal))
 
 
 def end_unknown(core: RouterCore, state: RequestState, detail: str) -> None:
@@ -50,7 +50,7 @@
 
 
 def end_complete(core: RouterCore, state: RequestState) -> None:
-    """End a request whose whole answer arrived."""
+    """End a request whose whole response arrived."""
     grant = state.grant
     assert grant is not None
     core.budget.record_success()
@@ -60,13 +60,13 @@
 
 def _end(core: RouterCore, state: RequestState, answer: FinalResponse) -> None:
     core.remove(state)
-    core.outbox.act(EndRequest(state.request.request_id, answer))
+    core.outbox.add_action(EndRequest(state.request.request_id, answer))
 
 
 def _release_key(core: RouterCore, state: RequestState) -> None:
     request = state.request
     if state.key is KeyState.CLAIMED:
-        core.outbox.act(ReleaseKey(request))
+        core.outbox.add_action(ReleaseKey(request))
     if state.key is KeyState.PENDING:
-        # The claim is under way; its record goes once it is known to exist.
+        # The claim is in progress; its record is deleted once the claim succeeds.
         core.unclaimed_by_id[request.request_id] = request
--- a/libs/router/src/berylwalk/router/_events.py
+++ b/libs/router/src/berylwalk/router/_events.py
@@ -15,7 +15,7 @@
 
 @dataclass(frozen=True, slots=True)
 class DatagramArrived:
-    """A datagram of an agent was opened and decoded."""
+    """A datagram of an agent was authenticated and decoded."""
 
     datagram: Datagram
 
@@ -30,7 +30,7 @@
 
 @dataclass(frozen=True, slots=True)
 class GrantRefused:
-    """The agent refused the grant over HTTP: this attempt never runs."""
+    """The agent refused the grant over HTTP; this attempt never runs."""
 
     request_id: RequestId
     attempt: int
@@ -39,7 +39,7 @@
 
 @dataclass(frozen=True, slots=True)
 class AnswerStarted:
-    """The agent dispatched, and the target's status arrived."""
+    """The agent dispatched the request, and the target's status arrived."""
 
     request_id: RequestId
     attempt: int
@@ -47,7 +47,7 @@
 
 @dataclass(frozen=True, slots=True)
 class AnswerProgress:
-    """Another piece of the answer arrived."""
+    """Another chunk of the response arrived."""
 
     request_id: RequestId
     attempt: int
@@ -55,7 +55,7 @@
 
 @dataclass(frozen=True, slots=True)
 class AnswerComplete:
-    """The whole answer arrived."""
+    """The whole response arrived."""
 
     request_id: RequestId
     attempt: int
@@ -68,7 +68,8 @@
     Parameters
     ----------
     started : bool
-        Whether the target's status had arrived, which proves a dispatch.
+        Whether the target's status had arrived, which proves that the agent
+        dispatched the request.
     """
 
     request_id: RequestId
@@ -78,14 +79,14 @@
 
 @dataclass(frozen=True, slots=True)
 class CallerGone:
-    """The caller went away."""
+    """The caller disconnected."""
 
     request_id: RequestId
 
 
 @dataclass(frozen=True, slots=True)
 class KeyClaimed:
-    """The idempotency record now names this request: it may be granted."""
+    """The idempotency record names this request, so it may be granted."""
 
     request_id: RequestId
 
@@ -100,14 +101,14 @@
 
 @dataclass(frozen=True, slots=True)
 class AgentsListed:
-    """The VM list or a peer named the agents.
+    """The list of agents changed, from the VM list or a peer.
 
     Parameters
     ----------
     agents : tuple of str
         Node identifiers of target VMs.
     leaving : frozenset of str
-        Those that the platform will take away.
+        Agents whose VM the platform is about to remove.
     """
 
     agents: tuple[str, ...]
@@ -116,7 +117,7 @@
 
 @dataclass(frozen=True, slots=True)
 class DrainRequested:
-    """Accept no new requests; finish those accepted."""
+    """Stop accepting requests and finish the accepted ones."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -154,7 +155,7 @@
 class IssueGrant:
     """POST the grant with the request's body to the agent.
 
-    Answered by `GrantNotSent`, `GrantRefused`, `GrantLost`, or by
+    Results in `GrantNotSent`, `GrantRefused` or `GrantLost`, or in
     `AnswerStarted` followed by `AnswerProgress` and `AnswerComplete`.
     """
 
@@ -164,7 +165,7 @@
 
 @dataclass(frozen=True, slots=True)
 class AbandonGrant:
-    """Close the connection that carries the attempt's grant and answer."""
+    """Close the connection that carries the attempt's grant and response."""
 
     request_id: RequestId
     attempt: int
@@ -172,21 +173,21 @@
 
 @dataclass(frozen=True, slots=True)
 class ClaimKey:
-    """Create the idempotency record; answered by `KeyClaimed` or `KeyRefused`."""
+    """Create the idempotency record; results in `KeyClaimed` or `KeyRefused`."""
 
     request: Request
 
 
 @dataclass(frozen=True, slots=True)
 class ReleaseKey:
-    """Remove the idempotency record, because the request truly did not run."""
+    """Remove the idempotency record of a request that did not run."""
 
     request: Request
 
 
 @dataclass(frozen=True, slots=True)
 class EndRequest:
-    """The request ended; forget it and tell the caller."""
+    """Send the final response to the caller and forget the request."""
 
     request_id: RequestId
     answer: FinalResponse
@@ -194,7 +195,7 @@
 
 @dataclass(frozen=True, slots=True)
 class DrainFinished:
-    """No accepted request is left after a `DrainRequested`."""
+    """All accepted requests have ended after a `DrainRequested`."""
 
 
 RouterAction = (
--- a/libs/router/src/berylwalk/router/_fleet_state.py
+++ b/libs/router/src/berylwalk/router/_fleet_state.py
@@ -1,4 +1,4 @@
-"""What a router knows of the other processes and of the settings in force."""
+"""State of the other processes and of the settings, as seen by a router."""
 
 from dataclasses import dataclass
 from time import monotonic
@@ -12,16 +12,16 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class FleetState:
-    """State that the parts of a router share.
+    """State shared by the components of a router.
 
     Parameters
     ----------
     members : MemberTable
         The listed processes and their addresses.
     peers : PeerRouters
-        The live routers.
+        Liveness of the other routers.
     directory : Directory
-        Answers questions about the two.
+        Addresses and roles derived from the members and peers.
     replica : SettingsReplica
         The highest settings document seen.
     """
@@ -33,7 +33,7 @@
 
     @classmethod
     def from_config(cls, settings: RouterSettings) -> Self:
-        """Build the state before anything was heard or read."""
+        """Build the initial state, without members or settings."""
         router = settings.node.id
         members = MemberTable(router)
         peers = PeerRouters(router)
--- a/libs/router/src/berylwalk/router/_grant_tasks.py
+++ b/libs/router/src/berylwalk/router/_grant_tasks.py
@@ -1,4 +1,4 @@
-"""Tasks that send grants, one for each grant that is issued."""
+"""Tasks that send grants, one per issued grant."""
 
 from collections.abc import Callable
 
@@ -22,20 +22,20 @@
 
 
 class GrantTasks:
-    """Starts and cuts the sending of grants.
+    """Starts and cancels the tasks that send grants.
 
     Parameters
     ----------
     sender : GrantSender
-        Sends a grant and relays its answer.
+        Sends a grant and relays its response.
     spawn : callable
         Starts a task.
     tracing : Tracing
         Starts spans.
-    active_of : callable
-        Returns the active request of an identifier, or None.
+    find_active : callable
+        Returns the active request with an identifier, or None.
     handle : callable
-        Takes `GrantNotSent`.
+        Receives `GrantNotSent`.
     """
 
     def __init__(
@@ -44,28 +44,28 @@
         *,
         spawn: Spawn,
         tracing: Tracing,
-        active_of: Callable[[RequestId], ActiveRequest | None],
+        find_active: Callable[[RequestId], ActiveRequest | None],
         handle: Callable[[RouterEvent], None],
     ) -> None:
         self._sender = sender
         self._spawn = spawn
         self._tracing = tracing
-        self._active_of = active_of
+        self._find_active = find_active
         self._handle = handle
 
     def issue(self, action: IssueGrant) -> None:
-        """Start to send a grant."""
-        active = self._active_of(action.grant.request_id)
+        """Start a task that sends the grant."""
+        active = self._find_active(action.grant.request_id)
         if active is None:
-            logging.error("a grant for a request that ended: %s", action.grant)
+            logging.error("grant issued for a request that ended: %s", action.grant)
             self._spawn(self._report_not_sent, action.grant)
             return
         active.grant = ActiveGrant(action.grant)
         self._spawn(self._send, active, active.grant)
 
     def abandon(self, action: AbandonGrant) -> None:
-        """Cut the sending of a grant, unless the request has a later one."""
-        active = self._active_of(action.request_id)
+        """Cancel the sending of a grant, unless the request has a later one."""
+        active = self._find_active(action.request_id)
         if active is None or active.grant is None:
             return
         if active.grant.grant.attempt == action.attempt:
@@ -82,8 +82,8 @@
         try:
             await self._sender.send(active, granted)
         finally:
-            was_cut = granted.scope.cancelled_caught
-            hop.end(HopStatus.ERROR if was_cut else HopStatus.OK)
+            was_cancelled = granted.scope.cancelled_caught
+            hop.end(HopStatus.ERROR if was_cancelled else HopStatus.OK)
 
     def _start_hop(self, active: ActiveRequest, grant: Grant) -> Hop:
         return self._tracing.start_hop(
--- a/libs/router/src/berylwalk/router/_granting.py
+++ b/libs/router/src/berylwalk/router/_granting.py
@@ -1,4 +1,4 @@
-"""What becomes of an issued grant."""
+"""Handling of issued grants: progress, refusal, loss and revocation."""
 
 from functools import partial
 
@@ -17,10 +17,10 @@
 )
 from berylwalk.router._placing import (
     place,
-    refuse_agent,
+    record_failed_attempt,
+    record_refusal,
     reserve_after_no_slot,
     retry_or_end,
-    turn_down,
 )
 from berylwalk.router._request_state import OutstandingGrant, RequestState
 from berylwalk.wire import Revoke, RevokeResult, Withdraw
@@ -44,71 +44,71 @@
 
 
 def on_not_sent(core: RouterCore, state: RequestState, now: float) -> None:
-    """Place elsewhere: no byte of the grant was sent."""
-    grant = _settle(state)
+    """Place the request again; no byte of the grant was sent."""
+    grant = _clear_grant(state)
     if not grant.conditional:
         request_id = state.request.request_id
         core.outbox.send(grant.agent, Withdraw(request_id, grant.attempt))
-    _suspect(core, grant)
-    refusal = Refusal(RefusalReason.NO_TARGET, detail="the agent was not reachable")
-    turn_down(state, grant.agent, refusal, now)
+    _mark_suspect(core, grant)
+    refusal = Refusal(RefusalReason.NO_TARGET, detail="the agent is unreachable")
+    record_failed_attempt(state, grant.agent, refusal, now)
     place(core, state, now)
 
 
 def on_refused(
     core: RouterCore, state: RequestState, refusal: Refusal, now: float
 ) -> None:
-    """Handle the agent's answer that the attempt never runs."""
+    """Handle an agent's refusal of a grant; the attempt never runs."""
     if refusal.reason is RefusalReason.DUPLICATE:
-        # The agent has dispatched the request, so that it may have run.
-        end_unknown(core, state, "the agent dispatched the request before")
+        # The agent has dispatched the request, so it may have run.
+        end_unknown(core, state, "the agent had already dispatched the request")
         return
-    grant = _settle(state)
+    grant = _clear_grant(state)
     if _agent_restarted(core, grant):
-        # What refused is gone, and what took its place was not asked.
-        turn_down(state, grant.agent, refusal, now)
+        # The refusal came from an earlier incarnation; the current one was not asked.
+        record_failed_attempt(state, grant.agent, refusal, now)
         place(core, state, now)
         return
     if refusal.reason is RefusalReason.NO_SLOT:
         reserve_after_no_slot(core, state, grant.agent, refusal, now)
         return
     if refusal.reason is RefusalReason.TOMBSTONE:
-        turn_down(state, grant.agent, refusal, now)
+        record_failed_attempt(state, grant.agent, refusal, now)
     elif refusal.reason is RefusalReason.STALE_INCARNATION:
-        _suspect(core, grant)
-        turn_down(state, grant.agent, refusal, now)
+        _mark_suspect(core, grant)
+        record_failed_attempt(state, grant.agent, refusal, now)
     else:
         if refusal.reason is RefusalReason.LEAVING:
-            _suspect(core, grant)
-        refuse_agent(state, grant.agent, refusal, now)
+            _mark_suspect(core, grant)
+        record_refusal(state, grant.agent, refusal, now)
     place(core, state, now)
 
 
 def on_started(state: RequestState, now: float) -> None:
-    """Note that the target's status arrived, which proves a dispatch."""
+    """Record that the target's status arrived, which proves a dispatch."""
     assert state.grant is not None
     state.grant.started = True
     state.grant.progress_at = now
 
 
 def on_progress(state: RequestState, now: float) -> None:
-    """Note that a piece of the answer arrived."""
+    """Record that a chunk of the response arrived."""
     assert state.grant is not None
     state.grant.progress_at = now
 
 
 def on_complete(core: RouterCore, state: RequestState) -> None:
-    """End the request; its whole answer arrived."""
+    """End the request; its whole response arrived."""
     end_complete(core, state)
 
 
 def on_lost(core: RouterCore, state: RequestState, started: bool, now: float) -> None:
-    """Ask the agent what happened, unless a dispatch is proven."""
+    """Revoke a grant whose connection was lost, unless a dispatch is proven."""
     grant = state.grant
     assert grant is not None
     grant.started = grant.started or started
     if grant.started:
-        end_unknown(core, state, "the answer broke off")
+        end_unknown(core, state, "the response ended before it was complete")
         return
     if grant.lost_at is not None:
         return
@@ -122,38 +122,40 @@
 def on_revoke_result(
     core: RouterCore, agent: str, incarnation: int, result: RevokeResult, now: float
 ) -> None:
-    """Take the agent's word on a lost grant."""
+    """Handle an agent's result for a lost grant that was revoked."""
     state = core.requests_by_id.get(result.request_id)
     grant = None if state is None else state.grant
     if state is None or grant is None or grant.lost_at is None:
         return
-    named = (grant.agent, grant.incarnation, grant.attempt)
-    if named != (agent, incarnation, result.attempt):
+    expected = (grant.agent, grant.incarnation, grant.attempt)
+    if expected != (agent, incarnation, result.attempt):
         return
     if result.ran:
-        end_unknown(core, state, "the agent dispatched the request and lost the answer")
+        end_unknown(
+            core, state, "the agent dispatched the request; its response was lost"
+        )
         return
-    _settle(state)
+    _clear_grant(state)
     retry_or_end(core, state, now)
 
 
 def abandon_if_stalled(core: RouterCore, state: RequestState, now: float) -> None:
-    """Give up the connection to an agent that is gone without closing it."""
+    """Abandon a grant whose agent is silent or restarted, but left it open."""
     grant = state.grant
     if grant is None or grant.lost_at is not None:
         return
     agent = core.agents.get(grant.agent)
-    is_heard = agent is not None and agent.is_reachable(now)
-    if is_heard and not _agent_restarted(core, grant):
+    is_responsive = agent is not None and agent.is_reachable(now)
+    if is_responsive and not _agent_restarted(core, grant):
         return
     if now - grant.progress_at < PEER_TIMEOUT_S:
         return
-    core.outbox.act(AbandonGrant(state.request.request_id, grant.attempt))
+    core.outbox.add_action(AbandonGrant(state.request.request_id, grant.attempt))
     on_lost(core, state, grant.started, now)
 
 
 def end_if_restarted(core: RouterCore, state: RequestState) -> None:
-    """End a request whose lost grant named an earlier incarnation."""
+    """End a request whose lost grant was for an earlier incarnation of the agent."""
     grant = state.grant
     if grant is None or grant.lost_at is None:
         return
@@ -161,7 +163,7 @@
         end_unknown(core, state, "the agent restarted after the grant")
 
 
-def _settle(state: RequestState) -> OutstandingGrant:
+def _clear_grant(state: RequestState) -> OutstandingGrant:
     grant = state.grant
     assert grant is not None
     state.grant = None
@@ -173,7 +175,7 @@
     return agent is None or agent.incarnation != grant.incarnation
 
 
-def _suspect(core: RouterCore, grant: OutstandingGrant) -> None:
+def _mark_suspect(core: RouterCore, grant: OutstandingGrant) -> None:
     agent = core.agents.get(grant.agent)
     if agent is not None and agent.incarnation == grant.incarnation:
         agent.suspect = True
@@ -199,7 +201,7 @@
     if grant.attempt != attempt:
         return
     if now - grant.lost_at >= REVOKE_TIMEOUT_S:
-        end_unknown(core, state, "the agent did not answer after the grant")
+        end_unknown(core, state, "the agent did not confirm the revocation in time")
         return
     grant.resends += 1
     _send_revoke(core, state, grant, now)
--- a/libs/router/src/berylwalk/router/_grants_http.py
+++ b/libs/router/src/berylwalk/router/_grants_http.py
@@ -1,4 +1,4 @@
-"""Sending grants to agents and passing their answers on."""
+"""Sending grants to agents over HTTP and relaying their responses."""
 
 from collections.abc import Callable
 from time import monotonic
@@ -35,7 +35,7 @@
 MAX_REFUSAL_BYTES = 64 * 1024
 
 PROGRESS_INTERVAL_S = 0.25
-"""Least time between two progress events of a request."""
+"""Minimum time between two progress events of a request."""
 
 CONNECTION_HEADERS = frozenset(
     {
@@ -50,7 +50,7 @@
         "upgrade",
     }
 )
-"""Headers that belong to one connection and are not passed on."""
+"""Connection-specific headers, which are not relayed."""
 
 OWN_HEADER_PREFIX = "berylwalk-"
 
@@ -64,7 +64,7 @@
 
 
 class GrantSender:
-    """Posts grants and relays the answers.
+    """Posts grants and relays the responses.
 
     Parameters
     ----------
@@ -73,7 +73,7 @@
     key : FleetKey
         Seals the grants.
     url_of : callable
-        Dispatch URL of an agent, or None when its address is not known.
+        Returns the dispatch URL of an agent, or None if its address is not known.
     report : callable
         Receives the events of each grant.
     clock : callable
@@ -96,9 +96,9 @@
         self._clock = clock
 
     async def send(self, active: ActiveRequest, granted: ActiveGrant) -> None:
-        """Send a grant and relay its answer; reports how it went.
+        """Send a grant, relay its response and report the result.
 
-        Nothing is reported when ``granted.scope`` was cancelled meanwhile.
+        Nothing is reported if ``granted.scope`` was cancelled meanwhile.
         """
         event: RouterEvent | None = None
         try:
@@ -110,8 +110,8 @@
             self._report(event)
 
     async def _relay(self, active: ActiveRequest, grant: Grant) -> RouterEvent:
-        # A process that was stopped for a while may wake up with a grant whose
-        # idempotency record has expired since.
+        # After a suspension of the process, the idempotency record of the grant may
+        # have expired.
         if self._clock() >= active.request.deadline_at:
             return GrantNotSent(grant.request_id, grant.attempt)
         url = self._url_of(grant.agent)
@@ -122,7 +122,7 @@
         except CallerDisconnectedError:
             return CallerGone(grant.request_id)
         except Exception:
-            # Whatever went wrong, the agent may have dispatched.
+            # After any failure, the agent may have dispatched the request.
             logging.exception("relaying request %s failed", grant.request_id)
             return GrantLost(grant.request_id, grant.attempt, started=active.started)
 
@@ -146,7 +146,11 @@
         if DISPATCHED_HEADER in stream.headers:
             return await self._pass_on(active, grant, stream)
         if stream.status != REFUSED_STATUS:
-            logging.warning("agent %s answered %d", grant.agent, stream.status)
+            logging.warning(
+                "agent %s responded with unexpected status %d",
+                grant.agent,
+                stream.status,
+            )
             return lost
         refusal = await _read_refusal(stream)
         if refusal is None:
@@ -162,7 +166,7 @@
             await active.start(stream.status, headers, grant.agent)
             await self._pass_on_body(active, grant, stream)
         except StreamBrokenError as error:
-            logging.warning("answer of %s broke: %s", grant.request_id, error)
+            logging.warning("response to %s was truncated: %s", grant.request_id, error)
             return GrantLost(grant.request_id, grant.attempt, started=True)
         return AnswerComplete(grant.request_id, grant.attempt)
 
@@ -184,7 +188,7 @@
         await stream.forward(try_chunk, take_chunk)
 
     def _progress_reporter(self, grant: Grant) -> Callable[[], None]:
-        """Return what to call for each chunk; it reports a few times a second."""
+        """Return a rate-limited reporter of progress, to be called for each chunk."""
         event = AnswerProgress(grant.request_id, grant.attempt)
         next_progress_at = self._clock() + PROGRESS_INTERVAL_S
 
@@ -199,17 +203,17 @@
 
 
 def passed_on_headers(headers: dict[str, str]) -> tuple[tuple[bytes, bytes], ...]:
-    """Return the headers of a target's answer that the caller gets.
+    """Return the headers of a target's response that are relayed to the caller.
 
     Parameters
     ----------
     headers : dict of str to str
-        Values by lower-case name, as the agent sent them.
+        Values by lower-case name, as sent by the agent.
 
     Returns
     -------
     tuple of (bytes, bytes)
-        Without those of the connection and of the system.
+        Without connection-specific headers and ``berylwalk-`` headers.
     """
     return tuple(
         (name.encode("latin-1"), value.encode("latin-1"))
@@ -225,7 +229,7 @@
 
 
 async def _read_refusal(stream: HttpStream) -> Refusal | None:
-    """Return the refusal, or None when the answer is not surely one."""
+    """Return the refusal, or None if the response states no known reason."""
     try:
         reason = RefusalReason(stream.headers.get(REFUSED_HEADER, ""))
     except ValueError:
@@ -235,7 +239,7 @@
 
 
 async def _refusal_body(stream: HttpStream) -> _RefusalBody:
-    # The header alone makes the refusal final; the body only adds to it.
+    # The header alone is a valid refusal; the body only adds details.
     body = bytearray()
     try:
         async for chunk in stream:
--- a/libs/router/src/berylwalk/router/_idempotency.py
+++ b/libs/router/src/berylwalk/router/_idempotency.py
@@ -24,8 +24,8 @@
 from berylwalk.router._claim_results import (
     Claimed,
     ClaimRefused,
-    platform_down,
-    refused_by,
+    platform_down_refusal,
+    refusal_for_record,
 )
 from berylwalk.router._pending_writes import Pause, PendingWrites
 from berylwalk.router._record_leases import RecordLeases
@@ -37,18 +37,20 @@
     new_record,
     record_key,
 )
-from berylwalk.router._stored_answers import StoredAnswer
+from berylwalk.router._stored_responses import StoredResponse
 
 CLAIM_ATTEMPTS = 3
 RESOLVE_ATTEMPTS = 3
-SETTLE_LOOKS = 3
-SETTLE_INTERVAL_S = 2.0
+LATE_RECORD_READS = 3
+LATE_RECORD_READ_INTERVAL_S = 2.0
 
-DOWN_S = 1.0
-"""Time for which claims are refused at once after one found the service down."""
+CLAIM_COOLDOWN_S = 1.0
+"""Time for which claims are refused at once after a claim found the service down."""
 
-HOPELESS = frozenset({UnavailableReason.REJECTED, UnavailableReason.LEASE_NOT_FOUND})
-"""Reasons for which a write is not repeated."""
+PERMANENT_FAILURES = frozenset(
+    {UnavailableReason.REJECTED, UnavailableReason.LEASE_NOT_FOUND}
+)
+"""Failures after which a write is not retried."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -62,20 +64,20 @@
 class IdempotencyRecords:
     """Creates, completes and releases idempotency records.
 
-    A record is created before the grant of its request, by a write that only
-    succeeds while the key is absent. Whoever did not create the record never
-    runs the request. The record is kept once the request may have run.
+    A record is created before the grant of its request, with a write that
+    succeeds only while the key is absent. A router that did not create the record
+    does not run the request. The record is kept once the request may have run.
 
     Parameters
     ----------
     store : KeyValueStore
-        Where the records are.
+        Stores the records.
     leases : RecordLeases
-        What they expire with.
+        Leases with which the records expire.
     clock : callable
         Monotonic clock, in seconds.
     pause : callable
-        Sleeps; receives seconds.
+        Sleeps for a number of seconds.
     """
 
     def __init__(
@@ -92,7 +94,7 @@
         self._pause = pause
         self._claims_by_id: dict[RequestId, _Claim] = {}
         self._pending = PendingWrites(pause=pause)
-        self._refuses_until = float("-inf")
+        self._refuse_until = float("-inf")
 
     async def claim(self, request: Request) -> Claimed | ClaimRefused:
         """Create the record of a request's key.
@@ -105,28 +107,29 @@
         Returns
         -------
         Claimed or ClaimRefused
-            `ClaimRefused` also when the service does not answer.
+            `ClaimRefused` also if the key-value service does not respond.
         """
-        if self._clock() < self._refuses_until:
-            return ClaimRefused(platform_down())
+        if self._clock() < self._refuse_until:
+            return ClaimRefused(platform_down_refusal())
         for _ in range(CLAIM_ATTEMPTS):
             result, claim = await self._create(request)
             if isinstance(result, Swapped):
                 self._claims_by_id[request.request_id] = claim
                 return Claimed()
             if isinstance(result, Conflict) and result.current is not None:
-                return refused_by(result.current, request)
-            if not _may_try_again(result):
+                return refusal_for_record(result.current, request)
+            if not _is_retryable(result):
                 break
-        self._refuses_until = self._clock() + DOWN_S
+        self._refuse_until = self._clock() + CLAIM_COOLDOWN_S
         return ClaimRefused(
-            platform_down(), unsettled=isinstance(result, OutcomeUnknown)
+            platform_down_refusal(),
+            is_outcome_unknown=isinstance(result, OutcomeUnknown),
         )
 
     def complete(
-        self, request: Request, status: int, answer: StoredAnswer | None
+        self, request: Request, status: int, answer: StoredResponse | None
     ) -> None:
-        """Note in the background that the answer was delivered."""
+        """Mark the record as complete, in the background."""
         claim = self._claims_by_id.pop(request.request_id, None)
         if claim is None:
             return
@@ -136,32 +139,32 @@
         self._pending.add(partial(self._write, claim, encode_record(record)))
 
     def release(self, request: Request) -> None:
-        """Delete the record in the background; the request truly did not run."""
+        """Delete the record of a request that did not run, in the background."""
         claim = self._claims_by_id.pop(request.request_id, None)
         if claim is not None:
             self._pending.add(partial(self._delete, claim))
 
     def forget(self, request_id: RequestId) -> None:
-        """Leave the record as it is until it expires."""
+        """Leave the record unchanged until it expires."""
         self._claims_by_id.pop(request_id, None)
 
-    async def settle(self, request: Request) -> None:
-        """Delete the record of an unsettled claim, should it appear."""
+    async def delete_late_record(self, request: Request) -> None:
+        """Delete the record of a claim with unknown outcome if it appears late."""
         key = record_key(request)
-        for _ in range(SETTLE_LOOKS):
-            await self._pause(SETTLE_INTERVAL_S)
+        for _ in range(LATE_RECORD_READS):
+            await self._pause(LATE_RECORD_READ_INTERVAL_S)
             current = await self._store.get(key)
-            if isinstance(current, KeyValue) and _is_of(request, current):
+            if isinstance(current, KeyValue) and _is_record_of(request, current):
                 claim = _Claim(key, current.mod_revision, 0, new_record(request))
                 self._pending.add(partial(self._delete, claim))
                 return
 
     async def run_writer(self) -> None:
-        """Make the pending writes, again and again while the service is down."""
+        """Make the pending writes, with retries while the service is down."""
         await self._pending.run()
 
     async def flush(self) -> None:
-        """Wait until nothing is pending."""
+        """Wait until no write is pending."""
         await self._pending.flush()
 
     async def _create(self, request: Request) -> tuple[SwapResult, _Claim | None]:
@@ -179,7 +182,7 @@
                 key,
                 value,
                 0,
-                is_own_write=partial(_is_of, request),
+                is_own_write=partial(_is_record_of, request),
                 lease_id=lease_id,
                 attempts=RESOLVE_ATTEMPTS,
                 pause=self._pause,
@@ -200,24 +203,24 @@
         return _is_settled(await self._store.delete_if(claim.key, claim.mod_revision))
 
 
-def _is_of(request: Request, current: KeyValue) -> bool:
+def _is_record_of(request: Request, current: KeyValue) -> bool:
     record = decode_record(current.value)
     return record is not None and record.request_id == str(request.request_id)
 
 
-def _may_try_again(result: SwapResult) -> bool:
+def _is_retryable(result: SwapResult) -> bool:
     if isinstance(result, Unavailable):
         return result.reason is UnavailableReason.LEASE_NOT_FOUND
-    # The holder of the key released it meanwhile.
+    # A conflict without a current value: the holder released the key meanwhile.
     return isinstance(result, Conflict)
 
 
 def _is_settled(result: SwapResult) -> bool:
-    # A conflict follows an earlier write of ours whose answer was lost, or the
-    # record has expired; either way nothing is left to do.
+    # On a conflict, an earlier write of this router took effect but its response was
+    # lost, or the record has expired. Both need no further write.
     if isinstance(result, Swapped | Conflict):
         return True
-    if isinstance(result, Unavailable) and result.reason in HOPELESS:
-        logging.warning("an idempotency record was not updated: %s", result)
+    if isinstance(result, Unavailable) and result.reason in PERMANENT_FAILURES:
+        logging.warning("idempotency record not updated: %s", result)
         return True
     return False
--- a/libs/router/src/berylwalk/router/_issuing.py
+++ b/libs/router/src/berylwalk/router/_issuing.py
@@ -1,8 +1,8 @@
-"""Issuing the one grant of a request."""
+"""Issuing of grants, at most one outstanding per request."""
 
 from berylwalk.router._agents import AgentState
 from berylwalk.router._core import RouterCore
-from berylwalk.router._ending import drop_reservations
+from berylwalk.router._ending import withdraw_reservations
 from berylwalk.router._events import IssueGrant
 from berylwalk.router._request_state import OutstandingGrant, RequestState, Reservation
 from berylwalk.wire import Grant
@@ -11,9 +11,9 @@
 def grant_directly(
     core: RouterCore, state: RequestState, agent: AgentState, now: float
 ) -> None:
-    """Issue a grant that lapses unless a slot is free."""
+    """Issue a conditional grant, which the agent refuses unless a slot is free."""
     attempt = state.next_attempt()
-    agent.note_sent(state.work, now)
+    agent.record_sent(state.work, now)
     _issue(core, state, agent, attempt=attempt, conditional=True, now=now)
 
 
@@ -24,7 +24,7 @@
     reservation: Reservation,
     now: float,
 ) -> None:
-    """Answer a `Ready` with the grant and give up the other places."""
+    """Answer a `Ready` with the grant and withdraw the other reservations."""
     del state.reservations_by_agent[agent.agent]
     attempt = reservation.attempt
     _issue(core, state, agent, attempt=attempt, conditional=False, now=now)
@@ -39,9 +39,9 @@
     conditional: bool,
     now: float,
 ) -> None:
-    if not state.may_be_granted:
+    if not state.is_grantable:
         raise RuntimeError(f"{state.request.request_id} may not be granted")
-    drop_reservations(core, state)
+    withdraw_reservations(core, state)
     core.history.record(state.request.prefix, agent.agent)
     state.grant = OutstandingGrant(
         agent=agent.agent,
@@ -51,7 +51,7 @@
         progress_at=now,
     )
     grant = _build_grant(core, state, state.grant, now)
-    core.outbox.act(IssueGrant(agent.agent, grant))
+    core.outbox.add_action(IssueGrant(agent.agent, grant))
 
 
 def _build_grant(
@@ -71,7 +71,7 @@
         weight=request.service_policy.weight,
         prompt_tokens=request.estimate.prompt_tokens,
         output_tokens=request.estimate.output_tokens,
-        deadline_ms=state.deadline_ms(now),
+        deadline_ms=state.remaining_ms(now),
         idempotent=request.idempotent,
         method=request.call.method,
         path=request.call.path,
--- a/libs/router/src/berylwalk/router/_key_claims.py
+++ b/libs/router/src/berylwalk/router/_key_claims.py
@@ -1,4 +1,4 @@
-"""Claims of idempotency keys, as the state machine asks for them."""
+"""Execution of the state machine's claims of idempotency keys."""
 
 from collections.abc import Callable
 
@@ -20,27 +20,27 @@
 
 
 class KeyClaims:
-    """Claims keys, reports what came of it, and closes the records.
+    """Claims keys, reports the results, and completes or releases the records.
 
     Parameters
     ----------
     records : IdempotencyRecords
-        Holds the claims.
-    active_of : callable
-        Returns the active request of an identifier, or None.
+        Creates and updates the records.
+    find_active : callable
+        Returns the active request with an identifier, or None.
     handle : callable
-        Takes `KeyClaimed` and `KeyRefused`.
+        Receives `KeyClaimed` and `KeyRefused`.
     """
 
     def __init__(
         self,
         records: IdempotencyRecords,
         *,
-        active_of: Callable[[RequestId], ActiveRequest | None],
+        find_active: Callable[[RequestId], ActiveRequest | None],
         handle: Callable[[RouterEvent], None],
     ) -> None:
         self._records = records
-        self._active_of = active_of
+        self._find_active = find_active
         self._handle = handle
 
     async def claim(self, request: Request) -> None:
@@ -49,24 +49,24 @@
         if isinstance(result, Claimed):
             self._handle(KeyClaimed(request.request_id))
             return
-        active = self._active_of(request.request_id)
+        active = self._find_active(request.request_id)
         if active is not None:
             active.replay = result.replay
         self._handle(KeyRefused(request.request_id, result.refusal))
-        if result.unsettled:
-            await self._records.settle(request)
+        if result.is_outcome_unknown:
+            await self._records.delete_late_record(request)
 
     def release(self, request: Request) -> None:
-        """Give up the key of a request that truly did not run."""
+        """Release the key of a request that did not run."""
         self._records.release(request)
 
     def close(self, active: ActiveRequest, final: FinalResponse | None) -> None:
         """Complete the record of a request that ended, or leave it to expire."""
         is_complete = final is not None and final.outcome is Outcome.COMPLETE
-        if not is_complete or active.copy is None:
+        if not is_complete or active.response_copy is None:
             self._records.forget(active.request.request_id)
             return
-        answer = active.copy.stored(active.agent)
+        answer = active.response_copy.stored(active.agent)
         self._records.complete(active.request, active.status, answer)
 
     async def _result_of(self, request: Request) -> Claimed | ClaimRefused:
@@ -75,4 +75,4 @@
         except Exception:
             logging.exception("claiming the key of %s failed", request.request_id)
             refusal = Refusal(RefusalReason.PLATFORM_DOWN, DEFAULT_RETRY_AFTER_MS)
-            return ClaimRefused(refusal, unsettled=True)
+            return ClaimRefused(refusal, is_outcome_unknown=True)
--- a/libs/router/src/berylwalk/router/_listeners.py
+++ b/libs/router/src/berylwalk/router/_listeners.py
@@ -15,35 +15,35 @@
 from berylwalk.transport import Application, HttpLimits, HttpServer
 
 BODY_TIMEOUT_MARGIN_S = 5.0
-"""Lets the caller API answer before the server closes the connection."""
+"""Lets the caller API respond to a timeout before the server closes the connection."""
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Services:
-    """What the servers are built on.
+    """Dependencies of the HTTP servers.
 
     Parameters
     ----------
     submitter : Submitter
-        Places requests.
+        Accepts and places requests.
     service_policies : DocumentServicePolicies
-        Settings of client accounts.
+        Service policies of client accounts.
     resources : callable
         Known models and services.
     settings_service : SettingsService
-        Settings of the operators.
+        Reads and changes the settings document.
     fleet : FleetView
         Nodes, targets and tiers.
     orders : OrderService
-        Passes orders to targets.
+        Sends orders to agents.
     metrics : RouterMetrics
-        Metrics.
+        Counters, gauges and histograms.
     tracing : Tracing
         Starts spans.
     readiness : Readiness
         Whether the router is ready.
     before_metrics : callable
-        Copies state into gauges.
+        Updates the gauges before each scrape.
     """
 
     submitter: Submitter
@@ -113,7 +113,7 @@
             await server.start()
 
     async def close(self, *, timeout_s: float = 0.0) -> None:
-        """Let open answers of the caller API end, then close all servers."""
+        """Wait for open caller API responses, then close all servers."""
         await self._caller.close(timeout_s=timeout_s)
         await self._admin.close()
         await self._ops.close()
--- a/libs/router/src/berylwalk/router/_machine.py
+++ b/libs/router/src/berylwalk/router/_machine.py
@@ -40,8 +40,8 @@
     on_refused,
     on_started,
 )
-from berylwalk.router._greeting import survey
-from berylwalk.router._heartbeats import on_agents_listed, on_datagram, scan
+from berylwalk.router._hellos import probe_agents
+from berylwalk.router._liveness import on_agents_listed, on_datagram, scan
 from berylwalk.router._views import (
     AgentView,
     RequestView,
@@ -65,26 +65,26 @@
     rng : random.Random
         Source of jitter and tie breaks.
     chooser : Chooser or None
-        Replaces the chooser that the policy names; for comparisons.
+        Replaces the chooser of the configured policy; for comparisons.
     """
 
     def __init__(
         self, config: RouterConfig, *, rng: Random, chooser: Chooser | None = None
     ) -> None:
         self._core = RouterCore(config, rng=rng, chooser=chooser)
-        self._core.lax_timers.add(0.0, lambda now: scan(self._core, now))
-        self._core.lax_timers.add(0.0, lambda now: survey(self._core, now))
-        self._drain_told = False
+        self._core.coarse_timers.add(0.0, lambda now: scan(self._core, now))
+        self._core.coarse_timers.add(0.0, lambda now: probe_agents(self._core, now))
+        self._drain_reported = False
 
     def handle(self, event: RouterEvent, now: float) -> list[RouterAction]:
-        """Take one event and return what is to be done.
+        """Process one event and return the actions to carry out.
 
         Parameters
         ----------
         event : RouterEvent
-            What happened.
+            The event.
         now : float
-            Monotonic time, in seconds; never less than at the last call.
+            Monotonic time, in seconds; never less than in the previous call.
 
         Returns
         -------
@@ -92,11 +92,11 @@
             In order of execution.
         """
         self._dispatch(event, now)
-        self._tell_drain()
+        self._report_drained()
         return self._core.outbox.take()
 
     def next_due(self) -> float:
-        """Return when a `Tick` is needed next; some are needed in any case."""
+        """Return when the next `Tick` is due; idle ticks are needed in addition."""
         return self._core.timers.next_due
 
     def agents_view(self, now: float) -> tuple[AgentView, ...]:
@@ -105,11 +105,11 @@
 
     @property
     def agent_changes(self) -> int:
-        """Counts changes of the agents and of what they serve."""
+        """Number of changes of the agents and of what they serve."""
         return self._core.agents.changes
 
     def resources_when_complete(self, agents: int) -> frozenset[str]:
-        """Return what all agents serve; nothing unless so many were heard."""
+        """Return what all agents serve; empty until ``agents`` have reported."""
         return resources_when_complete(self._core, agents)
 
     def requests_view(self, now: float) -> tuple[RequestView, ...]:
@@ -124,7 +124,7 @@
         core = self._core
         match event:
             case Tick():
-                core.lax_timers.run(now)
+                core.coarse_timers.run(now)
                 core.timers.run(now)
             case RequestArrived(request):
                 on_arrival(core, request, now)
@@ -162,11 +162,11 @@
             case GrantLost(started=started):
                 on_lost(core, state, started, now)
 
-    def _tell_drain(self) -> None:
+    def _report_drained(self) -> None:
         core = self._core
-        if not core.draining or self._drain_told:
+        if not core.draining or self._drain_reported:
             return
         if core.requests_by_id or core.unclaimed_by_id:
             return
-        self._drain_told = True
-        core.outbox.act(DrainFinished())
+        self._drain_reported = True
+        core.outbox.add_action(DrainFinished())
--- a/libs/router/src/berylwalk/router/_member_polling.py
+++ b/libs/router/src/berylwalk/router/_member_polling.py
@@ -1,4 +1,4 @@
-"""Reading the VM list, and asking peers while it is out of reach."""
+"""Polling of the VM list, with peers as a fallback during outages."""
 
 from collections.abc import Awaitable, Callable
 from random import Random
@@ -12,12 +12,12 @@
 from berylwalk.router._membership import MemberTable, member_from_vm
 from berylwalk.wire import MembersReply
 
-JITTER_SHARE = 0.2
-MAX_ASKED = 3
-"""Routers that are asked for their members in one poll."""
+JITTER_FRACTION = 0.2
+MAX_PEERS_PER_POLL = 3
+"""Maximum number of routers that are queried in one poll."""
 
-AskMembers = Callable[[str], Awaitable[MembersReply | None]]
-"""Asks the router at an address for its members; None without an answer."""
+QueryMembers = Callable[[str], Awaitable[MembersReply | None]]
+"""Queries the router at an address for its members; None if it does not respond."""
 
 
 class VmList(Protocol):
@@ -37,14 +37,14 @@
         The members.
     vms : VmList
         The platform's VM list.
-    ask : callable
-        Asks another router.
+    query_peer : callable
+        Queries another router for its members.
     peer_addresses : callable
-        Returns the addresses of routers to ask.
+        Returns the addresses of routers to query.
     on_change : callable
         Called when the members changed.
     poll_s : float
-        Time between reads, in seconds.
+        Time between polls, in seconds.
     clock : callable
         Monotonic clock, in seconds.
     rng : random.Random
@@ -56,7 +56,7 @@
         table: MemberTable,
         vms: VmList,
         *,
-        ask: AskMembers,
+        query_peer: QueryMembers,
         peer_addresses: Callable[[], list[str]],
         on_change: Callable[[], None],
         poll_s: float,
@@ -65,48 +65,48 @@
     ) -> None:
         self._table = table
         self._vms = vms
-        self._ask = ask
+        self._query_peer = query_peer
         self._peer_addresses = peer_addresses
         self._on_change = on_change
         self._poll_s = poll_s
         self._clock = clock
         self._rng = rng or Random()
-        self._is_up: bool | None = None
+        self._is_available: bool | None = None
 
     async def poll(self) -> None:
-        """Read the list once, or ask one peer that answers."""
+        """Read the list once, or query peers if it is unavailable."""
         before = self._table.members
         listed = await self._vms.fetch()
         if isinstance(listed, Unavailable):
-            self._note_state(False, f"{listed.reason}: {listed.detail}")
-            await self._ask_peers()
+            self._log_availability(False, f"{listed.reason}: {listed.detail}")
+            await self._query_peers()
         else:
-            self._note_state(True, "")
+            self._log_availability(True, "")
             self._table.apply_list(map(member_from_vm, listed), self._clock())
         if self._table.members != before:
             self._on_change()
 
     async def run(self) -> None:
-        """Poll for ever."""
+        """Poll until cancelled."""
         while True:
             await self.poll()
-            await sleep(self._poll_s * (1 + JITTER_SHARE * self._rng.random()))
+            await sleep(self._poll_s * (1 + JITTER_FRACTION * self._rng.random()))
 
-    async def _ask_peers(self) -> None:
+    async def _query_peers(self) -> None:
         addresses = self._peer_addresses()
-        # Chosen at random, so that not all routers ask the same one.
+        # A random order spreads the queries of many routers over their peers.
         self._rng.shuffle(addresses)
-        for address in addresses[:MAX_ASKED]:
-            reply = await self._ask(address)
+        for address in addresses[:MAX_PEERS_PER_POLL]:
+            reply = await self._query_peer(address)
             if reply is not None and reply.members:
                 self._table.merge_peer_list(reply.members)
                 return
 
-    def _note_state(self, is_up: bool, detail: str) -> None:
-        if is_up is self._is_up:
+    def _log_availability(self, is_up: bool, detail: str) -> None:
+        if is_up is self._is_available:
             return
-        self._is_up = is_up
+        self._is_available = is_up
         if is_up:
-            logging.info("the VM list answers")
+            logging.info("VM list is available")
         else:
-            logging.warning("the VM list is out of reach: %s", detail)
+            logging.warning("VM list is unavailable: %s", detail)
--- a/libs/router/src/berylwalk/router/_membership.py
+++ b/libs/router/src/berylwalk/router/_membership.py
@@ -1,4 +1,4 @@
-"""Which routers and agents there are, from the VM list and from heartbeats."""
+"""Membership of routers and agents, from the VM list and heartbeats."""
 
 from collections.abc import Iterable
 from dataclasses import dataclass
@@ -8,17 +8,17 @@
 from berylwalk.wire import Member
 
 PEER_TIMEOUT_S = 3.0
-"""Silence after which an agent does not count as answering."""
+"""Silence after which a member is not considered alive."""
 
 
 @dataclass(slots=True)
-class _Known:
+class _KnownMember:
     member: Member
-    heard_at: float = float("-inf")
+    last_heard_at: float = float("-inf")
 
 
 def member_from_vm(vm: Vm) -> Member:
-    """Return a VM of the list as peers pass it on."""
+    """Return the member for a VM of the list."""
     return Member(
         vm_id=vm.vm_id,
         address=vm.address,
@@ -29,27 +29,27 @@
 
 
 class MemberTable:
-    """The last known members; the VM list lags and may be out of reach.
+    """The last known members; the VM list lags and may be unavailable.
 
-    A list alone removes nobody who still answers heartbeats, unless the last
-    list that had the VM said that it was leaving.
+    A member that is missing from the list stays while it sends datagrams, unless
+    the last list that contained it marked it as leaving.
 
     Parameters
     ----------
     node_id : str
         Node identifier of this router.
     peer_timeout_s : float
-        Silence after which a member does not count as answering, in seconds.
+        Silence after which a member is not considered alive, in seconds.
     """
 
     def __init__(self, node_id: str, *, peer_timeout_s: float = PEER_TIMEOUT_S) -> None:
         self._node_id = node_id
         self._peer_timeout_s = peer_timeout_s
-        self._known_by_id: dict[str, _Known] = {}
+        self._known_by_id: dict[str, _KnownMember] = {}
 
     @property
     def members(self) -> tuple[Member, ...]:
-        """All members, this router included once it was listed."""
+        """All members, including this router once it is listed."""
         return tuple(known.member for known in self._known_by_id.values())
 
     @property
@@ -72,13 +72,13 @@
 
     @property
     def agent_count(self) -> int:
-        """Number of the agents."""
+        """Number of agents."""
         return sum(
             known.member.role == VmRole.TARGET for known in self._known_by_id.values()
         )
 
     def agents_listed(self) -> AgentsListed:
-        """Return the agents as the state machine learns of them."""
+        """Return the agents as an event for the state machine."""
         leaving = frozenset(
             member.vm_id
             for member in self.members
@@ -87,29 +87,29 @@
         return AgentsListed(self.agent_ids, leaving)
 
     def address_of(self, node_id: str) -> str | None:
-        """Return the IP number of a member, or None when it is not known."""
+        """Return the IP address of a member, or None if it is not known."""
         known = self._known_by_id.get(node_id)
         return None if known is None else known.member.address
 
     def is_router(self, node_id: str) -> bool:
-        """Tell whether a member is a router."""
+        """Return whether a member is a router."""
         known = self._known_by_id.get(node_id)
         return known is not None and known.member.role == VmRole.ENTRY
 
-    def hear(self, node_id: str, now: float) -> None:
-        """Note that a member sent a datagram."""
+    def record_datagram(self, node_id: str, now: float) -> None:
+        """Record that a member sent a datagram."""
         known = self._known_by_id.get(node_id)
         if known is not None:
-            known.heard_at = now
+            known.last_heard_at = now
 
-    def learn_router(self, node_id: str, address: str, now: float) -> None:
-        """Add a router that made itself known before the list did."""
+    def add_router(self, node_id: str, address: str, now: float) -> None:
+        """Add a router that sent a datagram before the list contained it."""
         if node_id != self._node_id and node_id not in self._known_by_id:
             member = Member(node_id, address, "", str(VmRole.ENTRY), leaving=False)
-            self._known_by_id[node_id] = _Known(member, now)
+            self._known_by_id[node_id] = _KnownMember(member, now)
 
     def apply_list(self, members: Iterable[Member], now: float) -> None:
-        """Take over the platform's list.
+        """Apply the platform's VM list.
 
         Parameters
         ----------
@@ -126,9 +126,9 @@
             self._put(member)
 
     def merge_peer_list(self, members: Iterable[Member]) -> None:
-        """Add what a peer knows, while the platform's list is out of reach.
+        """Add the members of a peer while the platform's list is unavailable.
 
-        Nobody is removed, and nobody who is leaving becomes live again.
+        No member is removed, and none that is leaving is marked as staying.
         """
         for member in members:
             known = self._known_by_id.get(member.vm_id)
@@ -138,11 +138,11 @@
     def _put(self, member: Member) -> None:
         known = self._known_by_id.get(member.vm_id)
         if known is None:
-            self._known_by_id[member.vm_id] = _Known(member)
+            self._known_by_id[member.vm_id] = _KnownMember(member)
         else:
             known.member = member
 
     def _may_remove(self, vm_id: str, now: float) -> bool:
         known = self._known_by_id[vm_id]
-        is_silent = now - known.heard_at >= self._peer_timeout_s
+        is_silent = now - known.last_heard_at >= self._peer_timeout_s
         return known.member.leaving or is_silent
--- a/libs/router/src/berylwalk/router/_message_batches.py
+++ b/libs/router/src/berylwalk/router/_message_batches.py
@@ -1,4 +1,4 @@
-"""Messages to agents, gathered into few datagrams."""
+"""Batching of messages to agents into datagrams."""
 
 from collections import defaultdict
 from collections.abc import Callable
@@ -15,7 +15,7 @@
 
 
 class MessageBatches:
-    """Gathers messages until the next turn of the loop.
+    """Collects messages until the next iteration of the event loop.
 
     Parameters
     ----------
@@ -35,7 +35,7 @@
         self._added.set()
 
     def flush(self) -> None:
-        """Send all queued messages now."""
+        """Send all queued messages."""
         queued = self._messages_by_agent
         self._messages_by_agent = defaultdict(list)
         self._added = Event()
@@ -45,7 +45,7 @@
                 self._send(agent, tuple(part))
 
     async def run(self) -> None:
-        """Send queued messages, for ever."""
+        """Send queued messages until cancelled."""
         while True:
             await self._added.wait()
             self.flush()
--- a/libs/router/src/berylwalk/router/_messages.py
+++ b/libs/router/src/berylwalk/router/_messages.py
@@ -1,12 +1,12 @@
-"""Messages of agents about reservations."""
+"""Handlers of messages from agents."""
 
 from berylwalk.model import Refusal, RefusalReason
 from berylwalk.router._agents import AgentState
 from berylwalk.router._core import RouterCore
-from berylwalk.router._ending import drop_reservation
+from berylwalk.router._ending import withdraw_reservation
 from berylwalk.router._granting import on_revoke_result
 from berylwalk.router._issuing import grant_reservation
-from berylwalk.router._placing import place, refuse_agent, turn_down
+from berylwalk.router._placing import place, record_failed_attempt, record_refusal
 from berylwalk.router._request_state import KeyState, RequestState, Reservation
 from berylwalk.wire import (
     ControlMessage,
@@ -22,7 +22,7 @@
 def on_message(
     core: RouterCore, agent: AgentState, message: ControlMessage, now: float
 ) -> None:
-    """Handle one message; those only routers send are ignored."""
+    """Handle one message; messages that only routers send are ignored."""
     if isinstance(message, Digest):
         _on_digest(core, agent, message, now)
     elif isinstance(message, Queued):
@@ -35,20 +35,20 @@
         on_revoke_result(core, agent.agent, agent.incarnation, message, now)
 
 
-def void_reservations(core: RouterCore, agents: set[str], now: float) -> None:
-    """Give up every place at the agents and place the requests elsewhere."""
+def cancel_reservations(core: RouterCore, agents: set[str], now: float) -> None:
+    """Withdraw all reservations at the agents and place the requests elsewhere."""
     if not agents:
         return
     for state in tuple(core.requests_by_id.values()):
         lost = agents & state.reservations_by_agent.keys()
         for agent in sorted(lost):
-            drop_reservation(core, state, agent)
+            withdraw_reservation(core, state, agent)
         if lost:
             place(core, state, now)
 
 
-def grant_remembered(core: RouterCore, state: RequestState, now: float) -> bool:
-    """Grant a reservation whose `Ready` came too early; return whether one did."""
+def grant_ready_reservation(core: RouterCore, state: RequestState, now: float) -> bool:
+    """Grant a reservation whose `Ready` preceded the key claim; return if any did."""
     for reservation in tuple(state.reservations_by_agent.values()):
         agent = core.agents.get(reservation.agent)
         if reservation.ready and agent is not None:
@@ -61,15 +61,15 @@
     before = (agent.resources, agent.offered)
     if not agent.update(digest, now):
         return
-    core.agents.note_resources(before, (agent.resources, agent.offered))
+    core.agents.record_resources(before, (agent.resources, agent.offered))
     if agent.is_leaving():
-        void_reservations(core, {agent.agent}, now)
+        cancel_reservations(core, {agent.agent}, now)
     elif agent.takes_work(now):
         place_unplaced(core, now)
 
 
 def place_unplaced(core: RouterCore, now: float) -> None:
-    """Try again to place the requests that found no eligible agent."""
+    """Retry the placement of requests that found no eligible agent."""
     for request_id in tuple(core.unplaced_ids):
         place(core, core.requests_by_id[request_id], now)
 
@@ -83,8 +83,8 @@
     reservation = state.reservations_by_agent.get(agent.agent)
     if reservation is None:
         return None
-    named = (reservation.attempt, reservation.incarnation)
-    if named != (message.attempt, agent.incarnation):
+    expected = (reservation.attempt, reservation.incarnation)
+    if expected != (message.attempt, agent.incarnation):
         return None
     return state, reservation
 
@@ -99,7 +99,7 @@
 def _on_ready(core: RouterCore, agent: AgentState, message: Ready, now: float) -> None:
     found = _find(core, agent, message)
     if found is None:
-        if not _names_grant(core, agent, message):
+        if not _matches_grant(core, agent, message):
             withdraw = Withdraw(message.request_id, message.attempt)
             core.outbox.send(agent.agent, withdraw)
         return
@@ -111,8 +111,8 @@
     grant_reservation(core, state, agent, reservation, now)
 
 
-def _names_grant(core: RouterCore, agent: AgentState, message: Ready) -> bool:
-    # A resent Ready may cross the grant that answers it.
+def _matches_grant(core: RouterCore, agent: AgentState, message: Ready) -> bool:
+    # A resent Ready may cross the grant that was issued for it.
     state = core.requests_by_id.get(message.request_id)
     if state is None or state.grant is None:
         return False
@@ -130,9 +130,9 @@
     del state.reservations_by_agent[agent.agent]
     refusal = Refusal(message.reason, message.retry_after_ms)
     if message.reason is RefusalReason.TOMBSTONE:
-        turn_down(state, agent.agent, refusal, now)
+        record_failed_attempt(state, agent.agent, refusal, now)
     else:
-        refuse_agent(state, agent.agent, refusal, now)
+        record_refusal(state, agent.agent, refusal, now)
     if message.reason is RefusalReason.LEAVING:
         agent.suspect = True
     place(core, state, now)
--- a/libs/router/src/berylwalk/router/_observing.py
+++ b/libs/router/src/berylwalk/router/_observing.py
@@ -12,7 +12,7 @@
 
 
 class RequestObserver:
-    """Notes how each request ended.
+    """Records the end of each request in metrics, logs and spans.
 
     Parameters
     ----------
@@ -28,22 +28,24 @@
         self._metrics = metrics
         self._clock = clock
 
-    def finished(self, active: ActiveRequest, final: FinalResponse | None) -> None:
-        """Note the end of a request.
+    def record_finished(
+        self, active: ActiveRequest, final: FinalResponse | None
+    ) -> None:
+        """Record the end of a request.
 
         Parameters
         ----------
         active : ActiveRequest
             The request.
         final : FinalResponse or None
-            How it ended; None when its caller went away.
+            Its outcome; None if the caller disconnected.
         """
         self._count(active, final)
         self._log(active, final)
         self._end_hop(active, final)
 
     def count_active(self, requests: Iterable[ActiveRequest]) -> None:
-        """Copy the numbers of waiting and running requests into gauges."""
+        """Set the gauges of waiting and running requests."""
         waiting: Counter[str] = Counter()
         running: Counter[str] = Counter()
         for active in requests:
--- a/libs/router/src/berylwalk/router/_orders.py
+++ b/libs/router/src/berylwalk/router/_orders.py
@@ -13,11 +13,11 @@
 from berylwalk.wire import FleetKey
 
 ORDER_TIMEOUT_S = 600.0
-"""Loading a large model takes minutes."""
+"""Allows for the loading of a large model."""
 
 
 class OrderTransmitter:
-    """Carries orders to agents.
+    """Transmits orders to agents.
 
     Parameters
     ----------
@@ -26,7 +26,7 @@
     key : FleetKey
         Seals orders.
     url_of : callable
-        Returns an agent's orders URL, or None when its address isn't known.
+        Returns the URL for orders to an agent, or None if its address is unknown.
     """
 
     def __init__(
@@ -41,10 +41,12 @@
         self._url_of = url_of
 
     async def transmit(self, order: Order) -> OrderResult:
-        """Send an order to its agent and return the agent's answer."""
+        """Send an order to its agent and return the result."""
         url = self._url_of(order.target)
         if url is None:
-            return OrderResult(OrderOutcome.REFUSED, f"{order.target} is not known")
+            return OrderResult(
+                OrderOutcome.REFUSED, f"{order.target} has no known address"
+            )
         answer = await self._client.request(
             "POST",
             url,
@@ -54,7 +56,7 @@
         if isinstance(answer, RequestFailed):
             return _failed(answer)
         if answer.status != 200:
-            detail = f"the agent answered {answer.status}"
+            detail = f"the agent responded with status {answer.status}"
             return OrderResult(OrderOutcome.REFUSED, detail)
         return decode_result(answer.body)
 
--- a/libs/router/src/berylwalk/router/_outbox.py
+++ b/libs/router/src/berylwalk/router/_outbox.py
@@ -1,4 +1,4 @@
-"""Actions of one step, with the messages to each agent in few datagrams."""
+"""Actions of one step, with the messages to each agent batched into datagrams."""
 
 from berylwalk.router._events import RouterAction, SendToAgent
 from berylwalk.wire import ControlMessage
@@ -14,16 +14,15 @@
         self._actions: list[RouterAction] = []
         self._messages_by_agent: dict[str, list[ControlMessage]] = {}
 
-    def act(self, action: RouterAction) -> None:
-        """Add an action."""
+    def add_action(self, action: RouterAction) -> None:
         self._actions.append(action)
 
     def send(self, agent: str, message: ControlMessage) -> None:
-        """Add a message to an agent, in order."""
+        """Queue a message to an agent; order is kept."""
         self._messages_by_agent.setdefault(agent, []).append(message)
 
     def take(self) -> list[RouterAction]:
-        """Return and forget all actions, datagrams last."""
+        """Return all actions, datagrams last, and clear the outbox."""
         actions = self._actions
         for agent, messages in self._messages_by_agent.items():
             for start in range(0, len(messages), MESSAGES_PER_DATAGRAM):
--- a/libs/router/src/berylwalk/router/_parts.py
+++ b/libs/router/src/berylwalk/router/_parts.py
@@ -1,4 +1,4 @@
-"""The parts of a router and how they are connected."""
+"""Construction and wiring of the components of a router."""
 
 from collections.abc import Callable
 from dataclasses import dataclass
@@ -14,7 +14,7 @@
 from berylwalk.router._listeners import Listeners
 from berylwalk.router._member_polling import MemberPoller
 from berylwalk.router._message_batches import MessageBatches
-from berylwalk.router._peer_sync import PeerAnswers, PeerQuestions
+from berylwalk.router._peer_sync import PeerQueries, PeerQueryHandler
 from berylwalk.router._readiness import Readiness
 from berylwalk.router._request_parts import RequestParts
 from berylwalk.router._services import build_services
@@ -26,7 +26,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class RouterParts:
-    """The connected parts of one router; nothing is started yet.
+    """The connected components of one router, before they are started.
 
     Parameters
     ----------
@@ -35,21 +35,21 @@
     vms : VmListClient
         The platform's VM list.
     fleet : FleetState
-        What is known of the other processes.
+        State of the other processes.
     requests : RequestParts
-        What handles requests.
+        Components that handle requests.
     sync_server : SyncServer
-        Answers peers.
+        Replies to queries of peers.
     control : ControlChannel
-        Control datagrams.
+        Sends and receives control datagrams.
     messages : MessageBatches
-        Messages to agents.
+        Batches messages to agents.
     settings_sync : SettingsSync
-        Settings in force.
+        Synchronizes the settings.
     poller : MemberPoller
-        Members.
+        Updates the members.
     readiness : Readiness
-        Whether requests should come here.
+        Whether the router is ready.
     listeners : Listeners
         HTTP servers.
     """
@@ -70,7 +70,7 @@
     def from_config(
         cls, settings: RouterSettings, *, incarnation: int, spawn: Spawn
     ) -> Self:
-        """Build and connect the parts.
+        """Build and connect the components.
 
         Parameters
         ----------
@@ -84,7 +84,7 @@
         Raises
         ------
         OSError
-            If the file for spans cannot be opened.
+            If the span file cannot be opened.
         """
         connections = NodeConnections.from_config(settings)
         vms = VmListClient.from_config(
@@ -99,14 +99,14 @@
         messages = MessageBatches(control.send)
         grants = _grant_sender(connections, fleet, shell)
         shell.connect(grants=grants, messages=messages, spawn=spawn)
-        questions = PeerQuestions(
+        queries = PeerQueries(
             connections.sync_client,
             port=settings.ports.sync,
             address_of=fleet.members.address_of,
         )
-        sync = _settings_sync(settings, connections, fleet, questions, control)
-        control.use_sync(sync)
-        answers = PeerAnswers(sync, fleet.members)
+        sync = _settings_sync(settings, connections, fleet, queries, control)
+        control.set_settings_sync(sync)
+        query_handler = PeerQueryHandler(sync, fleet.members)
         readiness = Readiness(sync, fleet.members)
         services = build_services(
             settings, connections, fleet, requests, sync, readiness
@@ -116,11 +116,11 @@
             vms=vms,
             fleet=fleet,
             requests=requests,
-            sync_server=connections.sync_server(settings, answers.answer),
+            sync_server=connections.sync_server(settings, query_handler.answer),
             control=control,
             messages=messages,
             settings_sync=sync,
-            poller=_poller(settings, vms, fleet, questions, sync, shell),
+            poller=_poller(settings, vms, fleet, queries, sync, shell),
             readiness=readiness,
             listeners=Listeners.from_config(settings, services),
         )
@@ -160,13 +160,13 @@
     settings: RouterSettings,
     connections: NodeConnections,
     fleet: FleetState,
-    questions: PeerQuestions,
+    queries: PeerQueries,
     control: ControlChannel,
 ) -> SettingsSync:
     return SettingsSync(
         fleet.replica,
         connections.store,
-        pull=questions.settings_of,
+        pull=queries.fetch_settings,
         announce=control.announce,
         is_watcher=fleet.directory.is_watcher,
         poll_s=settings.platform.poll_s,
@@ -178,14 +178,14 @@
     settings: RouterSettings,
     vms: VmListClient,
     fleet: FleetState,
-    questions: PeerQuestions,
+    queries: PeerQueries,
     sync: SettingsSync,
     shell: RouterShell,
 ) -> MemberPoller:
     return MemberPoller(
         fleet.members,
         vms,
-        ask=questions.members_at,
+        query_peer=queries.fetch_members,
         peer_addresses=fleet.directory.peer_addresses,
         on_change=_membership_change(fleet, sync, shell),
         poll_s=settings.platform.poll_s,
@@ -198,7 +198,7 @@
     members = fleet.members
 
     def change() -> None:
-        for router in fleet.peers.forget_all_but(members.router_ids, monotonic()):
+        for router in fleet.peers.retain(members.router_ids, monotonic()):
             sync.forget_router(router)
         shell.handle(members.agents_listed())
 
--- a/libs/router/src/berylwalk/router/_peer_sync.py
+++ b/libs/router/src/berylwalk/router/_peer_sync.py
@@ -1,4 +1,4 @@
-"""Questions to other nodes, and answers to theirs."""
+"""Queries to other nodes over the sync channel, and replies to theirs."""
 
 from collections.abc import Callable
 
@@ -21,20 +21,20 @@
 
 
 class MalformedQueryError(ValueError):
-    """A peer asked something that this version does not know."""
+    """A peer's query cannot be decoded by this version."""
 
 
-class PeerQuestions:
-    """Asks other nodes over the sync channel.
+class PeerQueries:
+    """Queries other nodes over the sync channel.
 
     Parameters
     ----------
     client : SyncClient
-        Sends the questions.
+        Sends the queries.
     port : int
         Sync port of all nodes.
     address_of : callable
-        IP number of a router by its node identifier, or None.
+        Returns the IP address of a router by its node identifier, or None.
     """
 
     def __init__(
@@ -48,34 +48,39 @@
         self._port = port
         self._address_of = address_of
 
-    async def settings_of(self, peer: str, known_version: int) -> SettingsReply | None:
-        """Ask a node, by identifier or address, for a higher document."""
+    async def fetch_settings(
+        self, peer: str, known_version: int
+    ) -> SettingsReply | None:
+        """Request a document newer than a version from a node.
+
+        ``peer`` is a node identifier or an address.
+        """
         address = self._address_of(peer) or peer
-        reply = await self._ask(address, SettingsQuery(known_version))
+        reply = await self._query(address, SettingsQuery(known_version))
         return reply if isinstance(reply, SettingsReply) else None
 
-    async def members_at(self, address: str) -> MembersReply | None:
-        """Ask the router at an address for its members."""
-        reply = await self._ask(address, MembersQuery())
+    async def fetch_members(self, address: str) -> MembersReply | None:
+        """Request the members known to the router at an address."""
+        reply = await self._query(address, MembersQuery())
         return reply if isinstance(reply, MembersReply) else None
 
-    async def _ask(self, address: str, query: SyncQuery) -> SyncReply | None:
+    async def _query(self, address: str, query: SyncQuery) -> SyncReply | None:
         answer = await self._client.request(address, self._port, encode_sync(query))
         if isinstance(answer, SyncFailed):
-            logging.debug("node at %s: %s", address, answer.reason)
+            logging.debug("query to node at %s failed: %s", address, answer.reason)
             return None
         return decode_reply(answer)
 
 
-class PeerAnswers:
-    """Answers questions of other nodes.
+class PeerQueryHandler:
+    """Replies to queries of other nodes.
 
     Parameters
     ----------
     sync : SettingsSync
-        Knows the settings.
+        Source of settings documents.
     members : MemberTable
-        Knows the members.
+        Source of members.
     """
 
     def __init__(self, sync: SettingsSync, members: MemberTable) -> None:
--- a/libs/router/src/berylwalk/router/_pending_writes.py
+++ b/libs/router/src/berylwalk/router/_pending_writes.py
@@ -1,4 +1,4 @@
-"""Writes to the platform that nobody waits for."""
+"""Background writes to the key-value service, with retries."""
 
 from collections import deque
 from collections.abc import Awaitable, Callable
@@ -12,19 +12,19 @@
 FLUSH_CHECK_S = 0.02
 
 Write = Callable[[], Awaitable[bool]]
-"""Makes one write; returns whether it is settled and need not be repeated."""
+"""Makes one write; returns whether it is settled and needs no retry."""
 
 Pause = Callable[[float], Awaitable[None]]
-"""Sleeps; receives seconds."""
+"""Sleeps for a number of seconds."""
 
 
 class PendingWrites:
-    """Repeats each write until it is settled, the oldest first.
+    """Queue of writes, each retried until it is settled, oldest first.
 
     Parameters
     ----------
     pause : callable
-        Sleeps; receives seconds.
+        Sleeps for a number of seconds.
     """
 
     def __init__(self, *, pause: Pause = sleep) -> None:
@@ -37,15 +37,15 @@
         return len(self._writes) + self._in_progress
 
     def add(self, write: Write) -> None:
-        """Add a write; it is dropped when too many are pending."""
+        """Add a write; it is dropped if too many are pending."""
         if len(self._writes) >= MAX_PENDING_WRITES:
-            logging.warning("a write is dropped: %d are pending", len(self._writes))
+            logging.warning("write dropped: %d writes are pending", len(self._writes))
             return
         self._writes.append(write)
         self._added.set()
 
     async def run(self) -> None:
-        """Make the writes, for ever; may run several times at once."""
+        """Make the writes until cancelled; several workers may run concurrently."""
         failures = 0
         while True:
             await self._wait_for_write()
--- a/libs/router/src/berylwalk/router/_placing.py
+++ b/libs/router/src/berylwalk/router/_placing.py
@@ -1,4 +1,4 @@
-"""Finding an agent for a request."""
+"""Placement of requests: choice of an agent, retries and refusals."""
 
 from functools import partial
 
@@ -6,26 +6,26 @@
 from berylwalk.placement import exclude_stragglers, has_known_prefix
 from berylwalk.router._agents import AgentState
 from berylwalk.router._config import (
-    LONGEST_RETRY_JITTER_S,
+    CACHED_PREFIX_WAIT_FRACTION,
+    INITIAL_RETRY_JITTER_S,
     MAX_ATTEMPTS_PER_AGENT,
     MAX_RESERVATIONS,
-    REFUSAL_LIFETIME_S,
-    RETRY_JITTER_S,
-    SHARED_PREFIX_PATIENCE,
+    MAX_RETRY_JITTER_S,
+    REFUSAL_TTL_S,
     TARGET_WAIT_S,
 )
 from berylwalk.router._core import RouterCore
 from berylwalk.router._ending import end_not_run
-from berylwalk.router._greeting import look_for_agents
+from berylwalk.router._hellos import record_resource_use
 from berylwalk.router._issuing import grant_directly
 from berylwalk.router._request_state import AgentRefusal, RequestState
 from berylwalk.router._reserving import reserve
 
 
 def place(core: RouterCore, state: RequestState, now: float) -> None:
-    """Send the request on its way, unless it already is or must wait.
+    """Grant or reserve at an agent, unless a grant or a retry is pending.
 
-    Ends the request when its deadline has passed or every eligible agent has
+    Ends the request if its deadline has passed or every eligible agent has
     refused it.
     """
     if state.grant is not None or state.retry_pending:
@@ -36,45 +36,49 @@
     if state.reservations_by_agent:
         _schedule_second(core, state, now)
         return
-    look_for_agents(core, state.request.call.resource, now)
+    record_resource_use(core, state.request.call.resource, now)
     chosen = _choose(core, state, now)
     if chosen is not None:
-        _leave_unplaced(core, state)
-        _send_to(core, state, chosen, now)
+        _clear_unplaced(core, state)
+        _grant_or_reserve(core, state, chosen, now)
     elif core.eligible(state, now):
-        _leave_unplaced(core, state)
-        _ask_again_or_shed(core, state, now)
+        _clear_unplaced(core, state)
+        _retry_refused_or_end(core, state, now)
     else:
         _wait_for_target(core, state, now)
 
 
 def deadline_refusal() -> Refusal:
-    """Return the refusal of a request whose deadline passed."""
+    """Return the refusal for a request whose deadline passed."""
     return Refusal(RefusalReason.DEADLINE, detail="the deadline passed")
 
 
-def refuse_agent(state: RequestState, agent: str, refusal: Refusal, now: float) -> None:
-    """Note that an agent will not take the request."""
+def record_refusal(
+    state: RequestState, agent: str, refusal: Refusal, now: float
+) -> None:
+    """Record that an agent does not accept the request."""
     state.refusals_by_agent[agent] = AgentRefusal(refusal, now)
 
 
-def turn_down(state: RequestState, agent: str, refusal: Refusal, now: float) -> None:
-    """Note that an agent did not take an attempt but may take the next."""
-    count = state.attempts_by_agent.get(agent, 0) + 1
-    state.attempts_by_agent[agent] = count
+def record_failed_attempt(
+    state: RequestState, agent: str, refusal: Refusal, now: float
+) -> None:
+    """Record that an attempt failed at an agent that may accept the next one."""
+    count = state.failed_attempts_by_agent.get(agent, 0) + 1
+    state.failed_attempts_by_agent[agent] = count
     if count >= MAX_ATTEMPTS_PER_AGENT:
-        refuse_agent(state, agent, refusal, now)
+        record_refusal(state, agent, refusal, now)
 
 
 def reserve_after_no_slot(
     core: RouterCore, state: RequestState, agent: str, refusal: Refusal, now: float
 ) -> None:
-    """Wait at an agent that had no free slot, if the request still can."""
+    """Reserve at an agent that had no free slot, or place the request elsewhere."""
     found = core.agents.get(agent)
     if found is not None:
-        found.note_full(state.work.tier_rank)
-    if not core.reserves:
-        refuse_agent(state, agent, refusal, now)
+        found.record_no_slot(state.work.tier_rank)
+    if not core.uses_reservations:
+        record_refusal(state, agent, refusal, now)
     if now >= state.request.deadline_at or agent in state.refusals_by_agent:
         place(core, state, now)
     elif found is not None and found in core.eligible(state, now):
@@ -85,26 +89,26 @@
 
 
 def retry(core: RouterCore, state: RequestState, now: float) -> None:
-    """Place again later, as soon as the budget allows.
+    """Schedule another placement, delayed while the retry budget is exhausted.
 
-    A spent budget delays the request, up to its deadline. It does not end it,
+    An exhausted budget delays the request up to its deadline and does not end it,
     because no agent has refused it.
     """
     request_id = state.request.request_id
     state.retry_pending = True
     if core.budget.take():
-        # The exponent is bounded because a float overflows beyond 1023.
-        bound = RETRY_JITTER_S * 2 ** min(state.retries, 10)
-        delay = core.rng.uniform(0.0, min(bound, LONGEST_RETRY_JITTER_S))
+        # Bounding the exponent avoids a float overflow.
+        bound = INITIAL_RETRY_JITTER_S * 2 ** min(state.retries, 10)
+        delay = core.rng.uniform(0.0, min(bound, MAX_RETRY_JITTER_S))
         state.retries += 1
         core.timers.add(now + delay, partial(_place_now, core, request_id))
     else:
-        delay = core.rng.uniform(RETRY_JITTER_S, LONGEST_RETRY_JITTER_S)
+        delay = core.rng.uniform(INITIAL_RETRY_JITTER_S, MAX_RETRY_JITTER_S)
         core.timers.add(now + delay, partial(_retry_now, core, request_id))
 
 
 def retry_or_end(core: RouterCore, state: RequestState, now: float) -> None:
-    """Place again after a true not-run, unless the deadline has passed."""
+    """Retry a request that did not run, unless its deadline has passed."""
     if now >= state.request.deadline_at:
         end_not_run(core, state, deadline_refusal())
     else:
@@ -138,15 +142,15 @@
     return untried[core.choose(work, exclude_stragglers(candidates)).agent]
 
 
-def _send_to(
+def _grant_or_reserve(
     core: RouterCore, state: RequestState, agent: AgentState, now: float
 ) -> None:
-    if not core.reserves:
-        if state.may_be_granted:
+    if not core.uses_reservations:
+        if state.is_grantable:
             grant_directly(core, state, agent, now)
         return
     has_slot = agent.candidate(state.work).free_slots > 0
-    if has_slot and state.may_be_granted:
+    if has_slot and state.is_grantable:
         grant_directly(core, state, agent, now)
         return
     reserve(core, state, agent, now)
@@ -164,9 +168,9 @@
     delay_s = core.config.second_reservation_delay_s
     if not has_known_prefix(state.work, core.history):
         return delay_s
-    # A second agent would prefill the prefix again.
+    # The second agent would have to prefill the cached prefix again.
     remaining_s = state.request.deadline_at - now
-    return max(delay_s, SHARED_PREFIX_PATIENCE * remaining_s)
+    return max(delay_s, CACHED_PREFIX_WAIT_FRACTION * remaining_s)
 
 
 def _reserve_second(
@@ -182,23 +186,23 @@
         reserve(core, state, chosen, now)
 
 
-def _ask_again_or_shed(core: RouterCore, state: RequestState, now: float) -> None:
+def _retry_refused_or_end(core: RouterCore, state: RequestState, now: float) -> None:
     eligible = {agent.agent for agent in core.eligible(state, now)}
     old = [
         agent
         for agent, refused in state.refusals_by_agent.items()
-        if agent in eligible and now - refused.at >= REFUSAL_LIFETIME_S
+        if agent in eligible and now - refused.at >= REFUSAL_TTL_S
     ]
     if not old:
-        end_not_run(core, state, _earliest_return(state, eligible))
+        end_not_run(core, state, _earliest_retry_refusal(state, eligible))
         return
-    # Old refusals no longer prove that the agents are full.
+    # Expired refusals do not show whether the agents are still full.
     for agent in old:
         state.forget_refusals(agent)
     retry(core, state, now)
 
 
-def _earliest_return(state: RequestState, agents: set[str]) -> Refusal:
+def _earliest_retry_refusal(state: RequestState, agents: set[str]) -> Refusal:
     refusals = [
         refused.refusal
         for agent, refused in state.refusals_by_agent.items()
@@ -207,7 +211,7 @@
     return min(refusals, key=lambda refusal: refusal.retry_after_ms)
 
 
-def _leave_unplaced(core: RouterCore, state: RequestState) -> None:
+def _clear_unplaced(core: RouterCore, state: RequestState) -> None:
     core.unplaced_ids.pop(state.request.request_id, None)
     state.unplaced_since = None
 
--- a/libs/router/src/berylwalk/router/_readiness.py
+++ b/libs/router/src/berylwalk/router/_readiness.py
@@ -1,4 +1,4 @@
-"""Whether requests should be sent to this router."""
+"""Readiness check of the router."""
 
 from berylwalk.model import Finding
 from berylwalk.router._membership import MemberTable
@@ -6,19 +6,19 @@
 
 
 class Readiness:
-    """Tells why requests should not be sent to this router.
+    """Determines whether requests should be sent to this router.
 
     Parameters
     ----------
     sync : SettingsSync
-        Knows whether the settings are the latest.
+        Knows whether the settings are current.
     members : MemberTable
-        Knows the agents.
+        Source of the agents.
 
     Attributes
     ----------
     is_draining : bool
-        Whether the router is about to end.
+        Whether the router is draining before it stops.
     """
 
     def __init__(self, sync: SettingsSync, members: MemberTable) -> None:
@@ -27,16 +27,16 @@
         self.is_draining = False
 
     def has_settings(self) -> bool:
-        """Tell whether requests can be treated by the settings in force."""
+        """Return whether requests can be served with the settings in force."""
         return self._sync.is_ready
 
     def findings(self) -> list[Finding]:
         """Return the reasons; empty when the router is ready."""
         findings = []
         if self.is_draining:
-            findings.append(Finding("router", "it is draining"))
+            findings.append(Finding("router", "the router is draining"))
         if not self.has_settings():
-            findings.append(Finding("settings", "the latest are not known"))
+            findings.append(Finding("settings", "the latest version is not known"))
         if not self._members.agent_ids:
             findings.append(Finding("members", "no agent is known"))
         return findings
--- a/libs/router/src/berylwalk/router/_record_leases.py
+++ b/libs/router/src/berylwalk/router/_record_leases.py
@@ -1,4 +1,4 @@
-"""Leases that delete idempotency records after their lifetime."""
+"""Leases that expire idempotency records."""
 
 from collections.abc import Callable
 from time import monotonic
@@ -11,20 +11,20 @@
 
 
 class RecordLeases:
-    """Shares one lease among the records of a while.
+    """Leases shared by the records that are created within one rotation.
 
-    A lease for each record would double the writes. Instead a lease lives for
-    the lifetime of a record and one rotation longer, and takes new records
-    during the rotation only. A record is therefore kept for at least its
-    lifetime and at most for one rotation (a 24th of it) longer, counted from
-    the claim. Nobody renews a lease, so that it also ends without its router.
+    One lease per record would double the writes. A lease lives for the record
+    lifetime plus one rotation, and new records are attached to it during the
+    first rotation only. A record therefore expires between one lifetime and one
+    lifetime plus one rotation after its claim. Leases are never renewed, so they
+    also expire when the router is gone.
 
     Parameters
     ----------
     store : KeyValueStore
         Grants the leases.
     lifetime_s : float
-        Least time for which a record is kept, in seconds.
+        Minimum time for which a record is kept, in seconds.
     clock : callable
         Monotonic clock, in seconds.
     """
@@ -52,8 +52,8 @@
         Parameters
         ----------
         wait_s : float
-            How long the request may yet wait for its grant, in seconds. Its
-            record must not expire before.
+            Longest remaining wait of the request for its grant, in seconds. The
+            record outlives it.
 
         Returns
         -------
@@ -66,19 +66,19 @@
         async with self._lock:
             if self._lease_id is not None and self._clock() < self._rotates_at:
                 return self._lease_id
-            # Who waited for an attempt that failed need not make another one.
+            # Callers that queued for the lock behind a failed attempt share its result.
             if self._failure is not None and self._failed_at >= arrived_at:
                 return self._failure
             return await self._rotate()
 
     def forget(self, lease_id: int) -> None:
-        """Give a lease up that the service does not know any more."""
+        """Stop using a lease that the key-value service no longer has."""
         if lease_id == self._lease_id:
             self._lease_id = None
 
     async def _rotate(self) -> int | Unavailable:
-        # Counted from before the request: the service's view ends later.
-        asked_at = self._clock()
+        # Taken before the request, so the lease expires later than assumed here.
+        requested_at = self._clock()
         granted = await self._grant(self._lifetime_s + self._rotation_s)
         if isinstance(granted, Unavailable):
             self._failure = granted
@@ -86,7 +86,7 @@
             return granted
         self._failure = None
         self._lease_id = granted
-        self._rotates_at = asked_at + self._rotation_s
+        self._rotates_at = requested_at + self._rotation_s
         return granted
 
     async def _grant(self, ttl_s: float) -> int | Unavailable:
--- a/libs/router/src/berylwalk/router/_records.py
+++ b/libs/router/src/berylwalk/router/_records.py
@@ -1,4 +1,4 @@
-"""Idempotency records, as they are stored."""
+"""Format of stored idempotency records."""
 
 from enum import StrEnum
 from hashlib import blake2b, sha256
@@ -6,19 +6,19 @@
 import msgspec
 
 from berylwalk.model import Request
-from berylwalk.router._stored_answers import StoredAnswer
+from berylwalk.router._stored_responses import StoredResponse
 
 RECORDS_PREFIX = "/berylwalk/idempotency"
 
 
 class RecordState(StrEnum):
-    """What is known of the request that holds an idempotency key."""
+    """State of the request that holds an idempotency key."""
 
     CLAIMED = "claimed"
-    """It waits, runs, or ended with an unknown outcome."""
+    """The request is waiting or running, or ended with an unknown outcome."""
 
     COMPLETE = "complete"
-    """Its whole answer was delivered."""
+    """The whole response was delivered."""
 
 
 class Record(msgspec.Struct, frozen=True, omit_defaults=True):
@@ -27,22 +27,22 @@
     Parameters
     ----------
     request_id : str
-        The request that holds the key; no other one writes the record.
+        The request that holds the key; only it writes the record.
     fingerprint : str
-        Digest of the call, which tells a repeat from a reused key.
+        Digest of the call, which distinguishes a repeat from a reused key.
     state : RecordState
-        What is known of the request.
+        State of the request.
     status : int
-        HTTP status of the target's answer, or 0 before it is known.
-    answer : StoredAnswer or None
-        The answer, when it was small enough to be kept.
+        HTTP status of the target's response, or 0 before it is known.
+    answer : StoredResponse or None
+        The response, if it was small enough to store.
     """
 
     request_id: str
     fingerprint: str
     state: RecordState = RecordState.CLAIMED
     status: int = 0
-    answer: StoredAnswer | None = None
+    answer: StoredResponse | None = None
 
 
 _encode = msgspec.json.Encoder().encode
@@ -62,7 +62,7 @@
 
 
 def fingerprint(request: Request) -> str:
-    """Return a digest of what makes two calls the same."""
+    """Return a digest of the method, path and body of the call."""
     call = request.call
     digest = blake2b(digest_size=16)
     for part in (call.method.encode(), call.path.encode(), call.body):
@@ -72,12 +72,11 @@
 
 
 def encode_record(record: Record) -> bytes:
-    """Encode a record as JSON."""
     return _encode(record)
 
 
 def decode_record(value: bytes) -> Record | None:
-    """Decode a record, or return None when it is malformed."""
+    """Decode a record, or return None if it is malformed."""
     try:
         return _decode(value)
     except msgspec.MsgspecError:
--- a/libs/router/src/berylwalk/router/_request_parts.py
+++ b/libs/router/src/berylwalk/router/_request_parts.py
@@ -1,4 +1,4 @@
-"""The parts of a router that handle requests."""
+"""Components of a router that handle requests."""
 
 from dataclasses import dataclass
 from random import Random
@@ -18,18 +18,18 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class RequestParts:
-    """The state machine, its shell and what notes the ends of requests.
+    """The state machine, its shell and the observer of requests.
 
     Parameters
     ----------
     machine : RouterMachine
-        Decides.
+        The state machine.
     shell : RouterShell
-        Runs the machine; still to be connected to senders.
+        Runs the machine; must be connected to senders before use.
     records : IdempotencyRecords
-        Idempotency keys.
+        Claims idempotency keys.
     observer : RequestObserver
-        Notes the ends of requests.
+        Records the ends of requests in metrics, logs and spans.
     metrics : RouterMetrics
         Counters and histograms.
     tracing : Tracing
@@ -47,7 +47,7 @@
     def from_config(
         cls, settings: RouterSettings, *, incarnation: int, store: KeyValueStore
     ) -> Self:
-        """Build the parts.
+        """Build the components.
 
         Parameters
         ----------
@@ -61,7 +61,7 @@
         Raises
         ------
         OSError
-            If the file for spans cannot be opened.
+            If the span file cannot be opened.
         """
         metrics = RouterMetrics.create()
         tracing = tracing_from_settings("router", settings.node.id, settings.telemetry)
--- a/libs/router/src/berylwalk/router/_request_state.py
+++ b/libs/router/src/berylwalk/router/_request_state.py
@@ -16,7 +16,7 @@
 
 
 class Phase(StrEnum):
-    """Where a request is, for the admin API."""
+    """Phase of a request, as shown by the admin API."""
 
     UNPLACED = "unplaced"
     WAITING = "waiting"
@@ -27,24 +27,25 @@
 
 @dataclass(slots=True)
 class Reservation:
-    """A place in the waiting list of one agent.
+    """A reservation in the admission queue of one agent.
 
     Parameters
     ----------
     agent : str
         Node identifier.
     incarnation : int
-        Incarnation of the agent that was asked.
+        Incarnation of the agent that the reservation was sent to.
     attempt : int
         Number of the attempt.
     queued : bool
         Whether the agent has confirmed it.
     ready : bool
-        Whether the agent holds a slot and the key's claim is awaited.
+        Whether the agent holds a slot while the idempotency key is still being
+        claimed.
     resends : int
-        Times it was sent again.
+        Number of resends.
     sent_at : float
-        When it was last sent.
+        Time of the last send.
     """
 
     agent: str
@@ -69,15 +70,15 @@
     attempt : int
         Number of the attempt.
     conditional : bool
-        Whether it did not answer a `Ready`.
+        Whether it was issued without a `Ready`, so that it requires a free slot.
     progress_at : float
-        When the grant was issued or the last piece of the answer arrived.
+        When the grant was issued or the last chunk of the response arrived.
     started : bool
         Whether the target's status has arrived.
     lost_at : float or None
-        When its connection was lost and the agent was first asked to revoke.
+        When its connection was lost and the first `Revoke` was sent.
     resends : int
-        Times the `Revoke` was sent again.
+        Number of resends of the `Revoke`.
     """
 
     agent: str
@@ -92,7 +93,7 @@
 
 @dataclass(frozen=True, slots=True)
 class AgentRefusal:
-    """An agent's refusal and when it came."""
+    """An agent's refusal and its time of arrival."""
 
     refusal: Refusal
     at: float
@@ -111,19 +112,19 @@
     attempts : int
         Highest attempt number in use.
     reservations_by_agent : dict of str to Reservation
-        Places in waiting lists; empty while a grant is outstanding.
+        Open reservations; empty while a grant is outstanding.
     refusals_by_agent : dict of str to AgentRefusal
-        Agents that will not take the request.
-    attempts_by_agent : dict of str to int
-        Attempts that the agent turned down without refusing the request.
+        Refusals by agents that do not accept the request.
+    failed_attempts_by_agent : dict of str to int
+        Attempts that failed at the agent without a refusal of the request.
     grant : OutstandingGrant or None
         The grant whose result is not known.
     retry_pending : bool
         Whether a delayed placement is scheduled.
     retries : int
-        Retries taken from the budget.
+        Retries taken from the retry budget.
     unplaced_since : float or None
-        Since when no agent has been eligible.
+        Time since which no agent has been eligible.
     """
 
     request: Request
@@ -131,7 +132,7 @@
     attempts: int = 0
     reservations_by_agent: dict[str, Reservation] = field(default_factory=dict)
     refusals_by_agent: dict[str, AgentRefusal] = field(default_factory=dict)
-    attempts_by_agent: dict[str, int] = field(default_factory=dict)
+    failed_attempts_by_agent: dict[str, int] = field(default_factory=dict)
     grant: OutstandingGrant | None = None
     retry_pending: bool = False
     retries: int = 0
@@ -149,13 +150,13 @@
         )
 
     @property
-    def may_be_granted(self) -> bool:
+    def is_grantable(self) -> bool:
         """Whether a grant may be issued now."""
         return self.grant is None and self.key is not KeyState.PENDING
 
     @property
     def phase(self) -> Phase:
-        """Where the request is."""
+        """Phase of the request."""
         if self.grant is None:
             return Phase.WAITING if self.reservations_by_agent else Phase.UNPLACED
         if self.grant.lost_at is not None:
@@ -168,10 +169,10 @@
         return self.attempts
 
     def forget_refusals(self, agent: str) -> None:
-        """Let an agent be asked again that refused or turned down attempts."""
+        """Make an agent eligible again after refusals or failed attempts."""
         self.refusals_by_agent.pop(agent, None)
-        self.attempts_by_agent.pop(agent, None)
+        self.failed_attempts_by_agent.pop(agent, None)
 
-    def deadline_ms(self, now: float) -> int:
-        """Return the time left, in milliseconds, not below 0."""
+    def remaining_ms(self, now: float) -> int:
+        """Return the time until the deadline, in milliseconds, at least 0."""
         return max(0, int((self.request.deadline_at - now) * 1000))
--- a/libs/router/src/berylwalk/router/_reserving.py
+++ b/libs/router/src/berylwalk/router/_reserving.py
@@ -1,10 +1,10 @@
-"""Sending reservations and repeating them until they are answered."""
+"""Sending of reservations, with resends until they are answered."""
 
 from functools import partial
 
 from berylwalk.model import RequestId
 from berylwalk.router._agents import AgentState
-from berylwalk.router._config import RECONFIRM_S
+from berylwalk.router._config import RESERVATION_REFRESH_S
 from berylwalk.router._core import RouterCore
 from berylwalk.router._request_state import RequestState, Reservation
 from berylwalk.wire import Reserve
@@ -13,14 +13,14 @@
 def reserve(
     core: RouterCore, state: RequestState, agent: AgentState, now: float
 ) -> None:
-    """Ask an agent for a place in its waiting list."""
+    """Request an entry in the admission queue of an agent."""
     reservation = Reservation(
         agent=agent.agent,
         incarnation=agent.incarnation,
         attempt=state.next_attempt(),
     )
     state.reservations_by_agent[agent.agent] = reservation
-    agent.note_sent(state.work, now)
+    agent.record_sent(state.work, now)
     _send(core, state, reservation, now)
 
 
@@ -37,7 +37,7 @@
         weight=request.service_policy.weight,
         prompt_tokens=request.estimate.prompt_tokens,
         output_tokens=request.estimate.output_tokens,
-        deadline_ms=state.deadline_ms(now),
+        deadline_ms=state.remaining_ms(now),
     )
     core.outbox.send(reservation.agent, message)
     reservation.sent_at = now
@@ -61,11 +61,11 @@
     reservation = state.reservations_by_agent.get(agent)
     if reservation is None or reservation.attempt != attempt:
         return
-    # An agent that lost sight of the router drops reservations without its
-    # knowing, so that queued ones are confirmed from time to time.
-    confirm_at = reservation.sent_at + RECONFIRM_S
-    if reservation.queued and now < confirm_at:
-        _schedule_resend(core, request_id, reservation, confirm_at)
+    # An agent that considers the router unreachable drops its reservations, so
+    # queued ones are resent periodically.
+    refresh_at = reservation.sent_at + RESERVATION_REFRESH_S
+    if reservation.queued and now < refresh_at:
+        _schedule_resend(core, request_id, reservation, refresh_at)
         return
     reservation.resends += 1
     _send(core, state, reservation, now)
--- a/libs/router/src/berylwalk/router/_resources.py
+++ b/libs/router/src/berylwalk/router/_resources.py
@@ -1,4 +1,4 @@
-"""Which models and services there are, as the caller API asks for them."""
+"""Known models and services, for the caller API."""
 
 from collections.abc import Callable
 from time import monotonic
@@ -6,18 +6,18 @@
 from berylwalk.router._machine import RouterMachine
 from berylwalk.router._membership import MemberTable
 
-CACHE_S = 0.25
+CACHE_TTL_S = 0.25
 
 
 class ResourceCache:
-    """Resources of all agents, refreshed now and then.
+    """Resources of all agents, cached for a short time.
 
     Parameters
     ----------
     machine : RouterMachine
-        Knows the agents that this router works with.
+        Source of the resources that agents reported.
     members : MemberTable
-        Knows all agents.
+        Source of the number of listed agents.
     clock : callable
         Monotonic clock, in seconds.
     """
@@ -37,16 +37,16 @@
         self._seen = (-1, -1)
 
     def __call__(self) -> frozenset[str]:
-        """Return the resources; nothing unless all agents were heard."""
+        """Return the resources; empty until all listed agents have reported."""
         now = self._clock()
         if now >= self._fresh_until:
-            self._fresh_until = now + CACHE_S
+            self._fresh_until = now + CACHE_TTL_S
             self._update()
         return self._resources
 
     def _update(self) -> None:
-        # What an agent serves that was never heard is not known; without it no
-        # name may be called unknown.
+        # An agent that has not reported may serve any name, so no name can be
+        # rejected as unknown until all have.
         listed = self._members.agent_count
         seen = (self._machine.agent_changes, listed)
         if seen != self._seen:
--- a/libs/router/src/berylwalk/router/_service_policies.py
+++ b/libs/router/src/berylwalk/router/_service_policies.py
@@ -1,4 +1,4 @@
-"""The settings in force, as the caller API asks for them."""
+"""Service policies from the settings document in force, for the caller API."""
 
 from collections.abc import Callable
 
@@ -32,7 +32,7 @@
         return self._account_by_digest.get(sha256_hex)
 
     def service_policy(self, account: str, service: str) -> ServicePolicy | None:
-        """Return the effective settings of a service node, or None without one."""
+        """Return the effective policy of a service, or None if it is not configured."""
         document = self._document()
         if document is None:
             return None
--- a/libs/router/src/berylwalk/router/_services.py
+++ b/libs/router/src/berylwalk/router/_services.py
@@ -1,4 +1,4 @@
-"""What the HTTP servers of a router are built on."""
+"""Assembly of the services behind a router's HTTP servers."""
 
 from collections.abc import Callable
 
@@ -24,7 +24,7 @@
     sync: SettingsSync,
     readiness: Readiness,
 ) -> Services:
-    """Build what the HTTP servers need.
+    """Build the dependencies of the HTTP servers.
 
     Parameters
     ----------
@@ -33,13 +33,13 @@
     connections : NodeConnections
         Connections to the key-value service and to agents.
     fleet : FleetState
-        What is known of the other processes.
+        State of the other processes.
     requests : RequestParts
-        What handles requests.
+        Components that handle requests.
     sync : SettingsSync
-        Settings in force.
+        Synchronizes the settings.
     readiness : Readiness
-        Whether requests should come here.
+        Whether the router is ready.
     """
     store = connections.store
     replica = fleet.replica
--- a/libs/router/src/berylwalk/router/_settings_store.py
+++ b/libs/router/src/berylwalk/router/_settings_store.py
@@ -1,4 +1,4 @@
-"""The key-value service as the settings library sees it."""
+"""Adapter from the key-value service to the settings library's store."""
 
 from berylwalk.platform import (
     Conflict,
--- a/libs/router/src/berylwalk/router/_settings_sync.py
+++ b/libs/router/src/berylwalk/router/_settings_sync.py
@@ -1,4 +1,4 @@
-"""Keeps the settings up to date and passes them on."""
+"""Synchronization of the settings with the key-value service and peers."""
 
 from collections.abc import Awaitable, Callable
 from contextlib import aclosing
@@ -24,7 +24,7 @@
 PULL_CHECK_S = 0.1
 WATCH_CHECK_S = 1.0
 SLOW_POLL_S = 30.0
-JITTER_SHARE = 0.2
+JITTER_FRACTION = 0.2
 FIRST_REVISION = 1
 
 Pull = Callable[[str, int], Awaitable[SettingsReply | None]]
@@ -40,17 +40,17 @@
     store : KeyValueStore
         The key-value service.
     pull : callable
-        Asks a peer, by its name or address, for its document if it is higher than
-        a version; None when the peer does not answer.
+        Requests a peer's document, by the peer's identifier or address, if it is
+        newer than a version; None if the peer does not respond.
     announce : callable
-        Tells all nodes of a new version; called for documents of the store.
+        Announces a new version to all nodes; called for documents of the store.
     is_watcher : callable
-        Whether this router is one of the few that keep a watch.
+        Whether this router is one of the few that watch the store.
     poll_s : float
-        Time between reads of the store until the first succeeds, in seconds.
+        Time between reads of the store until one succeeds, in seconds.
     pull_jitter_s : callable
-        Largest delay of a pull, in seconds; keeps many nodes from asking one
-        at the same moment.
+        Maximum random delay of a pull, in seconds; spreads the pulls of many nodes
+        from one peer.
     clock : callable
         Monotonic clock, in seconds.
     rng : random.Random
@@ -80,8 +80,8 @@
         self._clock = clock
         self._rng = rng or Random()
         self._replies = SettingsReplies(replica)
-        self._store_answers: bool | None = None
-        # Agents that are ahead, by their names.
+        self._is_store_available: bool | None = None
+        # Agents with a newer version than this router.
         self._address_by_agent: dict[str, str] = {}
 
     @property
@@ -91,46 +91,46 @@
 
     @property
     def is_ready(self) -> bool:
-        """Whether requests may be treated by the document in force."""
+        """Whether requests may be served with the document in force."""
         return self._replica.ready_to_serve(self._clock())
 
-    def hear_router(self, router: str, version: int) -> None:
-        """Note the settings version that a router's datagram carried."""
+    def record_router_version(self, router: str, version: int) -> None:
+        """Record the settings version in a router's datagram."""
         self._replica.on_announcement(router, version, self._clock())
 
-    def hear_agent(self, agent: str, address: str, version: int) -> None:
-        """Note the settings version of an agent, and where it can be asked."""
+    def record_agent_version(self, agent: str, address: str, version: int) -> None:
+        """Record the settings version of an agent, and its address for pulls."""
         if version <= self._replica.version:
             return
         self._address_by_agent[agent] = address
         self._replica.on_announcement(agent, version, self._clock(), is_fallback=True)
 
     def forget_router(self, router: str) -> None:
-        """Note that a router is gone."""
+        """Forget the settings version of a router that is gone."""
         self._replica.on_peer_gone(router)
 
     def accept(self, document: SettingsDocument) -> None:
-        """Take a document that was just written to the store, and announce it."""
+        """Apply a document that was just written to the store, and announce it."""
         if self._replica.on_document(document, self._clock()):
-            self._note_new("accepted")
+            self._log_new_version("accepted")
             self._announce()
 
     def reply(self, query: SettingsQuery) -> SettingsReply:
-        """Answer a peer that asks for the document."""
+        """Return the reply to a peer's query for the document."""
         return self._replies.reply(query, is_settled=self.is_ready)
 
     async def read_store(self) -> bool:
-        """Read the store; returns whether it answered."""
+        """Read the store; returns whether it responded."""
         document = await read_document(PlatformSettingsStore(self._store))
         if isinstance(document, ReadFailed):
-            self._note_store(False, document.reason)
+            self._log_store_availability(False, document.reason)
             return False
-        self._note_store(True, "")
-        self._take_stored(document)
+        self._log_store_availability(True, "")
+        self._apply_stored(document)
         return True
 
-    async def ask(self, peer: str) -> bool:
-        """Pull from a peer; returns whether it answered."""
+    async def pull_from(self, peer: str) -> bool:
+        """Pull the document from a peer; returns whether it sent a valid reply."""
         address = self._address_by_agent.get(peer)
         reply = await self._pull(address or peer, self._replica.version)
         now = self._clock()
@@ -150,54 +150,54 @@
         try:
             document = SettingsDocument.decode(reply.document)
         except FindingsError as error:
-            logging.error("the settings of %s are invalid: %s", peer, error)
+            logging.error("invalid settings document from %s: %s", peer, error)
             self._replica.on_pull_failed(peer, now)
             return False
         if self._replica.on_document(document, now, peer=peer):
-            self._note_new(peer)
+            self._log_new_version(peer)
         return True
 
     async def run_pulls(self) -> None:
-        """Pull from peers that are ahead."""
+        """Pull from peers with a newer version until cancelled."""
         while True:
             if not await self.pull_once():
                 await sleep(PULL_CHECK_S)
 
     async def pull_once(self) -> bool:
-        """Pull from a peer that is ahead, if any; returns whether one was asked.
+        """Pull from a peer with a newer version; returns whether there was one.
 
-        Agents are asked only while the store does not answer.
+        Agents are used only while the store is unavailable.
         """
-        is_outage = self._store_answers is False
+        is_outage = self._is_store_available is False
         peer = self._replica.needs_pull(self._clock(), ask_fallbacks=is_outage)
         if peer is None:
             return False
         await sleep(self._rng.uniform(0, self._pull_jitter_s()))
-        await self.ask(peer)
+        await self.pull_from(peer)
         return True
 
     async def run_polls(self) -> None:
-        """Read the store now and then, should announcements have been missed."""
+        """Read the store periodically, in case announcements were missed."""
         while True:
             answered = await self.read_store()
             await self._wait_for_poll(self._clock() + (SLOW_POLL_S if answered else 0))
 
     async def run_watch(self) -> None:
-        """Watch the store while this router is one of the watchers."""
+        """Watch the store whenever this router is one of the watchers."""
         while True:
             if self._is_watcher():
-                await self._watch_while_chosen()
+                await self._watch_while_selected()
             await sleep(WATCH_CHECK_S)
 
     async def _wait_for_poll(self, slow_poll_at: float) -> None:
         while True:
-            await sleep(self._poll_s * (1 + JITTER_SHARE * self._rng.random()))
-            # Only agents may be left that know of a version.
+            await sleep(self._poll_s * (1 + JITTER_FRACTION * self._rng.random()))
+            # A version that only agents know is read from the store early.
             is_behind = self._replica.highest_heard > self._replica.version
             if is_behind or self._clock() >= slow_poll_at:
                 return
 
-    async def _watch_while_chosen(self) -> None:
+    async def _watch_while_selected(self) -> None:
         async with create_task_group() as task_group:
             task_group.start_soon(self._watch)
             while self._is_watcher():
@@ -212,36 +212,36 @@
             current = await self._store.get(key)
         start_revision = FIRST_REVISION
         if current is not None:
-            self._take_value(current.value)
+            self._apply_value(current.value)
             start_revision = current.mod_revision + 1
         async with aclosing(self._store.watch(key, start_revision)) as events:
             async for event in events:
                 if event.kind is EventKind.PUT:
-                    self._take_value(event.key_value.value)
+                    self._apply_value(event.key_value.value)
 
-    def _take_value(self, value: bytes) -> None:
+    def _apply_value(self, value: bytes) -> None:
         try:
             document = SettingsDocument.decode(value)
         except FindingsError as error:
-            logging.error("the stored settings are invalid: %s", error)
+            logging.error("invalid settings document in the store: %s", error)
             return
-        self._take_stored(document)
+        self._apply_stored(document)
 
-    def _take_stored(self, document: SettingsDocument) -> None:
+    def _apply_stored(self, document: SettingsDocument) -> None:
         if self._replica.on_store_document(document, self._clock()):
-            self._note_new("store")
+            self._log_new_version("store")
             self._announce()
 
-    def _note_store(self, answers: bool, reason: str) -> None:
-        if answers is self._store_answers:
+    def _log_store_availability(self, is_available: bool, reason: str) -> None:
+        if is_available is self._is_store_available:
             return
-        self._store_answers = answers
-        if answers:
-            logging.info("the settings can be read")
+        self._is_store_available = is_available
+        if is_available:
+            logging.info("settings store is available")
         else:
-            logging.warning("the settings cannot be read: %s", reason)
+            logging.warning("settings store is unavailable: %s", reason)
 
-    def _note_new(self, source: str) -> None:
+    def _log_new_version(self, source: str) -> None:
         if self._replica.version >= self._replica.highest_heard:
             self._address_by_agent.clear()
         logging.info("settings version %d is in force, from %s", self.version, source)
--- a/libs/router/src/berylwalk/router/_shell.py
+++ b/libs/router/src/berylwalk/router/_shell.py
@@ -1,4 +1,4 @@
-"""Feeds events into the state machine and carries its actions out."""
+"""Runs the state machine: feeds it events and carries out its actions."""
 
 from collections.abc import Callable
 from itertools import count
@@ -41,27 +41,28 @@
 from berylwalk.router._key_claims import KeyClaims
 from berylwalk.router._message_batches import MessageBatches
 from berylwalk.router._observing import RequestObserver
-from berylwalk.router._stored_answers import AnswerCopy
+from berylwalk.router._stored_responses import ResponseCopy
 from berylwalk.telemetry import Tracing
 
 
 class Machine(Protocol):
-    """The router's decisions, without input or output."""
+    """Interface of the router's state machine."""
 
     def handle(self, event: RouterEvent, now: float) -> list[RouterAction]:
-        """Take an event in and return the actions that follow."""
+        """Process one event and return the actions to carry out."""
         ...
 
 
 class RouterShell:
-    """The state machine together with what its actions need.
+    """Runs the state machine and carries out its actions.
 
-    Implements `berylwalk.model.Submitter`. All methods belong to one loop.
+    Implements `berylwalk.model.Submitter`. All methods must be called from one
+    event loop.
 
     Parameters
     ----------
     machine : Machine
-        Decides.
+        The state machine.
     router : str
         Node identifier.
     incarnation : int
@@ -69,11 +70,11 @@
     records : IdempotencyRecords
         Claims idempotency keys.
     observer : RequestObserver
-        Notes the ends of requests.
+        Records the ends of requests in metrics, logs and spans.
     tracing : Tracing
         Starts spans.
     next_due : callable
-        Returns when the machine needs a `Tick` next.
+        Returns when the machine's next `Tick` is due.
     clock : callable
         Monotonic clock, in seconds.
     """
@@ -98,9 +99,9 @@
         self._clock = clock
         self._serials = count(1)
         self._active_by_id: dict[RequestId, ActiveRequest] = {}
-        self._act_by_type: dict[type, Callable[[Any], None]] = {}
+        self._handler_by_type: dict[type, Callable[[Any], None]] = {}
         self._keys = KeyClaims(
-            records, active_of=self._active_by_id.get, handle=self.handle
+            records, find_active=self._active_by_id.get, handle=self.handle
         )
         self._ticks = TickLoop(
             lambda: self.handle(Tick()),
@@ -119,12 +120,12 @@
     def connect(
         self, *, grants: GrantSender, messages: MessageBatches, spawn: Spawn
     ) -> None:
-        """Set what carries the actions out, before the first event.
+        """Set the components that carry out actions, before the first event.
 
         Parameters
         ----------
         grants : GrantSender
-            Sends grants and reports to `report`.
+            Sends grants; its events go to `report`.
         messages : MessageBatches
             Sends messages to agents.
         spawn : callable
@@ -134,10 +135,10 @@
             grants,
             spawn=spawn,
             tracing=self._tracing,
-            active_of=self._active_by_id.get,
+            find_active=self._active_by_id.get,
             handle=self.handle,
         )
-        self._act_by_type = {
+        self._handler_by_type = {
             SendToAgent: lambda action: messages.add(action.agent, action.messages),
             IssueGrant: tasks.issue,
             AbandonGrant: tasks.abandon,
@@ -148,11 +149,11 @@
         }
 
     def new_request_id(self) -> RequestId:
-        """Return the next request identifier."""
+        """Return a new request identifier."""
         return RequestId(self._router, self._incarnation, next(self._serials))
 
     async def submit(self, request: Request, sink: ResponseSink) -> FinalResponse:
-        """Place a request, stream its answer into the sink, and return its end.
+        """Place a request, stream its response into the sink, and return its outcome.
 
         Cancelling the call withdraws the request.
         """
@@ -160,7 +161,7 @@
         final: FinalResponse | None = None
         try:
             self.handle(RequestArrived(active.request))
-            final = await active.final_answer()
+            final = await active.final_response()
             return final
         except get_cancelled_exc_class():
             self.handle(CallerGone(request.request_id))
@@ -169,29 +170,29 @@
             self._deactivate(active, final)
 
     def handle(self, event: RouterEvent) -> None:
-        """Feed one event into the state machine and act on the result."""
+        """Feed one event into the state machine and carry out the actions."""
         try:
             for action in self._machine.handle(event, self._clock()):
-                self._act_by_type[type(action)](action)
+                self._handler_by_type[type(action)](action)
         except Exception:
-            # A fault must not leave a caller waiting, nor end the process.
+            # An error must neither leave a caller waiting nor end the process.
             logging.exception("handling %s failed", type(event).__name__)
             self._end_unknown(event, "an internal error occurred")
         self._ticks.note_event()
 
     def report(self, event: RouterEvent) -> None:
-        """Take an event of a grant."""
+        """Handle an event of a grant."""
         self.handle(event)
         if isinstance(event, CallerGone):
-            # The state machine forgets a request whose caller went away.
-            self._end_unknown(event, "the caller went away")
+            # The state machine drops a request whose caller disconnected.
+            self._end_unknown(event, "the caller disconnected")
 
     async def run_ticks(self) -> None:
-        """Tell the state machine of the passing of time."""
+        """Send `Tick` events to the state machine until cancelled."""
         await self._ticks.run()
 
     async def drain(self) -> None:
-        """Refuse new requests and wait until the accepted ones ended."""
+        """Refuse new requests and wait until the accepted ones have ended."""
         self.handle(DrainRequested())
         await self.drained.wait()
         while self._active_by_id:
@@ -203,8 +204,8 @@
             "router.request",
             {"berylwalk.request_id": str(request.request_id)},
         )
-        copy = AnswerCopy() if request.idempotency_key else None
-        active = ActiveRequest(request, sink, hop, copy, self._clock)
+        response_copy = ResponseCopy() if request.idempotency_key else None
+        active = ActiveRequest(request, sink, hop, response_copy, self._clock)
         self._active_by_id[request.request_id] = active
         return active
 
@@ -214,7 +215,7 @@
         active.close_grant()
         if active.request.idempotency_key:
             self._keys.close(active, final)
-        self._observer.finished(active, final)
+        self._observer.record_finished(active, final)
 
     def _end_unknown(self, event: RouterEvent, detail: str) -> None:
         if isinstance(event, RequestArrived):
--- a/libs/router/src/berylwalk/router/_stored_answers.py
+++ b/libs/router/src/berylwalk/router/_stored_responses.py
@@ -1,29 +1,29 @@
-"""Small answers that are kept for a repeat with the same idempotency key."""
+"""Small responses, stored for replay to requests with the same idempotency key."""
 
 import msgspec
 
 MAX_STORED_BYTES = 16 * 1024
-"""Largest body that is kept for a repeat."""
+"""Maximum size of a stored response body."""
 
 REPLAYED_HEADER = (b"berylwalk-replayed", b"true")
-"""Tells the caller that the answer is that of an earlier request."""
+"""Marks a response as the replay of an earlier request's response."""
 
 Header = tuple[bytes, bytes]
 
 
-class StoredAnswer(msgspec.Struct, frozen=True, array_like=True):
-    """A whole answer of a target.
+class StoredResponse(msgspec.Struct, frozen=True, array_like=True):
+    """A complete response of a target.
 
     Parameters
     ----------
     status : int
         HTTP status of the target.
     headers : tuple of (bytes, bytes)
-        As given to the sink.
+        Headers as passed to the sink.
     body : bytes
         The whole body.
     agent : str
-        Node identifier of the agent that dispatched.
+        Node identifier of the agent that dispatched the request.
     """
 
     status: int
@@ -32,17 +32,17 @@
     agent: str = ""
 
     def replay_headers(self) -> tuple[Header, ...]:
-        """Return the headers, marked as those of a repeated answer."""
+        """Return the headers with the replay marker."""
         return (*self.headers, REPLAYED_HEADER)
 
 
-class AnswerCopy:
-    """Collects an answer while it is streamed, as long as it is small.
+class ResponseCopy:
+    """Copy of a streamed response, discarded if the body is too large.
 
     Parameters
     ----------
     max_bytes : int
-        Largest body that is collected, in bytes.
+        Maximum size of the body, in bytes.
     """
 
     def __init__(self, max_bytes: int = MAX_STORED_BYTES) -> None:
@@ -53,12 +53,12 @@
         self._size = 0
 
     def start(self, status: int, headers: tuple[Header, ...]) -> None:
-        """Note the status and headers."""
+        """Store the status and headers."""
         self._status = status
         self._headers = headers
 
     def chunk(self, body: bytes) -> None:
-        """Collect a piece of the body."""
+        """Append a chunk of the body, unless the copy was discarded."""
         if self._parts is None:
             return
         self._size += len(body)
@@ -67,8 +67,8 @@
             return
         self._parts.append(body)
 
-    def stored(self, agent: str) -> StoredAnswer | None:
-        """Return the whole answer, or None when it is too large to be kept."""
+    def stored(self, agent: str) -> StoredResponse | None:
+        """Return the complete response, or None if it is too large to store."""
         if self._parts is None:
             return None
-        return StoredAnswer(self._status, self._headers, b"".join(self._parts), agent)
+        return StoredResponse(self._status, self._headers, b"".join(self._parts), agent)
--- a/libs/router/src/berylwalk/router/_subsets.py
+++ b/libs/router/src/berylwalk/router/_subsets.py
@@ -1,18 +1,18 @@
-"""Which agents a router works with: a few for each resource."""
+"""Choice of the subset of agents that a router sends work to."""
 
 from collections import Counter
 from collections.abc import Collection, Iterable, Sequence
 
 from berylwalk.router._agents import AgentState
 
-MAX_NEAR = 56
-"""Agents with heartbeats, so that control keeps within a node's limits."""
+MAX_SELECTED_AGENTS = 56
+"""Maximum number of selected agents, which bounds the cost of heartbeats."""
 
-MIN_PER_RESOURCE = 2
-"""Agents of a resource, when there are as many; a request may wait at two."""
+MIN_AGENTS_PER_RESOURCE = 2
+"""Minimum number of agents per resource, if available; a request may wait at two."""
 
 
-def choose_near(
+def choose_subset(
     order: Iterable[AgentState],
     resources: Sequence[str],
     *,
@@ -21,18 +21,18 @@
 ) -> dict[str, AgentState]:
     """Choose the agents that the router sends work to.
 
-    The choice depends on the router's name, so that routers spread over the
-    agents, and changes little when an agent comes or goes.
+    Each router has its own rendezvous order, so routers spread over the agents, and
+    the subset changes little when an agent joins or leaves.
 
     Parameters
     ----------
     order : iterable of AgentState
         All agents in the router's own rendezvous order.
     resources : sequence of str
-        Known resources, the most important first; those for which there is no
-        room are left out.
+        Known resources, most recently used first; those beyond the capacity are
+        omitted.
     subset_size : int
-        Agents for each resource at most.
+        Maximum number of agents per resource.
     now : float
         Monotonic time, in seconds.
 
@@ -41,16 +41,16 @@
     dict of str to AgentState
         By node identifier.
     """
-    served = resources[: MAX_NEAR // MIN_PER_RESOURCE]
-    share = _share(len(served), subset_size)
+    served = resources[: MAX_SELECTED_AGENTS // MIN_AGENTS_PER_RESOURCE]
+    share = _agents_per_resource(len(served), subset_size)
     missing = dict.fromkeys(served, share)
-    near: dict[str, AgentState] = {}
+    selected: dict[str, AgentState] = {}
     for agent in order:
         if not missing:
             break
-        if agent.may_be_near(now) and _take(missing, agent.offered):
-            near[agent.agent] = agent
-    return near
+        if agent.is_selectable(now) and _reduce_missing(missing, agent.offered):
+            selected[agent.agent] = agent
+    return selected
 
 
 def order_resources(
@@ -61,7 +61,7 @@
     Parameters
     ----------
     used : iterable of str
-        Resources that requests asked for, the last one first.
+        Resources that requests needed, most recent first.
     agents : iterable of AgentState
         All agents.
     """
@@ -70,12 +70,12 @@
     return tuple(dict.fromkeys([*first, *sorted(known)]))
 
 
-def _share(resources: int, subset_size: int) -> int:
-    room = MAX_NEAR // max(resources, 1)
-    return min(subset_size, max(MIN_PER_RESOURCE, room))
+def _agents_per_resource(resources: int, subset_size: int) -> int:
+    capacity = MAX_SELECTED_AGENTS // max(resources, 1)
+    return min(subset_size, max(MIN_AGENTS_PER_RESOURCE, capacity))
 
 
-def _take(missing: dict[str, int], resources: Collection[str]) -> bool:
+def _reduce_missing(missing: dict[str, int], resources: Collection[str]) -> bool:
     wanted = [resource for resource in resources if resource in missing]
     for resource in wanted:
         missing[resource] -= 1
--- a/libs/router/src/berylwalk/router/_timers.py
+++ b/libs/router/src/berylwalk/router/_timers.py
@@ -1,11 +1,11 @@
-"""Timers that fire when the machine is told the time."""
+"""Timers driven by the state machine's clock events."""
 
 from collections.abc import Callable
 from heapq import heappop, heappush
 from math import inf
 
 Callback = Callable[[float], None]
-"""Called with the current time; must tolerate that its subject is gone."""
+"""Called with the current time; the object it refers to may be gone by then."""
 
 
 class Timers:
@@ -17,16 +17,16 @@
 
     @property
     def next_due(self) -> float:
-        """When the next callback is due; infinity without one."""
+        """Time at which the next callback is due; infinity if there is none."""
         return self._heap[0][0] if self._heap else inf
 
     def add(self, when: float, callback: Callback) -> None:
-        """Call back at the first `run` at or after the given time."""
+        """Schedule a callback for the first `run` at or after the given time."""
         self._count += 1
         heappush(self._heap, (when, self._count, callback))
 
     def run(self, now: float) -> None:
-        """Call back whatever is due; callbacks may add timers."""
+        """Run all due callbacks; callbacks may add timers."""
         while self._heap and self._heap[0][0] <= now:
             _, _, callback = heappop(self._heap)
             callback(now)
--- a/libs/router/src/berylwalk/router/_views.py
+++ b/libs/router/src/berylwalk/router/_views.py
@@ -1,4 +1,4 @@
-"""What the admin API shows of the router's state."""
+"""Read-only views of the router's state for the admin API."""
 
 from collections import defaultdict
 from dataclasses import dataclass
@@ -10,21 +10,21 @@
 
 @dataclass(frozen=True, slots=True)
 class AgentView:
-    """One agent as the router sees it.
+    """State of one agent, as known to the router.
 
     Parameters
     ----------
     agent : str
         Node identifier.
     incarnation, settings_version : int
-        Of its last datagram; 0 before the first.
+        Values of the last datagram; 0 before the first.
     failure_domain : str
-        Where the target is.
+        Failure domain of the target.
     resources : tuple of str
-        What the target serves when it is reachable.
+        Resources that the target serves when it is reachable.
     reachable, leaving, slow, takes_work, target_reachable : bool
-        State of the agent at the time of the view, and what it says of its
-        target.
+        State of the agent at the time of the view, and the state of its target as
+        reported by the agent.
     running, ready, limit : int
         Dispatched requests, slots held for a grant, and the limit of both.
     waiting_by_rank, wait_ms_by_rank : tuple of int
@@ -34,7 +34,7 @@
     silent_s : float or None
         Time since its last datagram, in seconds; None before the first.
     reservations, grants : int
-        Those of this router at the agent.
+        Open reservations and grants of this router at the agent.
     """
 
     agent: str
@@ -66,15 +66,15 @@
     Parameters
     ----------
     request_id : str
-        Its name.
+        Request identifier.
     client_account, service, tier, resource : str
-        Whose request it is, how it is treated and what it needs.
+        Client account, service and tier of the request, and the resource it needs.
     phase : Phase
-        Where it is.
+        Phase of the request.
     agents : tuple of str
-        Where it waits or was granted.
+        Agents with a reservation, or the agent with the grant.
     attempts : int
-        Attempts so far.
+        Number of attempts so far.
     age_s, time_left_s : float
         Time since arrival and until the deadline, in seconds.
     """
@@ -116,11 +116,11 @@
 
 
 def resources_when_complete(core: RouterCore, agents: int) -> frozenset[str]:
-    """Return what all agents serve; nothing unless so many were heard."""
-    heard = [agent for agent in core.agents if agent.digest is not None]
-    if len(heard) < max(len(core.agents.agents_by_id), agents):
+    """Return what all agents serve; empty until ``agents`` have reported."""
+    reported = [agent for agent in core.agents if agent.digest is not None]
+    if len(reported) < max(len(core.agents.agents_by_id), agents):
         return frozenset()
-    return frozenset(resource for agent in heard for resource in agent.resources)
+    return frozenset(resource for agent in reported for resource in agent.resources)
 
 
 def view_requests(core: RouterCore, now: float) -> tuple[RequestView, ...]:
@@ -161,7 +161,7 @@
         wait_ms_by_rank=digest.wait_ms_by_rank if digest else (),
         prefill_tokens_per_s=digest.prefill_tokens_per_s if digest else 0.0,
         token_gap_ms=digest.token_gap_ms if digest else 0.0,
-        silent_s=now - agent.heard_at if agent.incarnation else None,
+        silent_s=now - agent.last_heard_at if agent.incarnation else None,
         reservations=reservations,
         grants=grants,
     )
--- a/libs/router/tests/test_router_idempotency.py
+++ b/libs/router/tests/test_router_idempotency.py
@@ -18,14 +18,14 @@
 from berylwalk.router._idempotency import IdempotencyRecords
 from berylwalk.router._record_leases import RecordLeases
 from berylwalk.router._records import RecordState, decode_record, record_key
-from berylwalk.router._stored_answers import StoredAnswer
+from berylwalk.router._stored_responses import StoredResponse
 from berylwalk.standins.memory import InMemoryKeyValue
 
 pytestmark = pytest.mark.anyio
 
 LIFETIME_S = 2400.0
 ROTATION_S = LIFETIME_S / 24
-ANSWER = StoredAnswer(200, ((b"content-type", b"text/plain"),), b"done", "agent-1")
+ANSWER = StoredResponse(200, ((b"content-type", b"text/plain"),), b"done", "agent-1")
 
 
 class Clock:
@@ -164,10 +164,10 @@
         store.compare_and_swap = swap_then_fail
         result = await records.claim(request)
         assert result.refusal.reason is RefusalReason.PLATFORM_DOWN
-        assert result.unsettled
+        assert result.is_outcome_unknown
         store.down = False
         assert await stored_record(store) is not None
-        await records.settle(request)
+        await records.delete_late_record(request)
         await flushed(records)
         assert await stored_record(store) is None
 
--- a/libs/router/tests/test_router_machine.py
+++ b/libs/router/tests/test_router_machine.py
@@ -84,7 +84,7 @@
         """Hand one event to the machine."""
         self.actions += self.machine.handle(event, self.now)
 
-    def say(self, agent, *messages, incarnation=None):
+    def deliver(self, agent, *messages, incarnation=None):
         """Deliver a datagram of an agent."""
         if incarnation is None:
             incarnation = self.incarnations[agent]
@@ -93,7 +93,7 @@
     def digest(self, agent, *, limit=1, running=0, leaving=False, domain="", up=True):
         """Deliver a digest of an agent."""
         self.sequence += 1
-        self.say(
+        self.deliver(
             agent,
             Digest(
                 sequence=self.sequence,
@@ -120,7 +120,7 @@
     def restart(self, agent):
         """Let an agent speak as a new incarnation."""
         self.incarnations[agent] += 1
-        self.say(agent)
+        self.deliver(agent)
 
     def arrive(
         self, *, deadline_s=30.0, key="", resource=RESOURCE, settings=None, prefix=()
@@ -145,10 +145,10 @@
         for _ in range(round(seconds / STEP_S)):
             self.now += STEP_S
             for agent in heard:
-                self.say(agent)
+                self.deliver(agent)
             self.feed(Tick())
 
-    def of(self, kind):
+    def actions_of(self, kind):
         """Return the actions of one kind."""
         return [action for action in self.actions if isinstance(action, kind)]
 
@@ -156,18 +156,18 @@
         """Return (agent, message) of the sent messages of one kind."""
         return [
             (action.agent, message)
-            for action in self.of(SendToAgent)
+            for action in self.actions_of(SendToAgent)
             for message in action.messages
             if isinstance(message, kind)
         ]
 
     def last_grant(self):
         """Return the latest issued grant."""
-        return self.of(IssueGrant)[-1].grant
+        return self.actions_of(IssueGrant)[-1].grant
 
     def end(self):
         """Return the answer of the only request that ended."""
-        [action] = self.of(EndRequest)
+        [action] = self.actions_of(EndRequest)
         return action.answer
 
     def reserved(self):
@@ -211,13 +211,13 @@
         )
         [(agent, reserve)] = driver.sent(Reserve)
         assert (agent, reserve.attempt) == ("a", grant.attempt + 1)
-        assert not driver.of(EndRequest)
+        assert not driver.actions_of(EndRequest)
 
     def test_ready_gets_the_grant_and_the_other_place_is_withdrawn(self):
         """Of two reservations, the first ready one is granted."""
         driver, request_id = waiting_at_two()
         attempts = driver.reserved()
-        driver.say("b", Ready(request_id, attempts["b"]))
+        driver.deliver("b", Ready(request_id, attempts["b"]))
         grant = driver.last_grant()
         assert (grant.agent, grant.attempt) == ("b", attempts["b"])
         assert not grant.conditional
@@ -228,7 +228,7 @@
         driver = Driver("a", "b")
         prefix = (11, 12, 13, 14)
         driver.arrive(prefix=prefix)
-        first = driver.of(IssueGrant)[0].agent
+        first = driver.actions_of(IssueGrant)[0].agent
         driver.fill("a", "b")
         driver.actions.clear()
         driver.arrive(prefix=prefix, deadline_s=2.0)
@@ -243,18 +243,18 @@
         """A repeated Ready is no second turn; the loser's is withdrawn."""
         driver, request_id = waiting_at_two()
         attempts = driver.reserved()
-        driver.say("a", Ready(request_id, attempts["a"]))
-        driver.say("a", Ready(request_id, attempts["a"]))
-        driver.actions = driver.of(IssueGrant)
-        driver.say("b", Ready(request_id, attempts["b"]))
-        assert len(driver.of(IssueGrant)) == 1
+        driver.deliver("a", Ready(request_id, attempts["a"]))
+        driver.deliver("a", Ready(request_id, attempts["a"]))
+        driver.actions = driver.actions_of(IssueGrant)
+        driver.deliver("b", Ready(request_id, attempts["b"]))
+        assert len(driver.actions_of(IssueGrant)) == 1
         assert driver.sent(Withdraw) == [("b", Withdraw(request_id, attempts["b"]))]
 
     def test_ready_of_a_forgotten_request_is_withdrawn(self):
         """An agent never waits for a grant that cannot come."""
         driver = Driver("a")
         unknown = RequestId("r1", 1, 99)
-        driver.say("a", Ready(unknown, 3))
+        driver.deliver("a", Ready(unknown, 3))
         assert driver.sent(Withdraw) == [("a", Withdraw(unknown, 3))]
 
     @pytest.mark.parametrize("order", list(permutations(["ready", "no-slot", "lost"])))
@@ -262,7 +262,7 @@
         """Whatever comes first, no grant is issued over an outstanding one."""
         driver, request_id, first = granted("a", "b")
         events = {
-            "ready": lambda: driver.say("b", Ready(request_id, 2)),
+            "ready": lambda: driver.deliver("b", Ready(request_id, 2)),
             "no-slot": lambda: driver.feed(
                 GrantRefused(request_id, 1, Refusal(RefusalReason.NO_SLOT))
             ),
@@ -272,9 +272,9 @@
         for name in order:
             events[name]()
             settled = settled or name == "no-slot"
-            assert len(driver.of(IssueGrant)) == 1 or settled
+            assert len(driver.actions_of(IssueGrant)) == 1 or settled
         assert first.attempt == 1
-        assert not driver.of(EndRequest)
+        assert not driver.actions_of(EndRequest)
 
 
 class TestLostGrants:
@@ -283,11 +283,11 @@
         driver, request_id, grant = granted("a", "b")
         driver.feed(GrantLost(request_id, grant.attempt, started=False))
         driver.advance(0.5, heard=("a", "b"))
-        assert len(driver.of(IssueGrant)) == 1
+        assert len(driver.actions_of(IssueGrant)) == 1
         assert len(driver.sent(Revoke)) > 1
-        driver.say(grant.agent, RevokeResult(request_id, grant.attempt, False))
+        driver.deliver(grant.agent, RevokeResult(request_id, grant.attempt, False))
         driver.advance(1.0, heard=("a", "b"))
-        assert len(driver.of(IssueGrant)) == 2
+        assert len(driver.actions_of(IssueGrant)) == 2
         assert driver.last_grant().attempt > grant.attempt
 
     @pytest.mark.parametrize("started", [True, False])
@@ -296,7 +296,7 @@
         driver, request_id, grant = granted("a", "b")
         driver.feed(GrantLost(request_id, grant.attempt, started=started))
         if not started:
-            driver.say(grant.agent, RevokeResult(request_id, grant.attempt, True))
+            driver.deliver(grant.agent, RevokeResult(request_id, grant.attempt, True))
         assert driver.end().outcome is Outcome.UNKNOWN
         assert driver.end().started is started
 
@@ -312,7 +312,7 @@
         driver, request_id, grant = granted("a")
         driver.feed(GrantLost(request_id, grant.attempt, started=False))
         driver.restart("a")
-        driver.say("a", RevokeResult(request_id, grant.attempt, False))
+        driver.deliver("a", RevokeResult(request_id, grant.attempt, False))
         assert driver.end().outcome is Outcome.UNKNOWN
 
     def test_duplicate_is_not_read_as_not_run(self):
@@ -321,23 +321,23 @@
         refusal = Refusal(RefusalReason.DUPLICATE)
         driver.feed(GrantRefused(request_id, grant.attempt, refusal))
         assert driver.end().outcome is Outcome.UNKNOWN
-        assert len(driver.of(IssueGrant)) == 1
+        assert len(driver.actions_of(IssueGrant)) == 1
 
     def test_silent_agent_is_abandoned_and_not_placed_elsewhere(self):
         """A frozen agent with a grant may still run it."""
         driver, _, grant = granted("a", "b")
         other = "b" if grant.agent == "a" else "a"
         driver.advance(8.0, heard=(other,))
-        assert len(driver.of(AbandonGrant)) == 1
-        assert len(driver.of(IssueGrant)) == 1
+        assert len(driver.actions_of(AbandonGrant)) == 1
+        assert len(driver.actions_of(IssueGrant)) == 1
         assert driver.end().outcome is Outcome.UNKNOWN
 
     def test_slow_answer_of_a_live_agent_is_left_alone(self):
         """Neither silence of the target nor the deadline cuts a granted request."""
         driver, request_id, grant = granted("a")
         driver.advance(40.0, heard=("a",))
-        assert not driver.of(AbandonGrant)
-        assert not driver.of(EndRequest)
+        assert not driver.actions_of(AbandonGrant)
+        assert not driver.actions_of(EndRequest)
         driver.feed(AnswerComplete(request_id, grant.attempt))
         assert driver.end().outcome is Outcome.COMPLETE
 
@@ -348,7 +348,7 @@
         driver.digest("a")
         refusal = Refusal(RefusalReason.DEADLINE, 1000)
         driver.feed(GrantRefused(request_id, grant.attempt, refusal))
-        assert not driver.of(EndRequest)
+        assert not driver.actions_of(EndRequest)
         assert driver.last_grant().agent_incarnation == 2
 
     def test_unsent_grant_goes_elsewhere_at_once(self):
@@ -370,17 +370,17 @@
         driver.actions.clear()
         driver.digest("a", limit=2)
         assert driver.last_grant().agent_incarnation == 2
-        assert not driver.of(EndRequest)
+        assert not driver.actions_of(EndRequest)
 
     def test_restarted_agent_is_asked_before_a_request_is_shed(self):
         """The load that comes with the news of a restart counts at once."""
         driver, request_id = waiting_at_two()
         attempt = driver.reserved()["b"]
         full = RefusalReason.QUEUE_FULL
-        driver.say("b", Refused(request_id, attempt, full, 100))
+        driver.deliver("b", Refused(request_id, attempt, full, 100))
         driver.incarnations["a"] += 1
         driver.digest("a")
-        assert not driver.of(EndRequest)
+        assert not driver.actions_of(EndRequest)
         assert driver.last_grant().agent_incarnation == 2
 
     def test_older_incarnation_is_ignored(self):
@@ -388,8 +388,8 @@
         driver, request_id = waiting_at_two()
         attempt = driver.reserved()["a"]
         driver.restart("a")
-        driver.say("a", Ready(request_id, attempt), incarnation=1)
-        assert not driver.of(IssueGrant)
+        driver.deliver("a", Ready(request_id, attempt), incarnation=1)
+        assert not driver.actions_of(IssueGrant)
 
     def test_reservation_is_repeated_until_answered(self):
         """A lost Reserve does not lose the request."""
@@ -398,7 +398,7 @@
         request_id = driver.arrive()
         driver.advance(0.5, heard=("a",))
         assert len(driver.sent(Reserve)) > 2
-        driver.say("a", Queued(request_id, 1, 100))
+        driver.deliver("a", Queued(request_id, 1, 100))
         driver.actions.clear()
         driver.advance(0.5, heard=("a",))
         driver.advance(0.5, heard=("a",))
@@ -433,7 +433,7 @@
         driver.digest("a2", up=False)
         driver.arrive()
         driver.advance(3.0, heard=("a1", "a2"))
-        assert len(driver.of(IssueGrant)) == 1
+        assert len(driver.actions_of(IssueGrant)) == 1
         assert driver.end().refusal.reason is RefusalReason.NO_TARGET
         assert driver.machine.resources_when_complete(2) == {RESOURCE}
         views = driver.machine.agents_view(driver.now)
@@ -459,10 +459,12 @@
         """One agent that has not refused keeps the request alive."""
         driver, request_id = waiting_at_two()
         attempts = driver.reserved()
-        driver.say("a", Refused(request_id, attempts["a"], RefusalReason.EVICTED, 900))
-        assert not driver.of(EndRequest)
+        driver.deliver(
+            "a", Refused(request_id, attempts["a"], RefusalReason.EVICTED, 900)
+        )
+        assert not driver.actions_of(EndRequest)
         refused = Refused(request_id, attempts["b"], RefusalReason.QUEUE_FULL, 400)
-        driver.say("b", refused)
+        driver.deliver("b", refused)
         answer = driver.end()
         assert answer.outcome is Outcome.NOT_RUN
         assert answer.refusal.retry_after_ms == 400
@@ -471,10 +473,14 @@
         """A refusal from long ago does not shed the request."""
         driver, request_id = waiting_at_two()
         attempts = driver.reserved()
-        driver.say("a", Refused(request_id, attempts["a"], RefusalReason.QUEUE_FULL))
+        driver.deliver(
+            "a", Refused(request_id, attempts["a"], RefusalReason.QUEUE_FULL)
+        )
         driver.advance(1.0, heard=("a", "b"))
-        driver.say("b", Refused(request_id, attempts["b"], RefusalReason.QUEUE_FULL))
-        assert not driver.of(EndRequest)
+        driver.deliver(
+            "b", Refused(request_id, attempts["b"], RefusalReason.QUEUE_FULL)
+        )
+        assert not driver.actions_of(EndRequest)
         driver.advance(0.5, heard=("a", "b"))
         assert driver.reserved()["a"] > attempts["b"]
 
@@ -495,13 +501,13 @@
         for _ in range(30):
             request_id = driver.arrive(deadline_s=5.0)
             driver.feed(GrantLost(request_id, 1, started=False))
-            driver.say("a", RevokeResult(request_id, 1, False))
+            driver.deliver("a", RevokeResult(request_id, 1, False))
         driver.advance(4.0, heard=("a",))
-        retried = len(driver.of(IssueGrant)) - 30
+        retried = len(driver.actions_of(IssueGrant)) - 30
         assert 0 < retried < 30
-        assert not driver.of(EndRequest)
+        assert not driver.actions_of(EndRequest)
         driver.advance(2.0, heard=("a",))
-        reasons = [end.answer.refusal.reason for end in driver.of(EndRequest)]
+        reasons = [end.answer.refusal.reason for end in driver.actions_of(EndRequest)]
         assert reasons == [RefusalReason.DEADLINE] * (30 - retried)
 
     @pytest.mark.parametrize("limit", ["max_waiting", "max_running"])
@@ -525,7 +531,9 @@
         assert len(driver.sent(Withdraw)) == 2
         driver, request_id, grant = granted("a")
         driver.feed(CallerGone(request_id))
-        assert driver.of(AbandonGrant) == [AbandonGrant(request_id, grant.attempt)]
+        assert driver.actions_of(AbandonGrant) == [
+            AbandonGrant(request_id, grant.attempt)
+        ]
         assert driver.end().outcome is Outcome.UNKNOWN
 
 
@@ -534,9 +542,9 @@
         """A Ready that comes before the claim is remembered."""
         driver = Driver("a")
         request_id = driver.arrive(key="k")
-        assert len(driver.of(ClaimKey)) == 1
-        driver.say("a", Ready(request_id, driver.reserved()["a"]))
-        assert not driver.of(IssueGrant)
+        assert len(driver.actions_of(ClaimKey)) == 1
+        driver.deliver("a", Ready(request_id, driver.reserved()["a"]))
+        assert not driver.actions_of(IssueGrant)
         driver.feed(KeyClaimed(request_id))
         assert driver.last_grant().attempt == 1
 
@@ -548,7 +556,7 @@
         driver.feed(KeyRefused(request_id, refusal))
         assert driver.end().refusal.reason is RefusalReason.KEY_IN_USE
         assert driver.sent(Withdraw)
-        assert not driver.of(ReleaseKey)
+        assert not driver.actions_of(ReleaseKey)
 
     def test_key_of_a_request_that_did_not_run_is_released(self):
         """Also when the claim succeeds after the end."""
@@ -556,20 +564,20 @@
         request_id = driver.arrive(key="k")
         driver.feed(CallerGone(request_id))
         driver.feed(DrainRequested())
-        assert not driver.of(DrainFinished)
+        assert not driver.actions_of(DrainFinished)
         driver.feed(KeyClaimed(request_id))
-        assert len(driver.of(ReleaseKey)) == 1
-        assert len(driver.of(DrainFinished)) == 1
+        assert len(driver.actions_of(ReleaseKey)) == 1
+        assert len(driver.actions_of(DrainFinished)) == 1
 
     def test_key_of_an_unknown_outcome_is_kept(self):
         """A repeat must find the record."""
         driver = Driver("a")
         request_id = driver.arrive(key="k")
         driver.feed(KeyClaimed(request_id))
-        driver.say("a", Ready(request_id, 1))
+        driver.deliver("a", Ready(request_id, 1))
         driver.feed(GrantLost(request_id, 1, started=True))
         assert driver.end().outcome is Outcome.UNKNOWN
-        assert not driver.of(ReleaseKey)
+        assert not driver.actions_of(ReleaseKey)
 
 
 class TestDrain:
@@ -579,10 +587,10 @@
         driver.feed(DrainRequested())
         driver.arrive()
         assert driver.end().refusal.reason is RefusalReason.LEAVING
-        assert not driver.of(DrainFinished)
+        assert not driver.actions_of(DrainFinished)
         driver.feed(AnswerComplete(request_id, grant.attempt))
         driver.advance(1.0)
-        assert len(driver.of(DrainFinished)) == 1
+        assert len(driver.actions_of(DrainFinished)) == 1
 
 
 class TestRoundRobin:
@@ -592,6 +600,6 @@
         driver.fill("a", "b")
         for _ in range(4):
             driver.arrive()
-        agents = [action.agent for action in driver.of(IssueGrant)]
+        agents = [action.agent for action in driver.actions_of(IssueGrant)]
         assert agents == ["a", "b", "a", "b"]
         assert not driver.sent(Reserve)
