--- a/libs/router/tests/test_router_machine_fuzz.py
+++ b/libs/router/tests/test_router_machine_fuzz.py
@@ -59,7 +59,7 @@
 AGENTS = ("a", "b", "c")
 RESOURCE = "model:m"
 SERVICE_POLICY = ServicePolicy("acme", "", TierPolicy("urgent", 0), max_waiting=6)
-LONGEST_DEADLINE_S = 20.0
+MAX_DEADLINE_S = 20.0
 STEP_S = 0.25
 
 agents = st.sampled_from(AGENTS)
@@ -74,7 +74,7 @@
 
 
 @dataclass
-class Known:
+class RequestModel:
     """What the oracle knows of one request."""
 
     keyed: bool
@@ -103,7 +103,7 @@
         self.serial = 0
         self.sequence = 0
         self.incarnations = dict.fromkeys(AGENTS, 1)
-        self.known: dict[RequestId, Known] = {}
+        self.known: dict[RequestId, RequestModel] = {}
         self.sent: list[tuple[str, RequestId, int]] = []
         self.open_grants: dict[tuple[RequestId, int], Grant] = {}
         self.lost_grants: list[Grant] = []
@@ -184,12 +184,12 @@
         for message in action.messages:
             if isinstance(message, Reserve):
                 known = self.known[message.request_id]
-                place = (action.agent, message.request_id, message.attempt)
+                reservation = (action.agent, message.request_id, message.attempt)
                 is_open = not known.ended and known.unresolved is None
-                assert is_open or place in withdrawn
-                self.sent.append(place)
+                assert is_open or reservation in withdrawn
+                self.sent.append(reservation)
 
-    def say(self, agent, *messages, incarnation=None):
+    def deliver(self, agent, *messages, incarnation=None):
         """Deliver a datagram."""
         if incarnation is None:
             incarnation = self.incarnations[agent]
@@ -218,14 +218,14 @@
             prefill_tokens_per_s=1000.0,
             token_gap_ms=10.0,
         )
-        self.say(agent, digest)
+        self.deliver(agent, digest)
 
-    @rule(keyed=st.booleans(), deadline_s=st.sampled_from([0.3, LONGEST_DEADLINE_S]))
+    @rule(keyed=st.booleans(), deadline_s=st.sampled_from([0.3, MAX_DEADLINE_S]))
     def arrive(self, keyed, deadline_s):
         """A caller sends a request."""
         self.serial += 1
         request_id = RequestId("r1", 1, self.serial)
-        self.known[request_id] = Known(keyed)
+        self.known[request_id] = RequestModel(keyed)
         request = Request(
             request_id=request_id,
             service_policy=SERVICE_POLICY,
@@ -243,14 +243,14 @@
         for _ in range(steps):
             self.now += STEP_S
             for agent in sorted(heard):
-                self.say(agent)
+                self.deliver(agent)
             self.feed(Tick())
 
     @rule(agent=agents)
     def restart(self, agent):
         """An agent comes back as a new incarnation."""
         self.incarnations[agent] += 1
-        self.say(agent)
+        self.deliver(agent)
 
     @rule(listed=st.sets(agents, min_size=1), leaving=st.sets(agents, max_size=1))
     def list_agents(self, listed, leaving):
@@ -263,12 +263,12 @@
         """An agent answers one of the attempts that it was sent lately."""
         agent, request_id, attempt = data.draw(st.sampled_from(self.sent[-8:]))
         if kind == "queued":
-            self.say(agent, Queued(request_id, attempt, 10))
+            self.deliver(agent, Queued(request_id, attempt, 10))
         elif kind == "ready":
-            self.say(agent, Ready(request_id, attempt))
+            self.deliver(agent, Ready(request_id, attempt))
         else:
             reason = data.draw(reasons)
-            self.say(agent, Refused(request_id, attempt, reason))
+            self.deliver(agent, Refused(request_id, attempt, reason))
 
     @precondition(lambda self: self.lost_grants)
     @rule(data=st.data(), ran=st.booleans(), speaker=st.sampled_from(["", *AGENTS]))
@@ -278,11 +278,11 @@
         known = self.known[grant.request_id]
         agent = speaker or grant.agent
         incarnation = self.incarnations[agent]
-        named = (grant.agent, grant.agent_incarnation)
-        is_proof = known.unresolved is grant and (agent, incarnation) == named
+        expected = (grant.agent, grant.agent_incarnation)
+        is_proof = known.unresolved is grant and (agent, incarnation) == expected
         if is_proof and not ran and not known.started and not known.ended:
             known.unresolved = None
-        self.say(agent, RevokeResult(grant.request_id, grant.attempt, ran))
+        self.deliver(agent, RevokeResult(grant.request_id, grant.attempt, ran))
 
     @precondition(lambda self: self.open_grants)
     @rule(data=st.data())
@@ -342,7 +342,7 @@
 
     @precondition(lambda self: self.known)
     @rule(data=st.data())
-    def caller_goes(self, data):
+    def disconnect_caller(self, data):
         """A caller closes its connection."""
         request_id = data.draw(st.sampled_from(sorted(self.known)))
         self.feed(CallerGone(request_id))
@@ -354,7 +354,7 @@
         self.feed(DrainRequested())
         for request_id in self.open_claims:
             self.feed(KeyRefused(request_id, Refusal(RefusalReason.PLATFORM_DOWN)))
-        for _ in range(int((LONGEST_DEADLINE_S + 10.0) / STEP_S)):
+        for _ in range(int((MAX_DEADLINE_S + 10.0) / STEP_S)):
             self.now += STEP_S
             self.feed(Tick())
         assert all(known.ended for known in self.known.values())
--- a/libs/router/tests/test_router_membership.py
+++ b/libs/router/tests/test_router_membership.py
@@ -7,7 +7,7 @@
 from berylwalk.platform import Unavailable, UnavailableReason, Vm, VmRole
 from berylwalk.router._member_polling import MemberPoller
 from berylwalk.router._membership import MemberTable
-from berylwalk.router._peers import PeerRouters, rank_of
+from berylwalk.router._peers import PeerRouters, router_rank
 from berylwalk.wire import Member, MembersReply
 
 pytestmark = pytest.mark.anyio
@@ -26,7 +26,7 @@
         """An empty or shrunken list does not remove a live agent."""
         table = MemberTable("r1")
         table.apply_list([target("t1"), target("t2")], now=0.0)
-        table.hear("t1", 9.0)
+        table.record_datagram("t1", 9.0)
         table.apply_list(listed, now=10.0)
         assert "t1" in table.agent_ids
 
@@ -34,7 +34,7 @@
         """An agent that neither answers nor is listed is removed."""
         table = MemberTable("r1")
         table.apply_list([target("t1")], now=0.0)
-        table.hear("t1", 1.0)
+        table.record_datagram("t1", 1.0)
         table.apply_list([], now=10.0)
         assert table.agent_ids == ()
 
@@ -43,7 +43,7 @@
         table = MemberTable("r1")
         table.apply_list([target("t1", leaving=True)], now=0.0)
         assert table.agents_listed().leaving == {"t1"}
-        table.hear("t1", 9.9)
+        table.record_datagram("t1", 9.9)
         table.apply_list([], now=10.0)
         assert table.agent_ids == ()
 
@@ -72,13 +72,13 @@
         """A router that starts in an outage learns the members of a peer."""
         table, vms, changes = MemberTable("r1"), Vms(), []
 
-        async def ask(address: str) -> MembersReply | None:
+        async def query_peer(address: str) -> MembersReply | None:
             return MembersReply((target("t1"),)) if address == "peer-2" else None
 
         poller = MemberPoller(
             table,
             vms,
-            ask=ask,
+            query_peer=query_peer,
             peer_addresses=lambda: ["peer-1", "peer-2"],
             on_change=lambda: changes.append(table.agent_ids),
             poll_s=1.0,
@@ -92,13 +92,13 @@
         """The last list stays while neither the list nor a peer answers."""
         table, vms = MemberTable("r1"), Vms()
 
-        async def ask(_: str) -> None:
+        async def query_peer(_: str) -> None:
             return None
 
         poller = MemberPoller(
             table,
             vms,
-            ask=ask,
+            query_peer=query_peer,
             peer_addresses=lambda: ["peer-1"],
             on_change=lambda: None,
             poll_s=1.0,
@@ -113,7 +113,7 @@
 class TestPeerRouters:
     def test_few_lowest_ranked_live_routers_are_chosen(self):
         """All routers agree on who watches, and the dead are replaced."""
-        routers = sorted((f"r{number}" for number in range(40)), key=rank_of)
+        routers = sorted((f"r{number}" for number in range(40)), key=router_rank)
 
         def watchers(live: list[str], now: float) -> list[str]:
             chosen = []
@@ -121,8 +121,8 @@
                 peers = PeerRouters(router)
                 for other in live:
                     if other != router:
-                        peers.hear(other, 0, now)
-                if peers.is_among_lowest(4, now):
+                        peers.record_datagram(other, 0, now)
+                if peers.is_among_lowest_ranked(4, now):
                     chosen.append(router)
             return chosen
 
@@ -133,6 +133,6 @@
         """With many routers each is greeted within a bounded number of rounds."""
         peers = PeerRouters("r0")
         routers = [f"r{number}" for number in range(1, 320)]
-        greeted = [peers.take_turns(routers) for _ in range(16)]
+        greeted = [peers.next_heartbeat_recipients(routers) for _ in range(16)]
         assert max(map(len, greeted)) == 20
         assert {router for turn in greeted for router in turn} == set(routers)
--- a/libs/router/tests/test_router_settings_sync.py
+++ b/libs/router/tests/test_router_settings_sync.py
@@ -28,7 +28,7 @@
         self.announced: list[int] = []
         self.peers_by_id: dict[str, Node] = {}
         self.watches = watches
-        self.asked: list[str] = []
+        self.pulled_peers: list[str] = []
         self.sync = SettingsSync(
             self.replica,
             store,
@@ -41,7 +41,7 @@
 
     async def pull(self, peer: str, known_version: int) -> SettingsReply | None:
         """Ask a peer, as over the sync channel."""
-        self.asked.append(peer)
+        self.pulled_peers.append(peer)
         node = self.peers_by_id.get(peer)
         if node is None:
             return None
@@ -67,11 +67,11 @@
         node = Node(store)
         node.peers_by_id = {"old": old, "new": new}
         assert not await node.sync.read_store()
-        node.sync.hear_agent("agent", "agent-address", 2)
-        await node.sync.ask("old")
+        node.sync.record_agent_version("agent", "agent-address", 2)
+        await node.sync.pull_from("old")
         node.now = 10.0
         assert not node.sync.is_ready
-        await node.sync.ask("new")
+        await node.sync.pull_from("new")
         assert node.sync.version == 2
         assert node.sync.is_ready
 
@@ -94,7 +94,7 @@
         store.down = True
         assert accepting.announced == [1]
         other.peers_by_id = {"accepting": accepting}
-        other.sync.hear_router("accepting", 1)
+        other.sync.record_router_version("accepting", 1)
         async with anyio.create_task_group() as tasks:
             tasks.start_soon(other.sync.run_pulls)
             with anyio.fail_after(10):
@@ -136,7 +136,7 @@
             tasks.start_soon(node.sync.run_polls)
             await anyio.sleep(0.05)
             await submit(store, "one")
-            node.sync.hear_agent("agent", "agent-address", 1)
+            node.sync.record_agent_version("agent", "agent-address", 1)
             with anyio.fail_after(10):
                 while node.sync.version != 1:
                     await anyio.sleep(0.005)
@@ -157,14 +157,14 @@
         node.peers_by_id = {"behind-address": behind, "ahead-address": ahead}
         assert not await node.sync.read_store()
         node.now = 10.0
-        node.sync.hear_agent("behind", "behind-address", 1)
+        node.sync.record_agent_version("behind", "behind-address", 1)
         assert await node.sync.pull_once()
         assert node.sync.version == 1
         assert not node.sync.is_ready
-        node.sync.hear_agent("ahead", "ahead-address", 2)
+        node.sync.record_agent_version("ahead", "ahead-address", 2)
         node.now = 20.0
         assert not node.sync.is_ready
-        node.sync.hear_agent("ahead", "ahead-address", 2)
+        node.sync.record_agent_version("ahead", "ahead-address", 2)
         assert await node.sync.pull_once()
         assert node.sync.version == 2
         assert node.sync.is_ready
@@ -176,13 +176,13 @@
         agent.sync.accept(await submit(store, "one"))
         node = Node(store)
         node.peers_by_id = {"address": agent}
-        node.sync.hear_agent("agent", "address", 1)
+        node.sync.record_agent_version("agent", "address", 1)
         assert not await node.sync.pull_once()
         await node.sync.read_store()
         agent.sync.accept(await submit(store, "two"))
-        node.sync.hear_agent("agent", "address", 2)
+        node.sync.record_agent_version("agent", "address", 2)
         assert not await node.sync.pull_once()
-        assert node.asked == []
+        assert node.pulled_peers == []
 
     async def test_a_router_that_is_ahead_is_asked_first(self):
         """Agents are asked only when no router has what they know."""
@@ -194,11 +194,11 @@
         node = Node(store)
         node.peers_by_id = {"address": agent, "router": router}
         await node.sync.read_store()
-        node.sync.hear_agent("agent", "address", 2)
-        node.sync.hear_router("router", 1)
+        node.sync.record_agent_version("agent", "address", 2)
+        node.sync.record_router_version("router", 1)
         assert await node.sync.pull_once()
         assert await node.sync.pull_once()
-        assert node.asked == ["router", "address"]
+        assert node.pulled_peers == ["router", "address"]
         assert node.sync.version == 2
 
     async def test_agents_that_do_not_answer_stop_no_router(self):
@@ -212,10 +212,10 @@
         await node.sync.read_store()
         for _ in range(20):
             node.now += 1.0
-            node.sync.hear_agent("agent", "address", 2)
+            node.sync.record_agent_version("agent", "address", 2)
             await node.sync.pull_once()
             assert node.sync.is_ready
-        assert "address" in node.asked
+        assert "address" in node.pulled_peers
 
     async def test_agents_that_do_not_answer_hide_none_that_does(self):
         """Each that is ahead is asked before one that failed is asked again."""
@@ -229,6 +229,8 @@
         for _ in range(9):
             node.now += 1.0
             for number in range(9):
-                node.sync.hear_agent(f"agent-{number}", f"address-{number}", 1)
+                node.sync.record_agent_version(
+                    f"agent-{number}", f"address-{number}", 1
+                )
             await node.sync.pull_once()
         assert node.sync.version == 1
--- a/libs/router/tests/test_router_shell.py
+++ b/libs/router/tests/test_router_shell.py
@@ -41,7 +41,7 @@
 from berylwalk.router._message_batches import MessageBatches
 from berylwalk.router._observing import RequestObserver
 from berylwalk.router._shell import RouterShell
-from berylwalk.router._stored_answers import StoredAnswer
+from berylwalk.router._stored_responses import StoredResponse
 from berylwalk.telemetry import RouterMetrics, Tracing, render
 from berylwalk.transport import (
     AbortConnection,
@@ -61,7 +61,7 @@
 KEY = FleetKey(b"a secret of the tests")
 DISPATCHED = (b"berylwalk-dispatched", b"1")
 CLOSED_PORT_URL = "http://127.0.0.1:1/v1/dispatch"
-STORED = StoredAnswer(201, ((b"content-type", b"text/plain"),), b"kept", "agent-0")
+STORED = StoredResponse(201, ((b"content-type", b"text/plain"),), b"kept", "agent-0")
 
 
 def make_request(serial: int = 1, *, key: str = "") -> Request:
@@ -144,7 +144,7 @@
 
     def __init__(self, result=None) -> None:
         self.result = result or Claimed()
-        self.completed: list[tuple[int, StoredAnswer | None]] = []
+        self.completed: list[tuple[int, StoredResponse | None]] = []
 
     async def claim(self, request):
         """Return the result."""
@@ -152,7 +152,7 @@
             raise self.result
         return self.result
 
-    async def settle(self, request) -> None:
+    async def delete_late_record(self, request) -> None:
         """Do nothing."""
 
     def complete(self, request, status, answer) -> None:
--- a/libs/router/tests/test_router_subsets.py
+++ b/libs/router/tests/test_router_subsets.py
@@ -168,7 +168,7 @@
         fleet.hellos.clear()
         fleet.advance(5.0)
         asked = {agent for _, agent, hello in fleet.hellos if hello.digest_ms > 0}
-        surveyed = {agent for _, agent, hello in fleet.hellos if hello.digest_ms == 0}
+        probed = {agent for _, agent, hello in fleet.hellos if hello.digest_ms == 0}
         assert len(asked) == 2
-        assert len(surveyed) > 20
-        assert not asked & surveyed
+        assert len(probed) > 20
+        assert not asked & probed
--- a/tests/fuzz/faults.py
+++ b/tests/fuzz/faults.py
@@ -125,7 +125,7 @@
                 "return self.grant is None and self.key is not",
                 "return self.key is not",
             ),
-            Edit("router/_issuing", "    drop_reservations(core, state)\n", ""),
+            Edit("router/_issuing", "    withdraw_reservations(core, state)\n", ""),
         ),
         REQUESTS,
         "dispatched twice",
@@ -138,7 +138,8 @@
                 "router/_granting",
                 "        return\n    _send_revoke(core, state, grant, now)\n\n\n"
                 "def on_revoke_result",
-                "        return\n    _settle(state)\n    place(core, state, now)\n\n\n"
+                "        return\n    _clear_grant(state)\n"
+                "    place(core, state, now)\n\n\n"
                 "def on_revoke_result",
             ),
         ),
@@ -151,8 +152,8 @@
         (
             Edit(
                 "router/_granting",
-                "named = (grant.agent, grant.incarnation, grant.attempt)",
-                "named = (grant.agent, incarnation, grant.attempt)",
+                "expected = (grant.agent, grant.incarnation, grant.attempt)",
+                "expected = (grant.agent, incarnation, grant.attempt)",
             ),
             Edit(
                 "router/_granting",
@@ -192,7 +193,7 @@
                 "router/_granting",
                 "        return\n    _send_revoke(core, state, grant, now)\n\n\n"
                 "def on_revoke_result",
-                "        return\n    _settle(state)\n"
+                "        return\n    _clear_grant(state)\n"
                 "    retry_or_end(core, state, 1e9)\n\n\n"
                 "def on_revoke_result",
             ),
@@ -308,8 +309,8 @@
         (
             Edit(
                 "router/_granting",
-                "grant = _settle(state)\n    if _agent_restarted(core, grant):",
-                "grant = _settle(state)\n    if False:",
+                "grant = _clear_grant(state)\n    if _agent_restarted(core, grant):",
+                "grant = _clear_grant(state)\n    if False:",
             ),
         ),
         f"{ROUTER_MACHINE}::TestLostGrants"
@@ -321,7 +322,7 @@
         (
             Edit(
                 "router/_granting",
-                'end_unknown(core, state, "the answer broke off")',
+                'end_unknown(core, state, "the response ended before it was complete")',
                 "end_complete(core, state)",
             ),
         ),
@@ -400,7 +401,7 @@
             Edit(
                 "router/_idempotency",
                 "if isinstance(result, Conflict) and result.current is not None:\n"
-                "                return refused_by(result.current, request)",
+                "                return refusal_for_record(result.current, request)",
                 "if isinstance(result, Conflict) and result.current is not None:\n"
                 "                return Claimed()",
             ),
--- a/tests/fuzz/test_fuzz_idempotency.py
+++ b/tests/fuzz/test_fuzz_idempotency.py
@@ -106,8 +106,8 @@
             router.claimed.append(request)
             return
         assert isinstance(result, ClaimRefused)
-        if result.unsettled:
-            await router.records.settle(request)
+        if result.is_outcome_unknown:
+            await router.records.delete_late_record(request)
 
     def run(self, pick: int, end: str) -> None:
         """Run a request that holds its key."""
