--- a/libs/router/tests/test_router_idempotency.py
+++ b/libs/router/tests/test_router_idempotency.py
@@ -1,4 +1,4 @@
-"""Idempotency records under lost answers, races and outages."""
+"""Idempotency records under lost responses, races and outages."""
 
 from dataclasses import replace
 
@@ -25,11 +25,11 @@
 
 LIFETIME_S = 2400.0
 ROTATION_S = LIFETIME_S / 24
-ANSWER = StoredResponse(200, ((b"content-type", b"text/plain"),), b"done", "agent-1")
+RESPONSE = StoredResponse(200, ((b"content-type", b"text/plain"),), b"done", "agent-1")
 
 
 class Clock:
-    """A clock that only moves when told to."""
+    """A clock that is advanced by hand."""
 
     def __init__(self) -> None:
         self.now = 1000.0
@@ -49,7 +49,7 @@
 
 
 async def no_pause(_: float) -> None:
-    """Let other tasks run, without waiting."""
+    """Yield to other tasks without a delay."""
     await anyio.sleep(0)
 
 
@@ -90,21 +90,21 @@
 
 
 class TestClaims:
-    async def test_lost_answer_of_a_write_that_took_effect(self, store, clock):
-        """The record is read back and found to name this request."""
+    async def test_lost_response_of_a_write_that_took_effect(self, store, clock):
+        """The record is read back and recognized as this request's own."""
         store.lose_answers = 1
         request = make_request("r1")
         assert await records_of(store, clock).claim(request) == Claimed()
         assert (await stored_record(store)).request_id == str(request.request_id)
 
     async def test_lost_write(self, store, clock):
-        """A write that never arrived is made again."""
+        """A write that was lost is retried."""
         store.lose_writes = 2
         assert await records_of(store, clock).claim(make_request("r1")) == Claimed()
         assert await stored_record(store) is not None
 
     async def test_two_routers_at_once(self, store, clock):
-        """Of two routers that claim a key at the same moment one may grant."""
+        """Only one of two concurrent claims of a key succeeds."""
         results = []
 
         async def claim(router: str) -> None:
@@ -120,14 +120,14 @@
         assert refused[0].refusal.reason is RefusalReason.KEY_IN_USE
 
     async def test_outage(self, store, clock):
-        """Without the service nothing is claimed, and the caller may return."""
+        """Without the service, a claim is refused with a retry-after time."""
         store.down = True
         result = await records_of(store, clock).claim(make_request("r1"))
         assert result.refusal.reason is RefusalReason.PLATFORM_DOWN
         assert result.refusal.retry_after_ms > 0
 
     async def test_outage_costs_few_calls(self, store, clock):
-        """Claims that come together, or right after, don't each try again."""
+        """Concurrent claims, and those right after, share one failed attempt."""
         store.down = True
         records = records_of(store, clock)
         async with anyio.create_task_group() as tasks:
@@ -140,16 +140,16 @@
         assert await records.claim(make_request("r5")) == Claimed()
 
     async def test_expired_lease_is_replaced(self, store, clock):
-        """A lease that the service dropped does not fail the next claims."""
+        """A revoked lease does not fail later claims."""
         records = records_of(store, clock)
         await records.claim(make_request("r1"))
         await store.revoke(await records._leases.lease_for(1.0))
         assert await records.claim(make_request("r2")) == Claimed()
 
 
-class TestUnsettledClaims:
+class TestClaimsWithUnknownOutcome:
     async def test_record_that_appears_late_is_deleted(self, store, clock):
-        """An outage after the lost answer must not block the key for its lifetime."""
+        """An outage after a lost response does not block the key for its lifetime."""
         records = records_of(store, clock)
         request = make_request("r1")
         await records._leases.lease_for(1.0)
@@ -174,7 +174,7 @@
 
 class TestReleases:
     async def test_outage_delays_the_release(self, store, clock):
-        """A key of a request that did not run is free once the service is back."""
+        """The key of a request that did not run is released after the outage."""
         records = records_of(store, clock)
         request = make_request("r1")
         await records.claim(request)
@@ -192,7 +192,7 @@
         assert claimed == Claimed()
 
     async def test_record_of_another_is_left_alone(self, store, clock):
-        """A release that comes late does not free the next request's key."""
+        """A late release does not release the next request's key."""
         first = records_of(store, clock)
         await first.claim(make_request("r1"))
         clock.now += LIFETIME_S + ROTATION_S
@@ -206,27 +206,27 @@
         records = records_of(store, clock)
         request = make_request("r1")
         await records.claim(request)
-        records.complete(request, 200, ANSWER)
+        records.complete(request, 200, RESPONSE)
         records.release(request)
         await flushed(records)
         assert (await stored_record(store)).state is RecordState.COMPLETE
 
 
 class TestRepeats:
-    async def test_answer_is_kept_for_the_same_call(self, store, clock):
-        """A repeat through another router gets the first answer."""
+    async def test_response_is_stored_for_the_same_call(self, store, clock):
+        """A repeat through another router gets the stored response."""
         records = records_of(store, clock)
         await records.claim(make_request("r1"))
-        records.complete(make_request("r1"), 200, ANSWER)
+        records.complete(make_request("r1"), 200, RESPONSE)
         await flushed(records)
         result = await records_of(store, clock).claim(make_request("r2"))
-        assert result.replay == ANSWER
+        assert result.replay == RESPONSE
 
-    async def test_another_call_gets_no_answer(self, store, clock):
-        """The answer of a different call under the same key is not given away."""
+    async def test_another_call_gets_no_response(self, store, clock):
+        """A different call under the same key does not get the stored response."""
         records = records_of(store, clock)
         await records.claim(make_request("r1"))
-        records.complete(make_request("r1"), 200, ANSWER)
+        records.complete(make_request("r1"), 200, RESPONSE)
         await flushed(records)
         request = make_request("r2")
         other = replace(request, call=replace(request.call, body=b"{1}"))
@@ -235,8 +235,8 @@
         assert result.refusal.reason is RefusalReason.KEY_REUSED
         assert result.refusal.retry_after_ms == 0
 
-    async def test_answer_that_was_too_large(self, store, clock):
-        """A repeat learns that the call is complete, and not to come back."""
+    async def test_response_that_was_too_large(self, store, clock):
+        """Without a stored response, a repeat is refused as complete, without retry."""
         records = records_of(store, clock)
         await records.claim(make_request("r1"))
         records.complete(make_request("r1"), 200, None)
@@ -251,7 +251,7 @@
     async def test_record_lives_for_its_lifetime_and_no_longer_than_a_rotation(
         self, store, clock
     ):
-        """Records that share a lease expire in the promised time."""
+        """Records that share a lease expire within lifetime and one rotation."""
         records = records_of(store, clock)
         await records._leases.lease_for(1.0)
         clock.now += ROTATION_S - 1
@@ -262,7 +262,7 @@
         assert await stored_record(store) is None
 
     async def test_record_outlives_a_long_deadline(self, store, clock):
-        """A request that may wait longer than the lifetime keeps its key."""
+        """The record of a request with a longer deadline than the lifetime is kept."""
         wait_s = 3 * LIFETIME_S
         request = make_request("r1", deadline_at=clock.now + wait_s)
         await records_of(store, clock).claim(request)
--- a/libs/router/tests/test_router_machine.py
+++ b/libs/router/tests/test_router_machine.py
@@ -1,4 +1,4 @@
-"""The router's machine, driven event by event."""
+"""The router's state machine, driven event by event."""
 
 from itertools import permutations
 from random import Random
@@ -60,12 +60,12 @@
 
 
 def service_policy(**changes):
-    """Return the settings of the account."""
+    """Return the service policy of the account."""
     return ServicePolicy(client_account="acme", service="", tier=TIER, **changes)
 
 
 class Driver:
-    """Feeds a machine, keeps its clock and collects its actions."""
+    """Feeds events to a machine, with a simulated clock, and collects its actions."""
 
     def __init__(self, *agents, limit=1, **config):
         config = RouterConfig(router="r1", incarnation=1, **config)
@@ -81,7 +81,7 @@
         self.actions.clear()
 
     def feed(self, event):
-        """Hand one event to the machine."""
+        """Feed one event to the machine."""
         self.actions += self.machine.handle(event, self.now)
 
     def deliver(self, agent, *messages, incarnation=None):
@@ -113,19 +113,19 @@
         )
 
     def fill(self, *agents):
-        """Say that the agents have no free slot."""
+        """Deliver digests of agents without a free slot."""
         for agent in agents:
             self.digest(agent, limit=1, running=1)
 
     def restart(self, agent):
-        """Let an agent speak as a new incarnation."""
+        """Deliver a datagram of a new incarnation of the agent."""
         self.incarnations[agent] += 1
         self.deliver(agent)
 
     def arrive(
         self, *, deadline_s=30.0, key="", resource=RESOURCE, settings=None, prefix=()
     ):
-        """Submit a request and return its name."""
+        """Submit a request and return its identifier."""
         self.serial += 1
         request = Request(
             request_id=RequestId("r1", 1, self.serial),
@@ -140,20 +140,20 @@
         self.feed(RequestArrived(request))
         return request.request_id
 
-    def advance(self, seconds, *, heard=()):
-        """Let time pass in small steps; the named agents keep talking."""
+    def advance(self, seconds, *, alive=()):
+        """Advance the clock in small steps; agents in ``alive`` send datagrams."""
         for _ in range(round(seconds / STEP_S)):
             self.now += STEP_S
-            for agent in heard:
+            for agent in alive:
                 self.deliver(agent)
             self.feed(Tick())
 
     def actions_of(self, kind):
-        """Return the actions of one kind."""
+        """Return the actions of one type."""
         return [action for action in self.actions if isinstance(action, kind)]
 
     def sent(self, kind):
-        """Return (agent, message) of the sent messages of one kind."""
+        """Return (agent, message) of the sent messages of one type."""
         return [
             (action.agent, message)
             for action in self.actions_of(SendToAgent)
@@ -166,12 +166,12 @@
         return self.actions_of(IssueGrant)[-1].grant
 
     def end(self):
-        """Return the answer of the only request that ended."""
+        """Return the final response of the only request that ended."""
         [action] = self.actions_of(EndRequest)
         return action.answer
 
     def reserved(self):
-        """Return the latest attempt by agent."""
+        """Return the latest reserved attempt by agent."""
         return {agent: message.attempt for agent, message in self.sent(Reserve)}
 
 
@@ -187,14 +187,14 @@
     driver = Driver("a", "b")
     driver.fill("a", "b")
     request_id = driver.arrive()
-    driver.advance(0.05, heard=("a", "b"))
+    driver.advance(0.05, alive=("a", "b"))
     assert set(driver.reserved()) == {"a", "b"}
     return driver, request_id
 
 
 class TestGrants:
     def test_free_slot_gets_conditional_grant_at_once(self):
-        """An idle agent costs no round trip before the grant."""
+        """With a free slot, no reservation round trip precedes the grant."""
         driver, request_id, grant = granted("a")
         assert grant.conditional
         assert grant.agent_incarnation == 1
@@ -204,7 +204,7 @@
         assert not driver.sent(Reserve)
 
     def test_no_slot_turns_into_a_reservation_there(self):
-        """A failed conditional grant is no refusal of the agent."""
+        """A refused conditional grant does not exclude the agent."""
         driver, request_id, grant = granted("a")
         driver.feed(
             GrantRefused(request_id, grant.attempt, Refusal(RefusalReason.NO_SLOT))
@@ -213,8 +213,8 @@
         assert (agent, reserve.attempt) == ("a", grant.attempt + 1)
         assert not driver.actions_of(EndRequest)
 
-    def test_ready_gets_the_grant_and_the_other_place_is_withdrawn(self):
-        """Of two reservations, the first ready one is granted."""
+    def test_ready_gets_the_grant_and_the_other_reservation_is_withdrawn(self):
+        """The first of two reservations to become ready is granted."""
         driver, request_id = waiting_at_two()
         attempts = driver.reserved()
         driver.deliver("b", Ready(request_id, attempts["b"]))
@@ -223,8 +223,8 @@
         assert not grant.conditional
         assert ("a", Withdraw(request_id, attempts["a"])) in driver.sent(Withdraw)
 
-    def test_shared_prefix_asks_a_second_agent_late(self):
-        """A second agent would prefill again, so that it is asked at half time."""
+    def test_shared_prefix_delays_the_second_reservation(self):
+        """With a cached prefix, the second reservation waits for half of the time."""
         driver = Driver("a", "b")
         prefix = (11, 12, 13, 14)
         driver.arrive(prefix=prefix)
@@ -232,15 +232,15 @@
         driver.fill("a", "b")
         driver.actions.clear()
         driver.arrive(prefix=prefix, deadline_s=2.0)
-        driver.advance(0.9, heard=("a", "b"))
+        driver.advance(0.9, alive=("a", "b"))
         asked = {agent for agent, _ in driver.sent(Reserve)}
         assert asked == {first}
-        driver.advance(0.2, heard=("a", "b"))
+        driver.advance(0.2, alive=("a", "b"))
         asked = {agent for agent, _ in driver.sent(Reserve)}
         assert asked == {"a", "b"}
 
-    def test_doubled_and_late_ready_give_one_grant(self):
-        """A repeated Ready is no second turn; the loser's is withdrawn."""
+    def test_duplicate_and_late_ready_give_one_grant(self):
+        """A duplicate Ready is ignored, and a late one is answered by a Withdraw."""
         driver, request_id = waiting_at_two()
         attempts = driver.reserved()
         driver.deliver("a", Ready(request_id, attempts["a"]))
@@ -251,7 +251,7 @@
         assert driver.sent(Withdraw) == [("b", Withdraw(request_id, attempts["b"]))]
 
     def test_ready_of_a_forgotten_request_is_withdrawn(self):
-        """An agent never waits for a grant that cannot come."""
+        """An agent does not hold a slot for a request that has ended."""
         driver = Driver("a")
         unknown = RequestId("r1", 1, 99)
         driver.deliver("a", Ready(unknown, 3))
@@ -259,7 +259,7 @@
 
     @pytest.mark.parametrize("order", list(permutations(["ready", "no-slot", "lost"])))
     def test_one_grant_at_a_time_in_any_order(self, order):
-        """Whatever comes first, no grant is issued over an outstanding one."""
+        """In any order of events, no grant is issued while one is outstanding."""
         driver, request_id, first = granted("a", "b")
         events = {
             "ready": lambda: driver.deliver("b", Ready(request_id, 2)),
@@ -279,20 +279,20 @@
 
 class TestLostGrants:
     def test_revoked_unused_grant_is_placed_again(self):
-        """Only the agent's word that nothing ran allows a second grant."""
+        """A second grant requires the agent's confirmation that nothing ran."""
         driver, request_id, grant = granted("a", "b")
         driver.feed(GrantLost(request_id, grant.attempt, started=False))
-        driver.advance(0.5, heard=("a", "b"))
+        driver.advance(0.5, alive=("a", "b"))
         assert len(driver.actions_of(IssueGrant)) == 1
         assert len(driver.sent(Revoke)) > 1
         driver.deliver(grant.agent, RevokeResult(request_id, grant.attempt, False))
-        driver.advance(1.0, heard=("a", "b"))
+        driver.advance(1.0, alive=("a", "b"))
         assert len(driver.actions_of(IssueGrant)) == 2
         assert driver.last_grant().attempt > grant.attempt
 
     @pytest.mark.parametrize("started", [True, False])
     def test_proof_of_dispatch_ends_unknown(self, started):
-        """A dispatched request whose answer broke is never placed again."""
+        """A dispatched request with a truncated response is not placed again."""
         driver, request_id, grant = granted("a", "b")
         driver.feed(GrantLost(request_id, grant.attempt, started=started))
         if not started:
@@ -301,14 +301,14 @@
         assert driver.end().started is started
 
     def test_silence_after_a_loss_ends_unknown(self):
-        """Not-run is not told on a guess."""
+        """Without the agent's confirmation, a lost grant is not reported as not-run."""
         driver, request_id, grant = granted("a")
         driver.feed(GrantLost(request_id, grant.attempt, started=False))
         driver.advance(3.0)
         assert driver.end().outcome is Outcome.UNKNOWN
 
     def test_restart_after_a_loss_ends_unknown(self):
-        """A new incarnation cannot speak for the old one."""
+        """A result of a new incarnation does not apply to the grant of the old one."""
         driver, request_id, grant = granted("a")
         driver.feed(GrantLost(request_id, grant.attempt, started=False))
         driver.restart("a")
@@ -316,7 +316,7 @@
         assert driver.end().outcome is Outcome.UNKNOWN
 
     def test_duplicate_is_not_read_as_not_run(self):
-        """DUPLICATE proves an earlier dispatch."""
+        """A DUPLICATE refusal proves an earlier dispatch."""
         driver, request_id, grant = granted("a", "b")
         refusal = Refusal(RefusalReason.DUPLICATE)
         driver.feed(GrantRefused(request_id, grant.attempt, refusal))
@@ -324,25 +324,25 @@
         assert len(driver.actions_of(IssueGrant)) == 1
 
     def test_silent_agent_is_abandoned_and_not_placed_elsewhere(self):
-        """A frozen agent with a grant may still run it."""
+        """A silent agent may still run its grant, so the request ends unknown."""
         driver, _, grant = granted("a", "b")
         other = "b" if grant.agent == "a" else "a"
-        driver.advance(8.0, heard=(other,))
+        driver.advance(8.0, alive=(other,))
         assert len(driver.actions_of(AbandonGrant)) == 1
         assert len(driver.actions_of(IssueGrant)) == 1
         assert driver.end().outcome is Outcome.UNKNOWN
 
     def test_slow_answer_of_a_live_agent_is_left_alone(self):
-        """Neither silence of the target nor the deadline cuts a granted request."""
+        """Neither a silent target nor the deadline aborts a granted request."""
         driver, request_id, grant = granted("a")
-        driver.advance(40.0, heard=("a",))
+        driver.advance(40.0, alive=("a",))
         assert not driver.actions_of(AbandonGrant)
         assert not driver.actions_of(EndRequest)
         driver.feed(AnswerComplete(request_id, grant.attempt))
         assert driver.end().outcome is Outcome.COMPLETE
 
     def test_refusal_of_an_earlier_incarnation_does_not_count(self):
-        """What refused is gone; the agent that restarted may be asked."""
+        """After a refusal by an earlier incarnation, the new one is asked."""
         driver, request_id, grant = granted("a")
         driver.restart("a")
         driver.digest("a")
@@ -352,15 +352,15 @@
         assert driver.last_grant().agent_incarnation == 2
 
     def test_unsent_grant_goes_elsewhere_at_once(self):
-        """A refused connection proves that nothing ran."""
+        """A refused connection proves that nothing ran, so no retry delay applies."""
         driver, request_id, grant = granted("a", "b")
         driver.feed(GrantNotSent(request_id, grant.attempt))
         assert driver.last_grant().agent != grant.agent
 
 
 class TestAgents:
-    def test_restart_voids_reservations_and_spares_started_grants(self):
-        """Waiting requests move; one that streams is left to its connection."""
+    def test_restart_cancels_reservations_and_keeps_started_grants(self):
+        """After a restart, waiting requests are placed again and streams continue."""
         driver = Driver("a", limit=1)
         running = driver.arrive()
         driver.feed(AnswerStarted(running, 1))
@@ -373,7 +373,7 @@
         assert not driver.actions_of(EndRequest)
 
     def test_restarted_agent_is_asked_before_a_request_is_shed(self):
-        """The load that comes with the news of a restart counts at once."""
+        """The digest that comes with a restart counts in the same step."""
         driver, request_id = waiting_at_two()
         attempt = driver.reserved()["b"]
         full = RefusalReason.QUEUE_FULL
@@ -384,7 +384,7 @@
         assert driver.last_grant().agent_incarnation == 2
 
     def test_older_incarnation_is_ignored(self):
-        """A delayed datagram of a dead process changes nothing."""
+        """A delayed datagram of an earlier incarnation has no effect."""
         driver, request_id = waiting_at_two()
         attempt = driver.reserved()["a"]
         driver.restart("a")
@@ -392,47 +392,47 @@
         assert not driver.actions_of(IssueGrant)
 
     def test_reservation_is_repeated_until_answered(self):
-        """A lost Reserve does not lose the request."""
+        """A lost Reserve datagram does not lose the request."""
         driver = Driver("a")
         driver.fill("a")
         request_id = driver.arrive()
-        driver.advance(0.5, heard=("a",))
+        driver.advance(0.5, alive=("a",))
         assert len(driver.sent(Reserve)) > 2
         driver.deliver("a", Queued(request_id, 1, 100))
         driver.actions.clear()
-        driver.advance(0.5, heard=("a",))
-        driver.advance(0.5, heard=("a",))
+        driver.advance(0.5, alive=("a",))
+        driver.advance(0.5, alive=("a",))
         assert len(driver.sent(Reserve)) <= 1
 
     def test_silent_agent_loses_its_reservations(self):
-        """A request does not wait at a dead agent until its deadline."""
+        """A request does not wait at a failed agent until its deadline."""
         driver = Driver("a", "b")
         driver.fill("a", "b")
         driver.arrive()
         [first] = driver.reserved()
         other = "b" if first == "a" else "a"
-        driver.advance(3.5, heard=(other,))
+        driver.advance(3.5, alive=(other,))
         assert driver.machine.requests_view(driver.now)[0].agents == (other,)
 
     def test_leaving_agent_gets_no_new_work(self):
-        """The leaving flag moves waiting requests and stops grants."""
+        """Waiting requests leave a leaving agent, and it gets no grants."""
         driver, _ = waiting_at_two()
         driver.digest("a", limit=5, leaving=True)
         assert driver.machine.requests_view(driver.now)[0].agents == ("b",)
         driver.feed(AgentsListed(("a", "b"), frozenset({"b"})))
         assert driver.machine.requests_view(driver.now)[0].agents == ()
-        driver.advance(1.2, heard=("a", "b"))
+        driver.advance(1.2, alive=("a", "b"))
         assert driver.end().refusal.reason is RefusalReason.NO_TARGET
 
     def test_target_that_is_down_gets_no_new_work_but_stays_known(self):
-        """An outage does not turn a resource into one that does not exist."""
+        """An outage of targets does not make their resource unknown."""
         driver = Driver("a1", "a2")
         driver.digest("a1", up=False)
         driver.arrive()
         assert driver.last_grant().agent == "a2"
         driver.digest("a2", up=False)
         driver.arrive()
-        driver.advance(3.0, heard=("a1", "a2"))
+        driver.advance(3.0, alive=("a1", "a2"))
         assert len(driver.actions_of(IssueGrant)) == 1
         assert driver.end().refusal.reason is RefusalReason.NO_TARGET
         assert driver.machine.resources_when_complete(2) == {RESOURCE}
@@ -440,15 +440,15 @@
         assert not any(view.target_reachable or view.takes_work for view in views)
 
     def test_resources_of_a_restarted_agent_are_not_known(self):
-        """Until its first digest no name may be called unknown."""
+        """No resource is reported as unknown before the agent's first digest."""
         driver = Driver("a1")
         driver.restart("a1")
         assert driver.machine.resources_when_complete(1) == frozenset()
 
     def test_heartbeats_go_out_each_second(self):
-        """Each agent hears from an idle router, and nothing else is sent."""
+        """An idle router sends each agent one heartbeat per second and nothing else."""
         driver = Driver("a", "b", "c")
-        driver.advance(5.0, heard=("a", "b", "c"))
+        driver.advance(5.0, alive=("a", "b", "c"))
         hellos = driver.sent(Hello)
         assert len(hellos) == 15
         assert len(driver.actions) == len(hellos)
@@ -456,7 +456,7 @@
 
 class TestShedding:
     def test_shed_only_after_every_eligible_agent_refused(self):
-        """One agent that has not refused keeps the request alive."""
+        """A request waits as long as one eligible agent has not refused it."""
         driver, request_id = waiting_at_two()
         attempts = driver.reserved()
         driver.deliver(
@@ -469,50 +469,50 @@
         assert answer.outcome is Outcome.NOT_RUN
         assert answer.refusal.retry_after_ms == 400
 
-    def test_old_refusal_is_asked_again(self):
-        """A refusal from long ago does not shed the request."""
+    def test_agent_with_an_expired_refusal_is_asked_again(self):
+        """An expired refusal does not shed the request."""
         driver, request_id = waiting_at_two()
         attempts = driver.reserved()
         driver.deliver(
             "a", Refused(request_id, attempts["a"], RefusalReason.QUEUE_FULL)
         )
-        driver.advance(1.0, heard=("a", "b"))
+        driver.advance(1.0, alive=("a", "b"))
         driver.deliver(
             "b", Refused(request_id, attempts["b"], RefusalReason.QUEUE_FULL)
         )
         assert not driver.actions_of(EndRequest)
-        driver.advance(0.5, heard=("a", "b"))
+        driver.advance(0.5, alive=("a", "b"))
         assert driver.reserved()["a"] > attempts["b"]
 
     def test_deadline_ends_a_waiting_request(self):
-        """The caller is told at the deadline, with a time to return."""
+        """The caller is refused at the deadline, with a retry-after time."""
         driver = Driver("a")
         driver.fill("a")
         request_id = driver.arrive(deadline_s=0.2)
-        driver.advance(0.25, heard=("a",))
+        driver.advance(0.25, alive=("a",))
         answer = driver.end()
         assert answer.refusal.reason is RefusalReason.DEADLINE
         assert answer.refusal.retry_after_ms > 0
         assert driver.sent(Withdraw) == [("a", Withdraw(request_id, 1))]
 
-    def test_spent_retry_budget_delays_but_does_not_shed(self):
+    def test_exhausted_retry_budget_delays_but_does_not_shed(self):
         """A request that no agent refused waits for the budget or its deadline."""
         driver = Driver("a", limit=50, retry_ratio=0.0)
         for _ in range(30):
             request_id = driver.arrive(deadline_s=5.0)
             driver.feed(GrantLost(request_id, 1, started=False))
             driver.deliver("a", RevokeResult(request_id, 1, False))
-        driver.advance(4.0, heard=("a",))
+        driver.advance(4.0, alive=("a",))
         retried = len(driver.actions_of(IssueGrant)) - 30
         assert 0 < retried < 30
         assert not driver.actions_of(EndRequest)
-        driver.advance(2.0, heard=("a",))
+        driver.advance(2.0, alive=("a",))
         reasons = [end.answer.refusal.reason for end in driver.actions_of(EndRequest)]
         assert reasons == [RefusalReason.DEADLINE] * (30 - retried)
 
     @pytest.mark.parametrize("limit", ["max_waiting", "max_running"])
     def test_account_limit_refuses_at_arrival(self, limit):
-        """Accounts are held to their limits with a time to return."""
+        """Requests above an account limit are refused with a retry-after time."""
         driver = Driver("a")
         if limit == "max_waiting":
             driver.fill("a")
@@ -524,7 +524,7 @@
         assert refusal.retry_after_ms > 0
 
     def test_caller_gone_withdraws_or_abandons(self):
-        """A waiting request is withdrawn, a granted one left to the agent."""
+        """On a disconnect, a waiting request is withdrawn and a grant abandoned."""
         driver, request_id = waiting_at_two()
         driver.feed(CallerGone(request_id))
         assert driver.end().refusal.reason is RefusalReason.WITHDRAWN
@@ -539,7 +539,7 @@
 
 class TestKeys:
     def test_no_grant_before_the_key_is_claimed(self):
-        """A Ready that comes before the claim is remembered."""
+        """A Ready that precedes the claim is granted once the key is claimed."""
         driver = Driver("a")
         request_id = driver.arrive(key="k")
         assert len(driver.actions_of(ClaimKey)) == 1
@@ -549,7 +549,7 @@
         assert driver.last_grant().attempt == 1
 
     def test_refused_key_withdraws_and_releases_nothing(self):
-        """The record belongs to another request."""
+        """The record of another request is not released."""
         driver = Driver("a")
         request_id = driver.arrive(key="k")
         refusal = Refusal(RefusalReason.KEY_IN_USE)
@@ -559,7 +559,7 @@
         assert not driver.actions_of(ReleaseKey)
 
     def test_key_of_a_request_that_did_not_run_is_released(self):
-        """Also when the claim succeeds after the end."""
+        """The key is released even if the claim succeeds after the request ended."""
         driver = Driver("a")
         request_id = driver.arrive(key="k")
         driver.feed(CallerGone(request_id))
@@ -570,7 +570,7 @@
         assert len(driver.actions_of(DrainFinished)) == 1
 
     def test_key_of_an_unknown_outcome_is_kept(self):
-        """A repeat must find the record."""
+        """A repeat of a request that may have run must find the record."""
         driver = Driver("a")
         request_id = driver.arrive(key="k")
         driver.feed(KeyClaimed(request_id))
@@ -582,7 +582,7 @@
 
 class TestDrain:
     def test_drain_refuses_new_and_finishes_accepted_requests(self):
-        """No accepted request is cut."""
+        """A drain aborts no accepted request."""
         driver, request_id, grant = granted("a")
         driver.feed(DrainRequested())
         driver.arrive()
@@ -595,7 +595,7 @@
 
 class TestRoundRobin:
     def test_agents_get_grants_in_turn(self):
-        """The baseline ignores load and reserves nothing."""
+        """The round-robin baseline ignores load and sends no reservations."""
         driver = Driver("a", "b", policy=RoutingPolicy.ROUND_ROBIN)
         driver.fill("a", "b")
         for _ in range(4):
--- a/libs/router/tests/test_router_machine_fuzz.py
+++ b/libs/router/tests/test_router_machine_fuzz.py
@@ -1,4 +1,4 @@
-"""The router's machine against arbitrary agents, checked by a small oracle."""
+"""Stateful fuzz test of the router's state machine, checked by a model."""
 
 from dataclasses import dataclass
 from random import Random
@@ -75,9 +75,9 @@
 
 @dataclass
 class RequestModel:
-    """What the oracle knows of one request."""
+    """Expected state of one request."""
 
-    keyed: bool
+    has_key: bool
     claimed: bool = False
     ended: bool = False
     completed: bool = False
@@ -96,14 +96,14 @@
         policy=st.sampled_from([RoutingPolicy.BERYLWALK] * 4 + [*RoutingPolicy]),
     )
     def start(self, seed, policy, running):
-        """Create a machine that has heard all agents."""
+        """Create a machine that has a digest of each agent."""
         config = RouterConfig(router="r1", incarnation=1, policy=policy)
         self.machine = RouterMachine(config, rng=Random(seed))
         self.now = 100.0
         self.serial = 0
         self.sequence = 0
         self.incarnations = dict.fromkeys(AGENTS, 1)
-        self.known: dict[RequestId, RequestModel] = {}
+        self.model: dict[RequestId, RequestModel] = {}
         self.sent: list[tuple[str, RequestId, int]] = []
         self.open_grants: dict[tuple[RequestId, int], Grant] = {}
         self.lost_grants: list[Grant] = []
@@ -114,7 +114,7 @@
             self.digest(agent, 2, running, False)
 
     def feed(self, event):
-        """Hand an event to the machine and check what it does."""
+        """Feed an event to the machine and check its actions."""
         actions = self.machine.handle(event, self.now)
         withdrawn = {
             (action.agent, message.request_id, message.attempt)
@@ -127,7 +127,7 @@
             self.check(action, withdrawn)
 
     def check(self, action, withdrawn):
-        """Compare one action with what is allowed."""
+        """Check that one action is allowed."""
         if isinstance(action, IssueGrant):
             self.check_grant(action.grant)
         elif isinstance(action, EndRequest):
@@ -140,52 +140,52 @@
         elif isinstance(action, ClaimKey):
             self.open_claims.append(action.request.request_id)
         elif isinstance(action, ReleaseKey):
-            known = self.known[action.request.request_id]
-            assert known.claimed
-            assert not known.released
-            known.released = True
+            model = self.model[action.request.request_id]
+            assert model.claimed
+            assert not model.released
+            model.released = True
         elif isinstance(action, DrainFinished):
             self.drains += 1
-            assert all(known.ended for known in self.known.values())
+            assert all(model.ended for model in self.model.values())
 
     def check_grant(self, grant):
-        """Allow one grant at a time, each with a new attempt."""
-        known = self.known[grant.request_id]
-        assert not known.ended
-        assert known.unresolved is None
-        assert known.claimed or not known.keyed
-        assert grant.attempt > known.last_granted
+        """Allow one outstanding grant per request, each with a new attempt."""
+        model = self.model[grant.request_id]
+        assert not model.ended
+        assert model.unresolved is None
+        assert model.claimed or not model.has_key
+        assert grant.attempt > model.last_granted
         assert grant.agent_incarnation == self.incarnations[grant.agent]
-        known.last_granted = grant.attempt
-        known.unresolved = grant
-        known.started = False
+        model.last_granted = grant.attempt
+        model.unresolved = grant
+        model.started = False
         self.open_grants[grant.request_id, grant.attempt] = grant
         self.sent.append((grant.agent, grant.request_id, grant.attempt))
 
     def check_end(self, action):
-        """Allow one end, and not-run only when nothing can have run."""
-        known = self.known[action.request_id]
+        """Allow one end per request, and not-run only if nothing can have run."""
+        model = self.model[action.request_id]
         answer = action.answer
-        assert not known.ended
-        known.ended = True
+        assert not model.ended
+        model.ended = True
         if answer.outcome is Outcome.NOT_RUN:
-            assert known.unresolved is None
+            assert model.unresolved is None
             assert answer.refusal.retry_after_ms > 0
         elif answer.outcome is Outcome.UNKNOWN:
-            assert known.unresolved is not None
+            assert model.unresolved is not None
         else:
-            assert known.completed
+            assert model.completed
 
     def check_messages(self, action, withdrawn):
-        """Allow reservations only while nothing is granted.
+        """Allow reservations only while no grant is outstanding.
 
-        One that the same step withdraws again does no harm.
+        A reservation that the same step withdraws is allowed too.
         """
         for message in action.messages:
             if isinstance(message, Reserve):
-                known = self.known[message.request_id]
+                model = self.model[message.request_id]
                 reservation = (action.agent, message.request_id, message.attempt)
-                is_open = not known.ended and known.unresolved is None
+                is_open = not model.ended and model.unresolved is None
                 assert is_open or reservation in withdrawn
                 self.sent.append(reservation)
 
@@ -220,12 +220,12 @@
         )
         self.deliver(agent, digest)
 
-    @rule(keyed=st.booleans(), deadline_s=st.sampled_from([0.3, MAX_DEADLINE_S]))
-    def arrive(self, keyed, deadline_s):
-        """A caller sends a request."""
+    @rule(has_key=st.booleans(), deadline_s=st.sampled_from([0.3, MAX_DEADLINE_S]))
+    def arrive(self, has_key, deadline_s):
+        """A request arrives."""
         self.serial += 1
         request_id = RequestId("r1", 1, self.serial)
-        self.known[request_id] = RequestModel(keyed)
+        self.model[request_id] = RequestModel(has_key)
         request = Request(
             request_id=request_id,
             service_policy=SERVICE_POLICY,
@@ -233,22 +233,22 @@
             estimate=WorkEstimate(),
             arrived_at=self.now,
             deadline_at=self.now + deadline_s,
-            idempotency_key="k" if keyed else "",
+            idempotency_key="k" if has_key else "",
         )
         self.feed(RequestArrived(request))
 
-    @rule(steps=st.integers(1, 8), heard=st.sets(agents))
-    def advance(self, steps, heard):
-        """Time passes; some agents keep talking."""
+    @rule(steps=st.integers(1, 8), alive=st.sets(agents))
+    def advance(self, steps, alive):
+        """Time passes; the agents in ``alive`` send datagrams."""
         for _ in range(steps):
             self.now += STEP_S
-            for agent in sorted(heard):
+            for agent in sorted(alive):
                 self.deliver(agent)
             self.feed(Tick())
 
     @rule(agent=agents)
     def restart(self, agent):
-        """An agent comes back as a new incarnation."""
+        """An agent restarts as a new incarnation."""
         self.incarnations[agent] += 1
         self.deliver(agent)
 
@@ -260,7 +260,7 @@
     @precondition(lambda self: self.sent)
     @rule(data=st.data(), kind=st.sampled_from(["queued", "ready", "refused"]))
     def answer_reservation(self, data, kind):
-        """An agent answers one of the attempts that it was sent lately."""
+        """An agent answers one of the recently sent attempts."""
         agent, request_id, attempt = data.draw(st.sampled_from(self.sent[-8:]))
         if kind == "queued":
             self.deliver(agent, Queued(request_id, attempt, 10))
@@ -271,48 +271,48 @@
             self.deliver(agent, Refused(request_id, attempt, reason))
 
     @precondition(lambda self: self.lost_grants)
-    @rule(data=st.data(), ran=st.booleans(), speaker=st.sampled_from(["", *AGENTS]))
-    def answer_revoke(self, data, ran, speaker):
-        """The agent of a lost grant, or perhaps another, answers a Revoke."""
+    @rule(data=st.data(), ran=st.booleans(), responder=st.sampled_from(["", *AGENTS]))
+    def answer_revoke(self, data, ran, responder):
+        """The agent of a lost grant, or another one, answers a Revoke."""
         grant = data.draw(st.sampled_from(self.lost_grants[-3:]))
-        known = self.known[grant.request_id]
-        agent = speaker or grant.agent
+        model = self.model[grant.request_id]
+        agent = responder or grant.agent
         incarnation = self.incarnations[agent]
         expected = (grant.agent, grant.agent_incarnation)
-        is_proof = known.unresolved is grant and (agent, incarnation) == expected
-        if is_proof and not ran and not known.started and not known.ended:
-            known.unresolved = None
+        is_proof = model.unresolved is grant and (agent, incarnation) == expected
+        if is_proof and not ran and not model.started and not model.ended:
+            model.unresolved = None
         self.deliver(agent, RevokeResult(grant.request_id, grant.attempt, ran))
 
     @precondition(lambda self: self.open_grants)
     @rule(data=st.data())
     def start_answer(self, data):
-        """The target's status arrives, and perhaps a piece of the answer."""
+        """The target's status and a chunk of the response arrive."""
         name = data.draw(st.sampled_from(sorted(self.open_grants)))
-        self.known[name[0]].started = True
+        self.model[name[0]].started = True
         self.feed(AnswerStarted(*name))
         self.feed(AnswerProgress(*name))
 
     @precondition(lambda self: self.open_grants)
     @rule(data=st.data(), kind=st.sampled_from(["refused", "complete", "lost"]))
     def end_connection(self, data, kind):
-        """The connection of a grant tells how it ended."""
+        """The connection of a grant ends."""
         name = data.draw(st.sampled_from(sorted(self.open_grants)))
         grant = self.open_grants.pop(name)
-        known = self.known[grant.request_id]
+        model = self.model[grant.request_id]
         if kind == "complete":
-            known.completed = True
+            model.completed = True
             self.feed(AnswerComplete(*name))
-        elif kind == "lost" or known.started:
+        elif kind == "lost" or model.started:
             self.lost_grants.append(grant)
-            self.feed(GrantLost(*name, started=known.started))
+            self.feed(GrantLost(*name, started=model.started))
         else:
             self.refuse_grant(grant, data.draw(st.sampled_from([None, *REASONS])))
 
     def refuse_grant(self, grant, reason):
-        """Refuse a grant, or say that it was never sent if no reason is given."""
-        known = self.known[grant.request_id]
-        known.unresolved = None
+        """Refuse a grant, or report it as not sent if there is no reason."""
+        model = self.model[grant.request_id]
+        model.unresolved = None
         if reason is None:
             self.feed(GrantNotSent(grant.request_id, grant.attempt))
         else:
@@ -322,7 +322,7 @@
     @precondition(lambda self: self.open_grants)
     @rule(data=st.data())
     def refuse_as_duplicate(self, data):
-        """An agent says that it dispatched the request before."""
+        """An agent refuses a grant because it already dispatched the request."""
         name = data.draw(st.sampled_from(sorted(self.open_grants)))
         del self.open_grants[name]
         self.feed(GrantRefused(*name, Refusal(RefusalReason.DUPLICATE)))
@@ -330,25 +330,25 @@
     @precondition(lambda self: self.open_claims)
     @rule(data=st.data(), claimed=st.booleans())
     def answer_claim(self, data, claimed):
-        """The key-value service answers."""
+        """A key claim succeeds or fails."""
         request_id = data.draw(st.sampled_from(self.open_claims))
         self.open_claims.remove(request_id)
         if claimed:
-            self.known[request_id].claimed = True
+            self.model[request_id].claimed = True
             self.feed(KeyClaimed(request_id))
         else:
             refusal = Refusal(RefusalReason.KEY_IN_USE)
             self.feed(KeyRefused(request_id, refusal))
 
-    @precondition(lambda self: self.known)
+    @precondition(lambda self: self.model)
     @rule(data=st.data())
     def disconnect_caller(self, data):
-        """A caller closes its connection."""
-        request_id = data.draw(st.sampled_from(sorted(self.known)))
+        """A caller disconnects."""
+        request_id = data.draw(st.sampled_from(sorted(self.model)))
         self.feed(CallerGone(request_id))
 
     def teardown(self):
-        """Every request ends exactly once, whatever stays silent."""
+        """Every request ends exactly once, even if no agent responds."""
         if not hasattr(self, "machine"):
             return
         self.feed(DrainRequested())
@@ -357,10 +357,10 @@
         for _ in range(int((MAX_DEADLINE_S + 10.0) / STEP_S)):
             self.now += STEP_S
             self.feed(Tick())
-        assert all(known.ended for known in self.known.values())
+        assert all(model.ended for model in self.model.values())
         assert self.drains == 1
-        for known in self.known.values():
-            assert known.released or not known.claimed or known.unresolved is not None
+        for model in self.model.values():
+            assert model.released or not model.claimed or model.unresolved is not None
         assert not self.machine.requests_view(self.now)
 
 
--- a/libs/router/tests/test_router_membership.py
+++ b/libs/router/tests/test_router_membership.py
@@ -1,4 +1,4 @@
-"""Members from a list that lags, shrinks and fails."""
+"""Membership with a VM list that lags, shrinks or is unavailable."""
 
 from random import Random
 
@@ -12,7 +12,7 @@
 
 pytestmark = pytest.mark.anyio
 
-DOWN = Unavailable(UnavailableReason.NOT_SENT)
+LIST_UNAVAILABLE = Unavailable(UnavailableReason.NOT_SENT)
 
 
 def target(vm_id: str, *, leaving: bool = False) -> Member:
@@ -23,23 +23,23 @@
 class TestMemberTable:
     @pytest.mark.parametrize("listed", [(), (target("t2"),)])
     def test_short_list_keeps_an_agent_that_answers(self, listed):
-        """An empty or shrunken list does not remove a live agent."""
+        """An empty or incomplete list does not remove a live agent."""
         table = MemberTable("r1")
         table.apply_list([target("t1"), target("t2")], now=0.0)
         table.record_datagram("t1", 9.0)
         table.apply_list(listed, now=10.0)
         assert "t1" in table.agent_ids
 
-    def test_silent_agent_goes_with_the_list(self):
-        """An agent that neither answers nor is listed is removed."""
+    def test_silent_agent_is_removed_with_the_list(self):
+        """An agent that is neither live nor listed is removed."""
         table = MemberTable("r1")
         table.apply_list([target("t1")], now=0.0)
         table.record_datagram("t1", 1.0)
         table.apply_list([], now=10.0)
         assert table.agent_ids == ()
 
-    def test_leaving_agent_goes_although_it_answers(self):
-        """An agent last listed as leaving is removed with its entry."""
+    def test_leaving_agent_is_removed_although_it_is_live(self):
+        """An agent last listed as leaving is removed with its list entry."""
         table = MemberTable("r1")
         table.apply_list([target("t1", leaving=True)], now=0.0)
         assert table.agents_listed().leaving == {"t1"}
@@ -47,8 +47,8 @@
         table.apply_list([], now=10.0)
         assert table.agent_ids == ()
 
-    def test_peer_adds_and_marks_but_never_removes_or_revives(self):
-        """A peer's list is as old as the outage."""
+    def test_peer_list_neither_removes_members_nor_clears_leaving(self):
+        """A peer's list may be outdated, so it only adds or marks as leaving."""
         table = MemberTable("r1")
         table.apply_list([target("t1", leaving=True), target("t2")], now=0.0)
         table.merge_peer_list([target("t1"), target("t3")])
@@ -60,16 +60,16 @@
     """A VM list with settable content."""
 
     def __init__(self) -> None:
-        self.listed = DOWN
+        self.listed = LIST_UNAVAILABLE
 
     async def fetch(self):
-        """Return the content."""
+        """Return the list."""
         return self.listed
 
 
 class TestMemberPoller:
-    async def test_peers_are_asked_while_the_list_is_down(self):
-        """A router that starts in an outage learns the members of a peer."""
+    async def test_peers_are_queried_while_the_list_is_unavailable(self):
+        """A router that starts during an outage learns the members from a peer."""
         table, vms, changes = MemberTable("r1"), Vms(), []
 
         async def query_peer(address: str) -> MembersReply | None:
@@ -89,7 +89,7 @@
         assert changes == [("t1",)]
 
     async def test_outage_changes_nothing(self):
-        """The last list stays while neither the list nor a peer answers."""
+        """The last list stays in use while neither the list nor a peer responds."""
         table, vms = MemberTable("r1"), Vms()
 
         async def query_peer(_: str) -> None:
@@ -105,14 +105,14 @@
         )
         vms.listed = (Vm("t1", "127.0.1.1", "domain-a", VmRole.TARGET),)
         await poller.poll()
-        vms.listed = DOWN
+        vms.listed = LIST_UNAVAILABLE
         await poller.poll()
         assert table.agent_ids == ("t1",)
 
 
 class TestPeerRouters:
     def test_few_lowest_ranked_live_routers_are_chosen(self):
-        """All routers agree on who watches, and the dead are replaced."""
+        """All routers agree on the watchers, and failed ones are replaced."""
         routers = sorted((f"r{number}" for number in range(40)), key=router_rank)
 
         def watchers(live: list[str], now: float) -> list[str]:
@@ -129,10 +129,10 @@
         assert watchers(routers, 0.0) == routers[:4]
         assert watchers(routers[2:], 0.0) == routers[2:6]
 
-    def test_heartbeats_reach_everyone_in_turn(self):
-        """With many routers each is greeted within a bounded number of rounds."""
+    def test_heartbeats_reach_all_routers_in_turn(self):
+        """With many routers, each gets a heartbeat within a few rounds."""
         peers = PeerRouters("r0")
         routers = [f"r{number}" for number in range(1, 320)]
-        greeted = [peers.next_heartbeat_recipients(routers) for _ in range(16)]
-        assert max(map(len, greeted)) == 20
-        assert {router for turn in greeted for router in turn} == set(routers)
+        recipients = [peers.next_heartbeat_recipients(routers) for _ in range(16)]
+        assert max(map(len, recipients)) == 20
+        assert {router for turn in recipients for router in turn} == set(routers)
--- a/libs/router/tests/test_router_settings_sync.py
+++ b/libs/router/tests/test_router_settings_sync.py
@@ -1,4 +1,4 @@
-"""Spreading of the settings, with and without the key-value service."""
+"""Propagation of the settings, with and without the key-value service."""
 
 import anyio
 import pytest
@@ -20,7 +20,7 @@
 
 
 class Node:
-    """One router's settings, with the peers it can reach."""
+    """The settings synchronization of one node, with the peers it can reach."""
 
     def __init__(self, store: InMemoryKeyValue, *, watches: bool = False) -> None:
         self.replica = SettingsReplica(0.0)
@@ -40,7 +40,7 @@
         )
 
     async def pull(self, peer: str, known_version: int) -> SettingsReply | None:
-        """Ask a peer, as over the sync channel."""
+        """Query a peer, as over the sync channel."""
         self.pulled_peers.append(peer)
         node = self.peers_by_id.get(peer)
         if node is None:
@@ -58,7 +58,7 @@
 
 class TestStart:
     async def test_outage_takes_the_highest_of_the_peers(self):
-        """A router that starts in an outage never serves below what it heard."""
+        """A router that starts during an outage waits for the highest known version."""
         store = InMemoryKeyValue()
         old, new = Node(store), Node(store)
         old.sync.accept(await submit(store, "one"))
@@ -76,7 +76,7 @@
         assert node.sync.is_ready
 
     async def test_store_alone_makes_ready(self):
-        """Without peers a read of the store is enough."""
+        """Without peers, a read of the store is sufficient."""
         store = InMemoryKeyValue()
         await submit(store, "one")
         node = Node(store)
@@ -85,9 +85,9 @@
         assert node.sync.is_ready
 
 
-class TestSpread:
+class TestPropagation:
     async def test_accepted_document_is_announced_and_pulled_in_an_outage(self):
-        """An outage right after acceptance does not stop the spread."""
+        """An outage right after acceptance does not stop the propagation."""
         store = InMemoryKeyValue()
         accepting, other = Node(store), Node(store)
         accepting.sync.accept(await submit(store, "one"))
@@ -104,7 +104,7 @@
         assert other.announced == []
 
     async def test_lower_document_never_replaces_a_higher(self):
-        """A store that answers with an older version changes nothing."""
+        """An older version read from the store is ignored."""
         store, older_store = InMemoryKeyValue(), InMemoryKeyValue()
         node = Node(older_store)
         await submit(store, "one")
@@ -113,8 +113,8 @@
         await node.sync.read_store()
         assert node.sync.version == 2
 
-    async def test_watch_starts_once_chosen_and_misses_nothing(self):
-        """A change between the reading and the watch is seen as well."""
+    async def test_watch_misses_no_change_when_it_starts(self):
+        """A change between the initial read and the watch is not missed."""
         store = InMemoryKeyValue()
         node = Node(store, watches=True)
         await submit(store, "one")
@@ -129,7 +129,7 @@
         assert node.announced[-1] == 3
 
     async def test_agent_that_is_ahead_causes_a_read(self):
-        """A version that only agents know of is fetched from the store."""
+        """A version that only agents have is read from the store."""
         store = InMemoryKeyValue()
         node = Node(store)
         async with anyio.create_task_group() as tasks:
@@ -144,10 +144,10 @@
 
 
 class TestAgentsAsSources:
-    """All routers were replaced while the key-value service is down."""
+    """Settings from agents, if all routers are replaced during an outage."""
 
     async def test_new_router_serves_what_the_highest_agent_has(self):
-        """It pulls from an agent, and waits until it heard others as well."""
+        """A router without peers pulls the highest version that agents have."""
         store = InMemoryKeyValue()
         behind, ahead = Node(store), Node(store)
         behind.sync.accept(await submit(store, "one"))
@@ -169,8 +169,8 @@
         assert node.sync.version == 2
         assert node.sync.is_ready
 
-    async def test_no_agent_is_asked_while_the_store_may_answer(self):
-        """Agents that are ahead of a new router are many in ordinary times."""
+    async def test_no_agent_is_asked_while_the_store_is_available(self):
+        """Without an outage, a new router does not pull from the agents ahead of it."""
         store = InMemoryKeyValue()
         agent = Node(store)
         agent.sync.accept(await submit(store, "one"))
@@ -185,7 +185,7 @@
         assert node.pulled_peers == []
 
     async def test_a_router_that_is_ahead_is_asked_first(self):
-        """Agents are asked only when no router has what they know."""
+        """Agents are a fallback for versions that no router has."""
         store = InMemoryKeyValue()
         agent, router = Node(store), Node(store)
         router.sync.accept(await submit(store, "one"))
@@ -201,8 +201,8 @@
         assert node.pulled_peers == ["router", "address"]
         assert node.sync.version == 2
 
-    async def test_agents_that_do_not_answer_stop_no_router(self):
-        """An earlier release has no sync port, but may be ahead of a router."""
+    async def test_unresponsive_agents_do_not_block_readiness(self):
+        """A router stays ready if agents ahead of it have no sync port."""
         store = InMemoryKeyValue()
         node = Node(store)
         await submit(store, "one")
@@ -217,8 +217,8 @@
             assert node.sync.is_ready
         assert "address" in node.pulled_peers
 
-    async def test_agents_that_do_not_answer_hide_none_that_does(self):
-        """Each that is ahead is asked before one that failed is asked again."""
+    async def test_unresponsive_agents_do_not_starve_responsive_ones(self):
+        """Each agent that is ahead is tried before a failed one is retried."""
         store = InMemoryKeyValue()
         agent = Node(store)
         agent.sync.accept(await submit(store, "one"))
--- a/libs/router/tests/test_router_shell.py
+++ b/libs/router/tests/test_router_shell.py
@@ -1,4 +1,4 @@
-"""Grants over real connections, and what callers get of them."""
+"""Grants over HTTP connections, and the resulting responses to callers."""
 
 from contextlib import asynccontextmanager
 from dataclasses import replace
@@ -65,7 +65,7 @@
 
 
 def make_request(serial: int = 1, *, key: str = "") -> Request:
-    """Build a request that waits for placement."""
+    """Build a request."""
     now = anyio.current_time()
     return Request(
         request_id=RequestId("r1", 1, serial),
@@ -101,14 +101,14 @@
 
 
 class OneGrantMachine:
-    """Grants each request once, or claims its key first, and notes all events."""
+    """Grants each request once, or claims its key, and records all events."""
 
     def __init__(self) -> None:
         self.events: list[object] = []
         self.draining = False
 
     def handle(self, event, now: float) -> list:
-        """Return the actions that follow."""
+        """Return the actions for an event."""
         if not isinstance(event, Tick):
             self.events.append(event)
         match event:
@@ -140,7 +140,7 @@
 
 
 class FakeRecords:
-    """Answers claims as told."""
+    """Returns a configured result for each claim."""
 
     def __init__(self, result=None) -> None:
         self.result = result or Claimed()
@@ -156,7 +156,7 @@
         """Do nothing."""
 
     def complete(self, request, status, answer) -> None:
-        """Note the answer."""
+        """Record the status and response."""
         self.completed.append((status, answer))
 
     def forget(self, request_id) -> None:
@@ -164,7 +164,7 @@
 
 
 class Sink:
-    """Collects an answer; goes away at the first piece if told so."""
+    """Collects a response; ``leaves`` disconnects it at the first chunk."""
 
     def __init__(self, *, leaves: bool = False) -> None:
         self.leaves = leaves
@@ -174,19 +174,19 @@
         self.got_chunk = anyio.Event()
 
     async def start(self, status, headers, agent) -> None:
-        """Note the status."""
+        """Record the status and headers."""
         self.status = status
         self.headers = dict(headers)
 
     async def chunk(self, body: bytes) -> None:
-        """Note a piece."""
+        """Record a chunk."""
         if self.leaves:
             raise CallerDisconnectedError
         self.body += body
         self.got_chunk.set()
 
     def try_chunk(self, body: bytes) -> bool:
-        """Leave each piece to `chunk`."""
+        """Decline, so that each chunk goes to `chunk`."""
         return False
 
 
@@ -227,7 +227,7 @@
 
 class TestGrants:
     async def test_whole_answer(self):
-        """The grant is sealed with the body's digest; the answer passes unchanged."""
+        """The grant contains the body's digest; the response is relayed unchanged."""
         seen = []
 
         async def dispatch(scope, receive, send):
@@ -249,7 +249,7 @@
         assert machine.kinds() == [AnswerStarted, AnswerComplete]
 
     async def test_refusal(self):
-        """The agent's refusal is passed to the state machine with its time."""
+        """The agent's refusal reaches the state machine with its retry-after time."""
 
         async def dispatch(scope, receive, send):
             headers = {"berylwalk-refused": "no-slot"}
@@ -264,8 +264,8 @@
         ("status", "headers"),
         [(503, {}), (409, {}), (409, {"berylwalk-refused": "other"}), (200, {})],
     )
-    async def test_answer_that_proves_nothing(self, status, headers):
-        """Without the agent's word the request may have run."""
+    async def test_response_without_proof(self, status, headers):
+        """A response that is no valid refusal does not prove that nothing ran."""
 
         async def dispatch(scope, receive, send):
             await send_json(send, status, {}, headers)
@@ -275,14 +275,14 @@
         assert machine.events[1] == GrantLost(RequestId("r1", 1, 1), 1, started=False)
         assert not final.started
 
-    async def test_nobody_listens(self):
+    async def test_refused_connection(self):
         """A refused connection proves that the grant was not sent."""
         async with running_shell() as (shell, machine):
             await shell.submit(make_request(), Sink())
         assert machine.kinds() == [GrantNotSent]
 
-    async def test_broken_answer(self):
-        """A stream without its end is never taken for a whole answer."""
+    async def test_truncated_response(self):
+        """A truncated stream does not count as a complete response."""
 
         async def dispatch(scope, receive, send):
             await send_start(send, 200, [DISPATCHED])
@@ -310,7 +310,7 @@
 
 class TestCallers:
     async def test_sink_that_fails(self):
-        """A caller that left closes the agent's connection and ends the request."""
+        """A disconnected caller closes the agent's connection and ends the request."""
 
         async def dispatch(scope, receive, send):
             await send_start(send, 200, [DISPATCHED])
@@ -324,7 +324,7 @@
         assert final.outcome is Outcome.UNKNOWN
 
     async def test_cancelled_submit(self):
-        """Cancelling withdraws the request, and the sink is left alone."""
+        """Cancelling withdraws the request, and the sink gets no further chunks."""
 
         async def dispatch(scope, receive, send):
             await send_start(send, 200, [DISPATCHED])
@@ -345,7 +345,7 @@
         assert machine.kinds()[-1] is CallerGone
 
     async def test_fault_in_the_machine_ends_only_its_request(self):
-        """An error while handling an event leaves no caller waiting."""
+        """An error while handling an event does not leave the caller waiting."""
         async with running_shell() as (shell, machine):
 
             def fail(event, now):
@@ -357,8 +357,8 @@
 
 
 class TestKeys:
-    async def test_repeat_gets_the_kept_answer(self):
-        """The answer of the first request is told as complete, and marked."""
+    async def test_repeat_gets_the_stored_response(self):
+        """The stored response is replayed as complete, with the replay marker."""
         refusal = Refusal(RefusalReason.KEY_IN_USE)
         records = FakeRecords(ClaimRefused(refusal, STORED))
         sink = Sink()
@@ -378,7 +378,7 @@
         ],
     )
     async def test_metrics_count_what_the_caller_is_told(self, reason, outcome):
-        """A key of another request does not count as a request that did not run."""
+        """A key held by another request is not counted as not-run."""
         records = FakeRecords(ClaimRefused(Refusal(reason)))
         metrics = RouterMetrics.create()
         async with running_shell(records=records, metrics=metrics) as (shell, _):
@@ -388,7 +388,7 @@
         assert f'{name}{{outcome="{outcome}",tier="counter"}} 1.0' in text
         assert 'outcome="not-run"' not in text
 
-    async def test_fault_of_a_claim_refuses(self):
+    async def test_error_while_claiming_refuses(self):
         """An error while claiming does not leave the request waiting."""
         records = FakeRecords(RuntimeError("fault"))
         async with running_shell(records=records) as (shell, _):
@@ -397,8 +397,8 @@
 
 
 class TestDrain:
-    async def test_waits_for_running_answers(self):
-        """A graceful shutdown cuts off nothing."""
+    async def test_waits_for_running_responses(self):
+        """A drain does not truncate running responses."""
         may_end = anyio.Event()
 
         async def dispatch(scope, receive, send):
--- a/libs/router/tests/test_router_subsets.py
+++ b/libs/router/tests/test_router_subsets.py
@@ -1,4 +1,4 @@
-"""The router's choice of agents in fleets larger than its subset."""
+"""Subsets of agents in fleets larger than the subset size."""
 
 from random import Random
 
@@ -32,7 +32,7 @@
 
 
 class Fleet:
-    """A router and many agents that answer its heartbeats."""
+    """A router and many simulated agents that respond to its heartbeats."""
 
     def __init__(self, agents, models, *, subset_size=16):
         config = RouterConfig("r1", 1, subset_size=subset_size)
@@ -48,21 +48,21 @@
         self.feed(AgentsListed(tuple(self.model_by_agent)))
 
     def feed(self, event):
-        """Hand an event to the machine; agents answer at once."""
+        """Feed an event to the machine; agents respond immediately."""
         for action in self.machine.handle(event, self.now):
             self.actions.append(action)
             if isinstance(action, SendToAgent):
                 self.answer(action)
 
     def answer(self, action):
-        """Answer a heartbeat, unless the agent is silent."""
+        """Respond to a heartbeat, unless the agent is silent."""
         hellos = [m for m in action.messages if isinstance(m, Hello)]
         self.hellos += [(self.now, action.agent, hello) for hello in hellos]
         if hellos and action.agent not in self.silent:
             self.digest(action.agent)
 
     def digest(self, agent):
-        """Deliver a digest."""
+        """Deliver a digest of an agent."""
         self.serial += 1
         resources = (self.model_by_agent[agent],)
         digest = Digest(
@@ -71,13 +71,13 @@
         self.feed(DatagramArrived(Datagram(agent, 1, 1, (digest,))))
 
     def advance(self, seconds):
-        """Let time pass."""
+        """Advance the clock, with a tick per step."""
         for _ in range(round(seconds / STEP_S)):
             self.now += STEP_S
             self.feed(Tick())
 
     def arrive(self, model):
-        """Submit a request; return the grant's agent, or None."""
+        """Submit a request; return the action that issues its grant, or None."""
         self.serial += 1
         request = Request(
             request_id=RequestId("r1", 1, self.serial),
@@ -94,7 +94,7 @@
         return grants[0] if grants else None
 
     def hellos_per_s(self, seconds):
-        """Return the mean number of heartbeats sent in a second."""
+        """Return the mean number of heartbeats sent per second."""
         before = len(self.hellos)
         self.advance(seconds)
         return (len(self.hellos) - before) / seconds
@@ -102,7 +102,7 @@
 
 class TestEveryResource:
     def test_each_model_of_a_large_fleet_is_served(self):
-        """A router finds an agent for each model, however many agents there are."""
+        """Guards against a model without an agent in the subsets of a large fleet."""
         fleet = Fleet(200, 20)
         fleet.advance(10.0)
         placed = [fleet.arrive(f"m{i}") for i in range(20)]
@@ -110,14 +110,14 @@
         for number, action in enumerate(placed):
             assert fleet.model_by_agent[action.agent] == f"model:m{number}"
 
-    def test_a_model_beyond_the_room_for_heartbeats_is_found_on_demand(self):
-        """With more models than heartbeats, those that are asked for come first."""
+    def test_model_beyond_the_heartbeat_limit_is_found_on_demand(self):
+        """Models that requests need take precedence if not all fit the subsets."""
         fleet = Fleet(400, 200)
         fleet.advance(10.0)
         assert all(fleet.arrive(f"m{i}") for i in range(0, 200, 7))
 
     def test_a_model_that_appears_later_is_found(self):
-        """The survey of all agents learns what an agent serves by now."""
+        """Probes detect changed resources of agents outside the subset."""
         fleet = Fleet(60, 2, subset_size=4)
         fleet.advance(10.0)
         assert fleet.arrive("new") is None
@@ -128,7 +128,7 @@
 
 class TestFailures:
     def test_silent_agents_are_replaced(self):
-        """When all agents of a model's subset fall silent, others take over."""
+        """Other agents replace the subset of a model if all its agents fail."""
         fleet = Fleet(200, 20)
         fleet.advance(10.0)
         used = {fleet.arrive("m3").agent for _ in range(8)}
@@ -138,7 +138,7 @@
         assert action.agent not in used
 
     def test_an_agent_with_a_grant_keeps_its_heartbeats(self):
-        """A request is not given up because its agent left the subset."""
+        """A granted request is not abandoned when its agent leaves the subset."""
         fleet = Fleet(200, 1, subset_size=2)
         fleet.advance(10.0)
         action = fleet.arrive("m0")
@@ -156,13 +156,13 @@
 class TestBounds:
     @pytest.mark.parametrize("agents", [500, 2000])
     def test_heartbeats_do_not_grow_with_the_fleet(self, agents):
-        """Heartbeats stay within a bound at any number of agents."""
+        """The heartbeat rate is bounded for any number of agents."""
         fleet = Fleet(agents, 28)
         fleet.advance(agents / 70)
         assert fleet.hellos_per_s(10.0) <= 60
 
-    def test_the_survey_asks_for_no_digests(self):
-        """An agent outside the subset is not asked to send digests of its own."""
+    def test_probes_request_no_unsolicited_digests(self):
+        """Agents outside the subset are not asked to send unsolicited digests."""
         fleet = Fleet(200, 1, subset_size=2)
         fleet.advance(10.0)
         fleet.hellos.clear()
--- a/libs/router/tests/test_router_ticks.py
+++ b/libs/router/tests/test_router_ticks.py
@@ -1,4 +1,4 @@
-"""When the router's shell tells its state machine of the time."""
+"""Timing of the ticks that the router's shell sends to its state machine."""
 
 from math import inf
 
@@ -34,7 +34,7 @@
 @pytest.mark.anyio
 class TestTicks:
     async def test_a_new_timer_ends_an_idle_wait(self, monkeypatch):
-        """A timer that is set while nothing was due is not late."""
+        """A timer that is set during an idle wait is not delayed."""
         monkeypatch.setattr(shell_module, "IDLE_TICK_S", NO_IDLE_TICK_S)
         machine = TimedMachine()
         shell = RouterShell(
