--- a/libs/router/src/berylwalk/router/_control.py
+++ b/libs/router/src/berylwalk/router/_control.py
@@ -105,9 +105,9 @@
     async def run_receiver(self) -> None:
         """Handle datagrams until the endpoint is closed."""
         async for received in self._endpoint:
-            self.handle_received(received)
+            self.handle_datagram(received)
 
-    def handle_received(self, received: ReceivedDatagram) -> None:
+    def handle_datagram(self, received: ReceivedDatagram) -> None:
         """Handle one received datagram."""
         datagram = decode_datagram(received.payload)
         if datagram is None or datagram.sender == self._router:
--- a/libs/router/src/berylwalk/router/_core.py
+++ b/libs/router/src/berylwalk/router/_core.py
@@ -45,7 +45,7 @@
         self.history = PlacementHistory()
         self.choose = chooser or self._policy_chooser()
         self.agents = AgentTable(config.router, config.subset_size)
-        self.budget = RetryBudget(config.retry_ratio)
+        self.retry_budget = RetryBudget(config.retry_ratio)
         self.timers = Timers()
         # Heartbeats and scans tolerate the delay of an idle tick and cause no
         # wake-ups.
--- a/libs/router/src/berylwalk/router/_ending.py
+++ b/libs/router/src/berylwalk/router/_ending.py
@@ -53,7 +53,7 @@
     """End a request whose whole response arrived."""
     grant = state.grant
     assert grant is not None
-    core.budget.record_success()
+    core.retry_budget.record_success()
     answer = FinalResponse(Outcome.COMPLETE, started=True, agent=grant.agent)
     _end(core, state, answer)
 
--- a/libs/router/src/berylwalk/router/_placing.py
+++ b/libs/router/src/berylwalk/router/_placing.py
@@ -96,7 +96,7 @@
     """
     request_id = state.request.request_id
     state.retry_pending = True
-    if core.budget.take():
+    if core.retry_budget.take():
         # Bounding the exponent avoids a float overflow.
         bound = INITIAL_RETRY_JITTER_S * 2 ** min(state.retries, 10)
         delay = core.rng.uniform(0.0, min(bound, MAX_RETRY_JITTER_S))
