--- a/libs/cli/src/berylwalk/cli/_replaying.py
+++ b/libs/cli/src/berylwalk/cli/_replaying.py
@@ -58,10 +58,10 @@
 def _runs(
     path: Path, changes: dict[str, float], seeds: int
 ) -> list[dict[str, "Measures"]]:
-    from berylwalk.replay import measure, read_scenario, run, settings_changed
+    from berylwalk.replay import measure, override_settings, read_scenario, run
 
     scenario = read_scenario(path)
-    with settings_changed(changes):
+    with override_settings(changes):
         return [measure(run(scenario, seed=seed)) for seed in range(1, seeds + 1)]
 
 
--- a/libs/direct/tests/virtual_store.py
+++ b/libs/direct/tests/virtual_store.py
@@ -40,7 +40,7 @@
         """Return the decoded body."""
         return decode(self.body or b"{}")
 
-    def gone(self):
+    def is_disconnected(self):
         """Return whether the caller has closed the connection."""
         return self.transport.is_closing()
 
@@ -48,7 +48,7 @@
         """Abort the connection."""
         self.transport.abort()
 
-    async def answer_json(self, status, value):
+    async def respond_json(self, status, value):
         """Keep the response until it is delivered."""
         self.status, self.answer = status, encode(value)
 
@@ -120,7 +120,7 @@
         if self.is_down:
             self._lose(call)
             return
-        await self._metadata.answer(call)
+        await self._metadata.handle(call)
         delay_s = self.fate(call)
         if self.is_down or delay_s is None or call.transport in self._dead:
             self._lose(call)
--- a/libs/localfleet/src/berylwalk/localfleet/_fleet.py
+++ b/libs/localfleet/src/berylwalk/localfleet/_fleet.py
@@ -100,7 +100,7 @@
         for name in started:
             self.processes_by_name[name].thaw()
             self.processes_by_name[name].terminate()
-        return {name: self.processes_by_name[name].wait_ended() for name in started}
+        return {name: self.processes_by_name[name].wait_for_exit() for name in started}
 
     def daemon_names(self) -> list[str]:
         """Return the process names of the routers and agents."""
--- a/libs/localfleet/src/berylwalk/localfleet/_processes.py
+++ b/libs/localfleet/src/berylwalk/localfleet/_processes.py
@@ -79,9 +79,9 @@
         """End the process, gracefully at first, and return its exit code."""
         self.thaw()
         self.terminate()
-        return self.wait_ended()
+        return self.wait_for_exit()
 
-    def wait_ended(self) -> int:
+    def wait_for_exit(self) -> int:
         """Wait for the end after `terminate`; return the exit code.
 
         A process that has not ended within `STOP_TIMEOUT_S` is killed.
--- a/libs/replay/src/berylwalk/replay/__init__.py
+++ b/libs/replay/src/berylwalk/replay/__init__.py
@@ -1,7 +1,7 @@
 """Replays loads in virtual time on the decisions of the direct router."""
 
 from berylwalk.replay._measures import Measures, measure
-from berylwalk.replay._mechanisms import MECHANISMS, settings_changed
+from berylwalk.replay._mechanisms import MECHANISMS, override_settings
 from berylwalk.replay._outcome import Outcome
 from berylwalk.replay._scenario import (
     Crash,
@@ -28,8 +28,8 @@
     "ScenarioError",
     "Surge",
     "measure",
+    "override_settings",
     "read_scenario",
     "run",
-    "settings_changed",
     "standard_scenarios",
 ]
--- a/libs/replay/src/berylwalk/replay/_engine.py
+++ b/libs/replay/src/berylwalk/replay/_engine.py
@@ -130,9 +130,9 @@
     def _write(self, sequence: Sequence) -> None:
         stride = self._kind.event_tokens
         sequence.written_tokens += 1
-        is_whole = sequence.written_tokens >= sequence.output_tokens
-        if sequence.written_tokens % stride == 1 or is_whole or stride == 1:
+        is_complete = sequence.written_tokens >= sequence.output_tokens
+        if sequence.written_tokens % stride == 1 or is_complete or stride == 1:
             sequence.on_events(1)
-        if is_whole:
+        if is_complete:
             self._running.remove(sequence)
             sequence.on_end(True)
--- a/libs/replay/src/berylwalk/replay/_measures.py
+++ b/libs/replay/src/berylwalk/replay/_measures.py
@@ -52,7 +52,7 @@
 
 
 def _measures(outcomes: Sequence[Outcome]) -> Measures:
-    whole = [each for each in outcomes if each.is_whole]
+    whole = [each for each in outcomes if each.is_complete]
     in_time = [each for each in whole if each.is_in_time]
     paused = [
         each
@@ -60,7 +60,7 @@
         if not each.is_in_time and each.first_event_s <= each.kind.objective_s
     ]
     refused = [
-        each for each in outcomes if not each.is_whole and each.first_event_s is None
+        each for each in outcomes if not each.is_complete and each.first_event_s is None
     ]
     count = max(1, len(outcomes))
     return Measures(
--- a/libs/replay/src/berylwalk/replay/_mechanisms.py
+++ b/libs/replay/src/berylwalk/replay/_mechanisms.py
@@ -21,7 +21,7 @@
 
 
 @contextmanager
-def settings_changed(changes: dict[str, float]) -> Iterator[None]:
+def override_settings(changes: dict[str, float]) -> Iterator[None]:
     """Change settings of the decisions while the context lasts.
 
     Parameters
--- a/libs/replay/src/berylwalk/replay/_outcome.py
+++ b/libs/replay/src/berylwalk/replay/_outcome.py
@@ -22,7 +22,7 @@
         Times that it was refused.
     engine : int or None
         Number of the engine that brought the first event.
-    is_whole : bool
+    is_complete : bool
         Whether the answer came to its end.
     """
 
@@ -35,13 +35,13 @@
     waited_s: float = 0.0
     refusals: int = 0
     engine: int | None = None
-    is_whole: bool = False
+    is_complete: bool = False
 
     @property
     def is_in_time(self) -> bool:
         """Whether it was served as its objective asks."""
         return (
-            self.is_whole
+            self.is_complete
             and self.first_event_s <= self.kind.objective_s
             and self.longest_pause_s <= self.kind.longest_pause_s
         )
--- a/libs/replay/src/berylwalk/replay/_virtual_router.py
+++ b/libs/replay/src/berylwalk/replay/_virtual_router.py
@@ -250,7 +250,7 @@
             self.target.note_slot_time(self.now - self.first_at)
             too_long = outcome.longest_pause_s > outcome.kind.longest_pause_s
             self.target.note_paused(too_long)
-            outcome.is_whole = True
+            outcome.is_complete = True
         elif not by_caller:
             self.target.note_error()
             self.target.note_unreachable(self.now)
--- a/libs/replay/tests/test_replay_model.py
+++ b/libs/replay/tests/test_replay_model.py
@@ -11,9 +11,9 @@
     ScenarioError,
     Surge,
     measure,
+    override_settings,
     read_scenario,
     run,
-    settings_changed,
     standard_scenarios,
 )
 
@@ -104,10 +104,10 @@
         from berylwalk.dispatch import _concurrency_limits
 
         former = _concurrency_limits.RESERVED_REQUESTS
-        with settings_changed({"_concurrency_limits.RESERVED_REQUESTS": former + 1}):
+        with override_settings({"_concurrency_limits.RESERVED_REQUESTS": former + 1}):
             assert former + 1 == _concurrency_limits.RESERVED_REQUESTS
         assert former == _concurrency_limits.RESERVED_REQUESTS
 
     def test_unknown_setting_is_an_error(self):
-        with pytest.raises(AttributeError), settings_changed({"_placement.NONE": 1}):
+        with pytest.raises(AttributeError), override_settings({"_placement.NONE": 1}):
             pass
--- a/libs/replay/tests/test_replay_policy.py
+++ b/libs/replay/tests/test_replay_policy.py
@@ -10,9 +10,9 @@
 from berylwalk.replay import (
     MECHANISMS,
     measure,
+    override_settings,
     read_scenario,
     run,
-    settings_changed,
     standard_scenarios,
 )
 
@@ -23,7 +23,7 @@
     """Return the mean of a measure over the seeds."""
     scenario = read_scenario(standard_scenarios()[scenario_name])
     values = []
-    with settings_changed(MECHANISMS[without] if without else {}):
+    with override_settings(MECHANISMS[without] if without else {}):
         for seed in SEEDS:
             measures = measure(run(scenario, seed=seed))[kind]
             values.append(getattr(measures, measure_name))
--- a/libs/standins/src/berylwalk/standins/_answers.py
+++ b/libs/standins/src/berylwalk/standins/_answers.py
@@ -62,7 +62,7 @@
             request.prompt_text(),
             request.output_tokens(),
             on_progress=self._on_progress,
-            is_gone=exchange.gone,
+            is_gone=exchange.is_disconnected,
         )
 
     async def send(self) -> None:
@@ -99,7 +99,7 @@
                 return
         tokens = answer_tokens(self._digest, 0, self.sequence.max_tokens)
         answer = self._format.whole("".join(tokens), self._usage())
-        await self._exchange.answer_json(200, answer)
+        await self._exchange.respond_json(200, answer)
 
     async def _wait_for_tokens(self, count: int) -> None:
         sequence = self.sequence
@@ -112,7 +112,7 @@
         limit = self._break_after()
         if limit and self.sequence.tokens_done >= limit:
             await self._exchange.abort()
-        return self.sequence.cancelled or self._exchange.gone()
+        return self.sequence.cancelled or self._exchange.is_disconnected()
 
     def _on_progress(self) -> None:
         if self.sequence.tokens_done >= self._wake_at or self.sequence.cancelled:
--- a/libs/standins/src/berylwalk/standins/_metadata_store.py
+++ b/libs/standins/src/berylwalk/standins/_metadata_store.py
@@ -82,7 +82,7 @@
         self._changed.set()
         self._changed = Event()
 
-    async def answer(self, exchange: Exchange) -> None:
+    async def handle(self, exchange: Exchange) -> None:
         """Answer one call."""
         self._store.expire(self._clock())
         try:
@@ -96,7 +96,7 @@
         if status is None:
             await exchange.abort()
         else:
-            await exchange.answer_json(status, body)
+            await exchange.respond_json(status, body)
 
     async def _answer(self, exchange: Exchange) -> tuple[int | None, Json]:
         call, _, number = exchange.path[1:].partition("/")
@@ -149,7 +149,7 @@
             changed = self._changed
             changes = self._store.changes_since(after + 1, *bounds)
             left_s = ends_at - self._clock()
-            if changes or left_s <= 0 or exchange.gone():
+            if changes or left_s <= 0 or exchange.is_disconnected():
                 events = [item_json(entry) for entry in changes]
                 return 200, {"events": events, "store-revision": self._store.revision}
             with move_on_after(min(left_s, WATCH_IDLE_S)):
--- a/libs/standins/src/berylwalk/standins/_orders.py
+++ b/libs/standins/src/berylwalk/standins/_orders.py
@@ -81,26 +81,26 @@
     async def handle(self, exchange: Exchange) -> None:
         """Carry an order out, or refuse it."""
         if exchange.path == "/admin/role" and exchange.method == "GET":
-            await exchange.answer_json(200, {"role": self.role})
+            await exchange.respond_json(200, {"role": self.role})
             return
         if exchange.path not in ORDER_PATHS:
-            await exchange.answer_json(404, {"error": {"message": "no such path"}})
+            await exchange.respond_json(404, {"error": {"message": "no such path"}})
             return
         try:
             token = int(exchange.headers.get(FENCING_HEADER, NO_TOKEN))
             body = await exchange.json()
         except (DecodeError, ValueError) as error:
-            await exchange.answer_json(400, {"error": {"message": str(error)}})
+            await exchange.respond_json(400, {"error": {"message": str(error)}})
             return
         accepted = self._accept(token)
         self.received.append(ReceivedOrder(exchange.path, token, accepted))
         if not accepted:
             message = f"fencing token {token} is older than {self.highest_token}"
-            await exchange.answer_json(409, {"error": {"message": message}})
+            await exchange.respond_json(409, {"error": {"message": message}})
             return
         await sleep(self._load_s)
         status = self._carry_out(exchange.path, body)
-        await exchange.answer_json(status, {"role": self.role})
+        await exchange.respond_json(status, {"role": self.role})
 
     def _accept(self, token: int) -> bool:
         if self._check_fencing and (token < 0 or token < self.highest_token):
--- a/libs/standins/src/berylwalk/standins/_serving.py
+++ b/libs/standins/src/berylwalk/standins/_serving.py
@@ -99,7 +99,7 @@
         """Send a part of the body."""
         await self.send({"type": "http.response.body", "body": data, "more_body": more})
 
-    async def answer(
+    async def respond(
         self,
         status: int,
         body: bytes,
@@ -114,13 +114,13 @@
         await self.start(status, content_type, {**length, **(headers or {})})
         await self.write(body, more=False)
 
-    async def answer_json(
+    async def respond_json(
         self, status: int, value: object, headers: Mapping[str, str] | None = None
     ) -> None:
         """Send a whole answer in JSON."""
-        await self.answer(status, encode(value), "application/json", headers)
+        await self.respond(status, encode(value), "application/json", headers)
 
-    def gone(self) -> bool:
+    def is_disconnected(self) -> bool:
         """Return whether the connection is closed."""
         return self._transport().is_closing()
 
@@ -149,7 +149,7 @@
         except get_cancelled_exc_class():
             # Cancelled by ``serving`` with its connection: nothing is left to
             # be told, and uvicorn would log it as an error.
-            if not exchange.gone():
+            if not exchange.is_disconnected():
                 raise
 
     return app
--- a/libs/standins/src/berylwalk/standins/_statements.py
+++ b/libs/standins/src/berylwalk/standins/_statements.py
@@ -70,6 +70,6 @@
             return
         await exchange.body()
         asks = {NOT_RUN_HEADER: "1", REST_HEADER: f"{statements.rest_s:g}"}
-        await exchange.answer_json(503, {"error": "at rest"}, asks)
+        await exchange.respond_json(503, {"error": "at rest"}, asks)
 
     return handle_and_state
--- a/libs/standins/src/berylwalk/standins/_weights.py
+++ b/libs/standins/src/berylwalk/standins/_weights.py
@@ -32,9 +32,9 @@
         wait_s = self._next_at - now
         if wait_s > 0:
             headers = {"retry-after": str(ceil(wait_s))}
-            await exchange.answer_json(429, {"message": "rate limited"}, headers)
+            await exchange.respond_json(429, {"message": "rate limited"}, headers)
             return
         self._next_at = now + self._interval_s
         name = exchange.path.removeprefix(WEIGHTS_PREFIX).encode() or b"-"
         content = (name * (self._size // len(name) + 1))[: self._size]
-        await exchange.answer(200, content, "application/octet-stream")
+        await exchange.respond(200, content, "application/octet-stream")
--- a/libs/standins/src/berylwalk/standins/engine.py
+++ b/libs/standins/src/berylwalk/standins/engine.py
@@ -134,17 +134,17 @@
             case "/v1/chat/completions" | "/v1/completions":
                 await self._complete(exchange)
             case "/v1/models":
-                await exchange.answer_json(200, self.orders.models())
+                await exchange.respond_json(200, self.orders.models())
             case "/metrics":
                 await self._metrics(exchange)
             case "/health":
-                await exchange.answer_json(200, {})
+                await exchange.respond_json(200, {})
             case "/control/faults":
                 await self._set_faults(exchange)
             case "/control/seen":
-                await exchange.answer_json(200, self.seen())
+                await exchange.respond_json(200, self.seen())
             case "/control/prefills":
-                await exchange.answer_json(200, list(self.batching.prefills))
+                await exchange.respond_json(200, list(self.batching.prefills))
             case _:
                 await self.orders.handle(exchange)
 
@@ -163,7 +163,7 @@
     async def _set_faults(self, exchange: Exchange) -> None:
         self.faults = convert(await exchange.json(), EngineFaults)
         self._wake()
-        await exchange.answer_json(200, self.faults)
+        await exchange.respond_json(200, self.faults)
 
     async def _complete(self, exchange: Exchange) -> None:
         request_id = exchange.headers.get(REQUEST_ID_HEADER)
@@ -204,7 +204,7 @@
             lines.append(f"# TYPE {name} gauge")
             lines.append(f"{name}{label} {float(value)}")
         text = "\n".join(lines) + "\n"
-        await exchange.answer(200, text.encode(), "text/plain; version=0.0.4")
+        await exchange.respond(200, text.encode(), "text/plain; version=0.0.4")
 
     def _record_load(self) -> None:
         batching = self.batching
@@ -220,7 +220,7 @@
 
 async def _answer_error(exchange: Exchange, status: int, message: str) -> None:
     error = {"message": message, "type": "invalid_request_error", "code": status}
-    await exchange.answer_json(status, {"error": error})
+    await exchange.respond_json(status, {"error": error})
 
 
 def main() -> None:
--- a/libs/standins/src/berylwalk/standins/platform.py
+++ b/libs/standins/src/berylwalk/standins/platform.py
@@ -126,15 +126,15 @@
             await exchange.abort()
         elif exchange.path == "/v1/vms":
             vms = self._vms.read(monotonic())
-            await exchange.answer_json(200, {"vms": vms})
+            await exchange.respond_json(200, {"vms": vms})
         elif exchange.path.startswith(WEIGHTS_PREFIX):
             await self._weights.handle(exchange)
         elif exchange.path == TRANSACTION_PATH:
             await self._write(exchange)
         elif exchange.path.startswith(PATH_PREFIX):
-            await self._metadata.answer(exchange)
+            await self._metadata.handle(exchange)
         else:
-            await exchange.answer_json(404, {"message": "no such path"})
+            await exchange.respond_json(404, {"message": "no such path"})
 
     async def _control(self, exchange: Exchange) -> None:
         body = await exchange.json()
@@ -142,17 +142,17 @@
             case "/control/faults" if exchange.method == "POST":
                 self.faults = convert(body, PlatformFaults)
                 self._metadata.wake()
-                await exchange.answer_json(200, self.faults)
+                await exchange.respond_json(200, self.faults)
             case "/control/vms" if exchange.method == "POST":
                 self._set_vms(body)
-                await exchange.answer_json(200, {})
+                await exchange.respond_json(200, {})
             case "/control/compact" if exchange.method == "POST":
                 self.store.compact()
-                await exchange.answer_json(200, {})
+                await exchange.respond_json(200, {})
             case "/control/counts":
-                await exchange.answer_json(200, dict(self.counts))
+                await exchange.respond_json(200, dict(self.counts))
             case _:
-                await exchange.answer_json(404, {"message": "no such path"})
+                await exchange.respond_json(404, {"message": "no such path"})
 
     def _set_vms(self, body: dict[str, Any]) -> None:
         if "vm_list_lag_s" in body:
@@ -168,9 +168,9 @@
         elif self.faults.lose_answers > 0:
             self.faults.lose_answers -= 1
             exchange.drop_answer = True
-            await self._metadata.answer(exchange)
+            await self._metadata.handle(exchange)
         else:
-            await self._metadata.answer(exchange)
+            await self._metadata.handle(exchange)
 
 
 def main() -> None:
--- a/libs/standins/src/berylwalk/standins/service.py
+++ b/libs/standins/src/berylwalk/standins/service.py
@@ -63,7 +63,7 @@
             "request_id": request_id,
             "count": count,
         }
-        await exchange.answer_json(200, answer)
+        await exchange.respond_json(200, answer)
 
     async def _answer_seen(self, exchange: Exchange) -> None:
         seen = {
@@ -72,7 +72,7 @@
             "started": self.count,
             "completed": self.completed,
         }
-        await exchange.answer_json(200, seen)
+        await exchange.respond_json(200, seen)
 
 
 def _slow_s(exchange: Exchange) -> float:
--- a/tests/processes/test_processes_agents.py
+++ b/tests/processes/test_processes_agents.py
@@ -108,7 +108,7 @@
         process.terminate()
         answers = fleet.results(calls)
         assert ends(answers) == {AnswerEnd.WHOLE: LOAD}
-        assert process.wait_ended() == 0
+        assert process.wait_for_exit() == 0
         fleet.restart(victim)
 
 
--- a/tests/processes/test_processes_routers.py
+++ b/tests/processes/test_processes_routers.py
@@ -60,7 +60,7 @@
         late = fleet.chats(4, routers=(0,))
         ends = Counter(answer.end for answer in fleet.results(calls))
         assert ends == {AnswerEnd.WHOLE: LOAD}
-        assert process.wait_ended() == 0
+        assert process.wait_for_exit() == 0
         # The signal may be handled after a late call has arrived.
         late_ends = {answer.end for answer in fleet.results(late)}
         assert late_ends <= NOT_TAKEN | {AnswerEnd.WHOLE}
