--- a/libs/replay/src/berylwalk/replay/__init__.py
+++ b/libs/replay/src/berylwalk/replay/__init__.py
@@ -1,4 +1,4 @@
-"""Replays loads in virtual time on the decisions of the direct router."""
+"""Simulation of loads in virtual time with the scheduling code of the direct router."""
 
 from berylwalk.replay._measures import Measures, measure
 from berylwalk.replay._mechanisms import MECHANISMS, override_settings
--- a/libs/replay/src/berylwalk/replay/_engine.py
+++ b/libs/replay/src/berylwalk/replay/_engine.py
@@ -1,8 +1,8 @@
-"""An engine that batches continuously, in virtual time.
+"""Simulated model engine with continuous batching.
 
-Each step reads a chunk of the prompts that wait and writes one token of each answer,
-so that long prompts hold up the streams beside them. Requests beyond the slots wait in
-order of arrival. The memory for prompts has no bound, and nothing is cached.
+Each step prefills a chunk of the pending prompts and decodes one token of each running
+sequence, so that long prompts delay the other streams. Requests beyond the slots are
+queued in order of arrival. KV cache memory is unlimited, and prefixes are not cached.
 """
 
 from collections import deque
@@ -15,43 +15,44 @@
 
 @dataclass(slots=True, eq=False)
 class Sequence:
-    """One prompt and its answer.
+    """A prompt and its output.
 
     Parameters
     ----------
     prompt_tokens, output_tokens : int
-        Sizes.
+        Number of tokens of the prompt and of the output.
     on_events : callable
-        Called with a number of new events.
+        Called with the number of new stream events.
     on_end : callable
-        Called at the end; with False if the engine crashed.
+        Called with True when the output is complete, and with False when the engine
+        crashes.
     """
 
     prompt_tokens: int
     output_tokens: int
     on_events: Callable[[int], None]
     on_end: Callable[[bool], None]
-    read_tokens: int = 0
-    written_tokens: int = 0
+    prefilled_tokens: int = 0
+    decoded_tokens: int = 0
     cancelled: bool = False
 
     @property
-    def is_read(self) -> bool:
-        """Whether the prompt is read."""
-        return self.read_tokens >= self.prompt_tokens
+    def is_prefilled(self) -> bool:
+        """Whether the whole prompt is prefilled."""
+        return self.prefilled_tokens >= self.prompt_tokens
 
 
 class Engine:
-    """One engine.
+    """A simulated engine.
 
     Parameters
     ----------
     kind : EngineKind
-        Its make.
+        Capacity and step times.
     slowness : float
-        Its steps take so many times those of its make.
+        Factor by which the step times are multiplied.
     time : VirtualTime
-        When things happen.
+        Clock and scheduler of the simulation.
     """
 
     def __init__(self, kind: EngineKind, slowness: float, time: VirtualTime) -> None:
@@ -64,7 +65,7 @@
         self.is_up = True
 
     def submit(self, sequence: Sequence) -> bool:
-        """Take a sequence; False if the engine is down or its queue is full."""
+        """Queue a sequence; return False if the engine is down or its queue is full."""
         if not self.is_up or len(self._waiting) >= self._kind.queue:
             return False
         self._waiting.append(sequence)
@@ -73,21 +74,21 @@
         return True
 
     def cancel(self, sequence: Sequence) -> None:
-        """Give a sequence up at the next step."""
+        """Remove a sequence at the next step."""
         sequence.cancelled = True
 
     def crash(self) -> None:
-        """Break off all that runs or waits."""
+        """Stop, and end all running and queued sequences as failed."""
         self.is_up = False
-        broken = [*self._running, *self._waiting]
+        interrupted = [*self._running, *self._waiting]
         self._running.clear()
         self._waiting.clear()
-        for sequence in broken:
+        for sequence in interrupted:
             if not sequence.cancelled:
                 sequence.on_end(False)
 
     def recover(self) -> None:
-        """Take sequences again."""
+        """Accept sequences again after a crash."""
         self.is_up = True
 
     def _step(self) -> None:
@@ -99,39 +100,45 @@
         self._is_stepping = bool(self._running)
         if not self._is_stepping:
             return
-        writing = [each for each in self._running if each.is_read]
-        reading_s = self._read_chunk()
-        step_s = self._slowness * (self._kind.step_s + reading_s)
-        self._time.call_later(step_s, lambda: self._end_step(writing))
-
-    def _read_chunk(self) -> float:
-        """Read a chunk of the prompts in order; returns the time for it."""
-        left = self._kind.chunk_tokens
-        taken_s = 0.0
+        decoding = [each for each in self._running if each.is_prefilled]
+        prefill_s = self._prefill_chunk()
+        step_s = self._slowness * (self._kind.step_s + prefill_s)
+        self._time.call_later(step_s, lambda: self._end_step(decoding))
+
+    def _prefill_chunk(self) -> float:
+        """Prefill one chunk, in order of arrival; return its duration in seconds."""
+        remaining_tokens = self._kind.chunk_tokens
+        prefill_s = 0.0
         for sequence in self._running:
-            if left <= 0:
+            if remaining_tokens <= 0:
                 break
-            tokens = min(left, sequence.prompt_tokens - sequence.read_tokens)
+            tokens = min(
+                remaining_tokens, sequence.prompt_tokens - sequence.prefilled_tokens
+            )
             if tokens <= 0:
                 continue
-            before = sequence.read_tokens
+            before = sequence.prefilled_tokens
             pairs = tokens * (2 * before + tokens)
-            taken_s += tokens * self._kind.token_s + pairs * self._kind.pair_s
-            sequence.read_tokens += tokens
-            left -= tokens
-        return taken_s
+            prefill_s += tokens * self._kind.token_s + pairs * self._kind.pair_s
+            sequence.prefilled_tokens += tokens
+            remaining_tokens -= tokens
+        return prefill_s
 
-    def _end_step(self, writing: list[Sequence]) -> None:
-        for sequence in writing:
+    def _end_step(self, decoding: list[Sequence]) -> None:
+        for sequence in decoding:
             if sequence in self._running and not sequence.cancelled:
-                self._write(sequence)
+                self._decode_token(sequence)
         self._step()
 
-    def _write(self, sequence: Sequence) -> None:
-        stride = self._kind.event_tokens
-        sequence.written_tokens += 1
-        is_complete = sequence.written_tokens >= sequence.output_tokens
-        if sequence.written_tokens % stride == 1 or is_complete or stride == 1:
+    def _decode_token(self, sequence: Sequence) -> None:
+        event_tokens = self._kind.event_tokens
+        sequence.decoded_tokens += 1
+        is_complete = sequence.decoded_tokens >= sequence.output_tokens
+        if (
+            sequence.decoded_tokens % event_tokens == 1
+            or is_complete
+            or event_tokens == 1
+        ):
             sequence.on_events(1)
         if is_complete:
             self._running.remove(sequence)
--- a/libs/replay/src/berylwalk/replay/_measures.py
+++ b/libs/replay/src/berylwalk/replay/_measures.py
@@ -1,4 +1,4 @@
-"""What a replay shows."""
+"""Statistics over the requests of a replay."""
 
 from collections.abc import Sequence
 from dataclasses import dataclass
@@ -8,26 +8,36 @@
 from berylwalk.replay._outcome import Outcome
 
 WINDOW_S = 2.0
-"""Length of the spans of which the worst is told, in seconds."""
+"""Length of the windows that `Measures.worst_in_time` compares."""
 
 
 @dataclass(frozen=True, slots=True)
 class Measures:
-    """Shares of the requests of one kind, and times of those that were served.
+    """Results for the requests of one kind.
+
+    All values but ``requests`` and ``first_event_s`` are shares of all requests.
 
     Parameters
     ----------
     requests : int
-        How many were sent.
-    in_time, late, refused, refused_again, broken : float
-        Shares: served as the objective asks; served later or with a long pause;
-        never served after a refusal; refused twice; broken off or given up.
+        Number of requests.
+    in_time : float
+        Complete responses that met their latency objectives.
+    late : float
+        Complete responses that missed an objective.
     paused : float
-        Share that was late by a pause alone.
+        Complete responses that missed only the objective for pauses between events.
+    refused : float
+        Requests without any response event.
+    refused_again : float
+        Requests that were refused more than once.
+    broken : float
+        Responses that began but were not completed.
     worst_in_time : float
-        Share in time of the worst two seconds.
+        Lowest ``in_time`` of all windows of `WINDOW_S` seconds.
     first_event_s : float
-        Median time to a first event since the first sending, in seconds.
+        Median time from the first send to the first event of the complete responses,
+        in seconds.
     """
 
     requests: int
@@ -42,7 +52,7 @@
 
 
 def measure(outcomes: Sequence[Outcome]) -> dict[str, Measures]:
-    """Return the measures by kind of request; ``all`` holds those of all."""
+    """Return the results by kind of request, and those of all kinds as ``all``."""
     kinds = sorted({outcome.kind.name for outcome in outcomes})
     by_kind = {
         kind: _measures([each for each in outcomes if each.kind.name == kind])
@@ -52,11 +62,11 @@
 
 
 def _measures(outcomes: Sequence[Outcome]) -> Measures:
-    whole = [each for each in outcomes if each.is_complete]
-    in_time = [each for each in whole if each.is_in_time]
+    complete = [each for each in outcomes if each.is_complete]
+    in_time = [each for each in complete if each.is_in_time]
     paused = [
         each
-        for each in whole
+        for each in complete
         if not each.is_in_time and each.first_event_s <= each.kind.objective_s
     ]
     refused = [
@@ -66,22 +76,26 @@
     return Measures(
         requests=len(outcomes),
         in_time=len(in_time) / count,
-        late=(len(whole) - len(in_time)) / count,
+        late=(len(complete) - len(in_time)) / count,
         paused=len(paused) / count,
         refused=len(refused) / count,
         refused_again=sum(each.refusals > 1 for each in outcomes) / count,
-        broken=(len(outcomes) - len(whole) - len(refused)) / count,
-        worst_in_time=_worst(outcomes),
+        broken=(len(outcomes) - len(complete) - len(refused)) / count,
+        worst_in_time=_worst_window(outcomes),
         first_event_s=(
-            float(np.median([each.first_event_s for each in whole])) if whole else 0.0
+            float(np.median([each.first_event_s for each in complete]))
+            if complete
+            else 0.0
         ),
     )
 
 
-def _worst(outcomes: Sequence[Outcome]) -> float:
+def _worst_window(outcomes: Sequence[Outcome]) -> float:
     shares = []
-    spans = {int(each.sent_at // WINDOW_S) for each in outcomes}
-    for span in spans:
-        of_span = [each for each in outcomes if int(each.sent_at // WINDOW_S) == span]
-        shares.append(sum(each.is_in_time for each in of_span) / len(of_span))
+    windows = {int(each.sent_at // WINDOW_S) for each in outcomes}
+    for window in windows:
+        in_window = [
+            each for each in outcomes if int(each.sent_at // WINDOW_S) == window
+        ]
+        shares.append(sum(each.is_in_time for each in in_window) / len(in_window))
     return min(shares, default=1.0)
--- a/libs/replay/src/berylwalk/replay/_mechanisms.py
+++ b/libs/replay/src/berylwalk/replay/_mechanisms.py
@@ -1,4 +1,4 @@
-"""Mechanisms of the policy that a replay can do without, for tables of their worth."""
+"""Scheduling mechanisms that a replay can disable, for ablation studies."""
 
 from collections.abc import Iterator
 from contextlib import contextmanager
@@ -16,32 +16,33 @@
     "long-answers-to-fast-targets": {"_placement.TOO_SLOW_FACTOR": 1.0},
     "learned-starts": {"_first_event_model.SOLVE_INTERVAL": 1e9},
 }
-"""By name: settings, as module and name within `berylwalk.dispatch`, that switch a
-mechanism off. The programs that are deployed know nothing of them."""
+"""Constants of `berylwalk.dispatch`, as ``module.NAME``, and the values that disable
+each mechanism. Only replays change them."""
 
 
 @contextmanager
 def override_settings(changes: dict[str, float]) -> Iterator[None]:
-    """Change settings of the decisions while the context lasts.
+    """Override constants of `berylwalk.dispatch` within a ``with`` block.
 
     Parameters
     ----------
     changes : dict
-        New values by module and name, as in ``_concurrency_limits.RESERVED_REQUESTS``.
+        New values by ``module.NAME``, such as
+        ``_concurrency_limits.RESERVED_REQUESTS``.
 
     Raises
     ------
     AttributeError, ModuleNotFoundError
-        If there is no such setting.
+        If a constant or its module does not exist.
     """
-    former = []
+    previous = []
     try:
         for name, value in changes.items():
             module_name, _, attribute = name.partition(".")
             module = import_module(f"berylwalk.dispatch.{module_name}")
-            former.append((module, attribute, getattr(module, attribute)))
-            setattr(module, attribute, type(former[-1][2])(value))
+            previous.append((module, attribute, getattr(module, attribute)))
+            setattr(module, attribute, type(previous[-1][2])(value))
         yield
     finally:
-        for module, attribute, value in reversed(former):
+        for module, attribute, value in reversed(previous):
             setattr(module, attribute, value)
--- a/libs/replay/src/berylwalk/replay/_outcome.py
+++ b/libs/replay/src/berylwalk/replay/_outcome.py
@@ -1,4 +1,4 @@
-"""What became of one replayed request."""
+"""Result of one replayed request."""
 
 from dataclasses import dataclass
 
@@ -8,22 +8,26 @@
 
 @dataclass(slots=True, eq=False)
 class Outcome:
-    """One request and what became of it.
+    """A request and its result.
 
     Attributes
     ----------
     sent_at : float
-        When the caller first sent it, in seconds.
-    first_event_s, longest_pause_s : float or None, float
-        Since the first sending, and between events, in seconds.
+        Virtual time of the first send, in seconds.
+    first_event_s : float or None
+        Time from the first send to the first event, in seconds.
+    longest_pause_s : float
+        Longest time between two events, in seconds.
+    last_event_at : float
+        Virtual time of the last event, in seconds.
     waited_s : float
-        Time in the lines of routers, in seconds.
+        Total time in request queues of routers, in seconds.
     refusals : int
-        Times that it was refused.
+        Number of refusals.
     engine : int or None
-        Number of the engine that brought the first event.
+        Index of the engine that sent the first event.
     is_complete : bool
-        Whether the answer came to its end.
+        Whether the whole response was received.
     """
 
     kind: RequestKind
@@ -39,7 +43,7 @@
 
     @property
     def is_in_time(self) -> bool:
-        """Whether it was served as its objective asks."""
+        """Whether the response is complete and met both latency objectives."""
         return (
             self.is_complete
             and self.first_event_s <= self.kind.objective_s
--- a/libs/replay/src/berylwalk/replay/_scenario.py
+++ b/libs/replay/src/berylwalk/replay/_scenario.py
@@ -1,36 +1,37 @@
-"""What is replayed: engines, kinds of requests, load and troubles."""
+"""Scenario files: engines, kinds of requests, load, and faults."""
 
 import tomllib
 from pathlib import Path
 
 from msgspec import Struct, ValidationError, convert, field
 
-SCENARIOS = Path(__file__).parent / "scenarios"
-"""Folder of the standard scenarios."""
+SCENARIOS_DIRECTORY = Path(__file__).parent / "scenarios"
 
 
 class ScenarioError(Exception):
-    """A scenario file is not as it should be; the text names the place."""
+    """A scenario file is invalid; the message has the path of the invalid field."""
 
 
 class EngineKind(Struct, forbid_unknown_fields=True, kw_only=True):
-    """A make of engines.
+    """Capacity and speed of an engine.
 
     Parameters
     ----------
-    slots, queue : int
-        Requests that run at a time, and that may wait besides.
+    slots : int
+        Maximum number of concurrently running requests.
+    queue : int
+        Maximum number of queued requests.
     step_s : float
-        Time of a step without reading, in seconds.
+        Duration of a step without prefill, in seconds.
     token_s, pair_s : float
-        Time for reading a token, and for each pair of tokens of one prompt, in
-        seconds.
+        Prefill time per token (linear part), and per pair of tokens of one prompt
+        (quadratic part, attention), in seconds.
     fixed_s : float
-        Time that each answer takes besides, in seconds.
+        Latency that is added to each response event, in seconds.
     chunk_tokens : int
-        Tokens that one step reads.
+        Maximum number of tokens that one step prefills.
     event_tokens : int
-        Tokens in one event of a stream.
+        Output tokens per stream event.
     """
 
     slots: int = 8
@@ -49,19 +50,20 @@
     Parameters
     ----------
     name : str
-        Its name.
+        Name in the results.
     rank : int
-        Lowest first.
+        Priority; the lowest rank is served first.
     per_s : float
-        Usual requests a second.
+        Mean arrival rate outside surges, in requests per second.
     prompt_tokens, output_tokens : float
-        Means of their log-normal sizes.
+        Means of the log-normal distributions of sizes, in tokens.
     spread : float
         Standard deviation of the logarithm of the sizes.
     objective_s, longest_pause_s : float
-        Time to a first event and longest pause of an answer on time, in seconds.
+        Objectives for the time to the first event and for the longest pause between
+        events, in seconds.
     limit_s : float
-        Time after which a caller leaves, in seconds.
+        Timeout of the caller, in seconds.
     """
 
     name: str
@@ -76,16 +78,16 @@
 
 
 class Surge(Struct, forbid_unknown_fields=True, kw_only=True):
-    """More requests than usual for a time.
+    """A period with a higher arrival rate.
 
     Parameters
     ----------
     at_s, for_s : float
-        When and for how long, in seconds.
+        Start and duration, in seconds.
     factor : float
-        Multiple of the usual.
+        Multiplier of the arrival rate.
     kind : str
-        Of which kind; empty for all.
+        Affected kind of request; empty for all kinds.
     """
 
     at_s: float
@@ -95,7 +97,15 @@
 
 
 class Crash(Struct, forbid_unknown_fields=True, kw_only=True):
-    """Engines that are down for a time; ``engines`` are their numbers from 0."""
+    """A crash of engines.
+
+    Parameters
+    ----------
+    at_s, for_s : float
+        Start and duration, in seconds.
+    engines : list of int
+        Indices of the engines, from 0.
+    """
 
     at_s: float
     for_s: float
@@ -103,20 +113,20 @@
 
 
 class Load(Struct, forbid_unknown_fields=True, kw_only=True):
-    """What callers send, and what fails.
+    """Requests and faults of a scenario.
 
     Parameters
     ----------
     length_s : float
-        Time during which requests are sent, in seconds.
+        Period in which requests arrive, in seconds.
     kinds : list of RequestKind
-        What is sent.
+        Kinds of requests.
     surges : list of Surge
-        When more is sent.
+        Periods with a higher arrival rate.
     crashes : list of Crash
-        Which engines fail.
+        Crashes of engines.
     impatient_share : float
-        Part of the callers that come back at once after a refusal.
+        Share of the callers that retry at once after a refusal, from 0 to 1.
     """
 
     length_s: float = 20.0
@@ -127,22 +137,24 @@
 
 
 class Scenario(Struct, forbid_unknown_fields=True, kw_only=True):
-    """One scenario.
+    """A scenario.
 
     Parameters
     ----------
     about : str
-        What it shows.
+        Description.
     routers : int
-        Routers that share the engines; the load is spread over them evenly.
-    tell_s, delay_s : float
-        Time between two messages of a router, and their time on the way, in seconds.
+        Number of routers that share the engines; callers choose one at random.
+    tell_s : float
+        Interval at which a router sends its loads to its peers, in seconds.
+    delay_s : float
+        One-way network latency, in seconds.
     engine : EngineKind
-        Make of all engines.
+        Capacity and speed that all engines are derived from.
     slowness : list of float
-        One entry an engine: its steps take so many times those of its make.
+        One entry per engine: factor by which its step times are multiplied.
     load : Load
-        What callers send.
+        Requests and faults.
     """
 
     about: str = ""
@@ -160,7 +172,7 @@
     Raises
     ------
     ScenarioError
-        With the place of the first finding.
+        If the file is invalid.
     OSError
         If the file can't be read.
     """
@@ -171,10 +183,10 @@
     for number, crash in enumerate(scenario.load.crashes):
         if any(not 0 <= each < len(scenario.slowness) for each in crash.engines):
             place = f"$.load.crashes[{number}].engines"
-            raise ScenarioError(f"{path}: there is no such engine - at `{place}`")
+            raise ScenarioError(f"{path}: engine index out of range - at `{place}`")
     return scenario
 
 
 def standard_scenarios() -> dict[str, Path]:
     """Return the files of the standard scenarios by name."""
-    return {path.stem: path for path in sorted(SCENARIOS.glob("*.toml"))}
+    return {path.stem: path for path in sorted(SCENARIOS_DIRECTORY.glob("*.toml"))}
--- a/libs/replay/src/berylwalk/replay/_virtual_router.py
+++ b/libs/replay/src/berylwalk/replay/_virtual_router.py
@@ -1,8 +1,8 @@
-"""A router in virtual time: the real decisions, and what it does with a request.
+"""Simulated direct router.
 
-The decisions are those of the direct router: places, waiting, refusals, return times,
-learning. What a router does with a request follows `berylwalk.direct`, without its
-connections, allowances and store.
+Placement, queueing, refusals, retry delays and learned estimates run the production
+code of `berylwalk.dispatch`. The handling of a request follows `berylwalk.direct`
+without connections, quotas and store.
 """
 
 from collections.abc import Callable
@@ -30,25 +30,25 @@
 from berylwalk.replay._virtual_time import VirtualTime
 
 SERVICE = "engines"
-EVENTS_TOLD = 8
-"""Events of a stream after which its speed is told."""
+EVENTS_PER_REPORT = 8
+"""Number of stream events after which the output rate is recorded."""
 
 
 class Router:
-    """One router: the real decisions, and what it does with a request.
+    """A simulated router.
 
     Parameters
     ----------
     name : str
-        Its name.
+        Name of the router.
     scenario : Scenario
-        Sizes of the engines.
+        Scenario with the capacity of the engines and the network latency.
     engines : list of Engine
         The targets.
     time : VirtualTime
-        When things happen.
+        Clock and scheduler of the simulation.
     random : Generator
-        Draws between equal targets and of return times.
+        Source of tie breaks between targets and of jitter of retry delays.
     """
 
     def __init__(
@@ -70,7 +70,7 @@
         )
         entries = [
             TargetEntry(
-                target_id=str(number),
+                target_id=str(engine_number),
                 service=SERVICE,
                 host="",
                 port=0,
@@ -78,34 +78,42 @@
                 slots=scenario.engine.slots,
                 state=TargetState.READY,
             )
-            for number in range(len(engines))
+            for engine_number in range(len(engines))
         ]
         self.targets.replace(entries, time.now)
 
     def serve(self, outcome: Outcome, on_refused: Callable[[float], None]) -> None:
-        """Take a request; a refusal brings the seconds to come back after."""
+        """Handle a request.
+
+        Parameters
+        ----------
+        outcome : Outcome
+            The request; its result is stored there.
+        on_refused : callable
+            Called on a refusal with the retry delay in seconds.
+        """
         now = self._time.now
-        ends_at = outcome.sent_at + outcome.kind.limit_s
-        deadlines = deadlines_at_arrival(now, outcome.kind.objective_s, ends_at)
-        _Service(self, outcome, ends_at, on_refused).place(deadlines)
+        deadline = outcome.sent_at + outcome.kind.limit_s
+        deadlines = deadlines_at_arrival(now, outcome.kind.objective_s, deadline)
+        _RequestHandler(self, outcome, deadline, on_refused).place(deadlines)
 
-    def hear(self, peer: str, loads: dict[str, tuple[int, int]]) -> None:
-        """Take the loads of a peer."""
+    def merge_peer_loads(self, peer: str, loads: dict[str, tuple[int, int]]) -> None:
+        """Record the loads that a peer reports, and dispatch queued requests."""
         self.targets.replace_peer_loads(peer, loads)
-        self.pump()
+        self.dispatch_queued()
 
-    def pump(self) -> None:
-        """Give free places to those that wait."""
+    def dispatch_queued(self) -> None:
+        """Dispatch queued requests to targets with free capacity."""
         self._dispatcher.dispatch_all_queued(self._time.now)
 
 
 @dataclass(slots=True, eq=False)
-class _Service:
-    """What one router does with one request."""
+class _RequestHandler:
+    """Handling of one request at one router."""
 
     router: Router
     outcome: Outcome
-    ends_at: float
+    deadline: float
     on_refused: Callable[[float], None]
     excluded: set[str] = field(default_factory=set)
 
@@ -114,13 +122,13 @@
         return self.router._time.now
 
     def place(self, deadlines: RequestDeadlines) -> None:
-        """Find a place, now or until the patience ends."""
-        asked_at = self.now
+        """Place the request, or queue it until ``deadlines.wait_until``."""
+        queued_at = self.now
         placed = []
 
         def on_placed(target: Target) -> None:
             placed.append(target)
-            self.outcome.waited_s += self.now - asked_at
+            self.outcome.waited_s += self.now - queued_at
             self.send(target)
 
         pending = PendingRequest(
@@ -128,13 +136,13 @@
             rank=(0, self.outcome.kind.rank),
             work=self.outcome.work,
             on_placed=on_placed,
-            deadline=self.ends_at,
+            deadline=self.deadline,
             start_by=deadlines.start_by,
             longest_pause_s=self.outcome.kind.longest_pause_s,
             excluded=self.excluded,
-            arrived_at=asked_at,
+            arrived_at=queued_at,
         )
-        target = self.router._dispatcher.submit(pending, asked_at)
+        target = self.router._dispatcher.submit(pending, queued_at)
         if target is not None:
             on_placed(target)
             return
@@ -142,122 +150,122 @@
         def give_up() -> None:
             if not placed:
                 self.router._dispatcher.cancel(pending)
-                self.outcome.waited_s += self.now - asked_at
+                self.outcome.waited_s += self.now - queued_at
                 self.refuse()
 
         self.router._time.call_at(deadlines.wait_until, give_up)
 
     def refuse(self) -> None:
         self.outcome.refusals += 1
-        left_s = self.ends_at - self.now
-        self.on_refused(retry_after_s(left_s, draw=self.router._random.uniform))
+        remaining_s = self.deadline - self.now
+        self.on_refused(retry_after_s(remaining_s, draw=self.router._random.uniform))
 
     def send(self, target: Target) -> None:
-        """Send it to an engine and learn from what comes back."""
+        """Send the request to an engine and record what it answers."""
         work, sent_at = self.outcome.work, self.now
-        start = estimate_first_event(target, work)
+        estimate = estimate_first_event(target, work)
         target.note_sent(work, sent_at)
-        number = int(target.entry.target_id)
+        engine_number = int(target.entry.target_id)
         delay_s = self.router._scenario.delay_s
         fixed_s = self.router._scenario.engine.fixed_s
         time = self.router._time
-        progress = _Progress(self, target, start, sent_at, number)
+        attempt = _Attempt(self, target, estimate, sent_at, engine_number)
         sequence = Sequence(
             work.prompt_tokens,
             work.output_tokens,
             on_events=lambda events: time.call_later(
-                fixed_s + delay_s, partial(progress.take_events, events)
+                fixed_s + delay_s, partial(attempt.on_events, events)
             ),
-            on_end=lambda whole: time.call_later(
-                fixed_s + delay_s, partial(progress.take_end, whole)
+            on_end=lambda complete: time.call_later(
+                fixed_s + delay_s, partial(attempt.on_end, complete)
             ),
         )
-        engine = self.router._engines[number]
+        engine = self.router._engines[engine_number]
 
-        def arrive() -> None:
+        def submit() -> None:
             if not engine.submit(sequence):
-                time.call_later(delay_s, progress.take_refusal)
+                time.call_later(delay_s, attempt.on_refusal)
 
-        def leave() -> None:
-            if not progress.has_ended:
+        def disconnect() -> None:
+            if not attempt.is_finished:
                 engine.cancel(sequence)
-                progress.take_end(False, by_caller=True)
+                attempt.on_end(False, by_caller=True)
 
-        time.call_later(delay_s, arrive)
-        time.call_at(self.ends_at, leave)
+        time.call_later(delay_s, submit)
+        time.call_at(self.deadline, disconnect)
 
 
 @dataclass(slots=True, eq=False)
-class _Progress:
-    """What comes back of one send."""
+class _Attempt:
+    """Progress of one attempt at an engine."""
 
-    service: _Service
+    handler: _RequestHandler
     target: Target
-    start: object
+    estimate: object
     sent_at: float
-    number: int
+    engine_number: int
     events: int = 0
-    told: int = 0
-    told_at: float = 0.0
-    first_at: float | None = None
-    has_ended: bool = False
+    reported_events: int = 0
+    reported_at: float = 0.0
+    first_event_at: float | None = None
+    is_finished: bool = False
 
     @property
     def now(self) -> float:
-        return self.service.now
+        return self.handler.now
 
-    def take_events(self, events: int) -> None:
-        if self.has_ended:
+    def on_events(self, events: int) -> None:
+        if self.is_finished:
             return
-        outcome, target, now = self.service.outcome, self.target, self.now
+        outcome, target, now = self.handler.outcome, self.target, self.now
         target.note_heard(now)
-        if self.first_at is None:
-            self.first_at = self.told_at = now
-            self.told = events
-            target.note_first_event(outcome.work, self.start, now - self.sent_at)
+        if self.first_event_at is None:
+            self.first_event_at = self.reported_at = now
+            self.reported_events = events
+            target.note_first_event(outcome.work, self.estimate, now - self.sent_at)
             if outcome.first_event_s is None:
                 outcome.first_event_s = now - outcome.sent_at
-                outcome.engine = self.number
+                outcome.engine = self.engine_number
         else:
             pause_s = now - outcome.last_event_at
             outcome.longest_pause_s = max(outcome.longest_pause_s, pause_s)
         outcome.last_event_at = now
         self.events += events
-        if self.events - self.told >= EVENTS_TOLD:
-            self.tell_output()
+        if self.events - self.reported_events >= EVENTS_PER_REPORT:
+            self.report_output()
 
-    def tell_output(self) -> None:
-        events = self.events - self.told
-        tokens = events * self.service.router._scenario.engine.event_tokens
+    def report_output(self) -> None:
+        events = self.events - self.reported_events
+        tokens = events * self.handler.router._scenario.engine.event_tokens
         if events:
-            self.target.note_output(tokens, events, self.now - self.told_at)
-        self.told, self.told_at = self.events, self.now
+            self.target.note_output(tokens, events, self.now - self.reported_at)
+        self.reported_events, self.reported_at = self.events, self.now
 
-    def take_refusal(self) -> None:
-        """Try another engine: this one is down or full."""
-        self.leave_target()
+    def on_refusal(self) -> None:
+        """Retry at another engine after this one, down or full, refused."""
+        self.finish()
         self.target.note_unreachable(self.now)
-        self.service.excluded.add(self.target.entry.incarnation_id)
-        self.service.place(deadlines_after_failure(self.now, self.service.ends_at))
+        self.handler.excluded.add(self.target.entry.incarnation_id)
+        self.handler.place(deadlines_after_failure(self.now, self.handler.deadline))
 
-    def take_end(self, whole: bool, *, by_caller: bool = False) -> None:
-        if self.has_ended:
+    def on_end(self, complete: bool, *, by_caller: bool = False) -> None:
+        if self.is_finished:
             return
-        outcome = self.service.outcome
-        if whole:
-            self.tell_output()
+        outcome = self.handler.outcome
+        if complete:
+            self.report_output()
             self.target.note_success()
-            self.target.note_slot_time(self.now - self.first_at)
+            self.target.note_slot_time(self.now - self.first_event_at)
             too_long = outcome.longest_pause_s > outcome.kind.longest_pause_s
             self.target.note_paused(too_long)
             outcome.is_complete = True
         elif not by_caller:
             self.target.note_error()
             self.target.note_unreachable(self.now)
-        self.leave_target()
+        self.finish()
 
-    def leave_target(self) -> None:
-        self.has_ended = True
-        had_first = self.first_at is not None
-        self.target.note_finished(self.service.outcome.work, had_first_event=had_first)
-        self.service.router.pump()
+    def finish(self) -> None:
+        self.is_finished = True
+        had_first = self.first_event_at is not None
+        self.target.note_finished(self.handler.outcome.work, had_first_event=had_first)
+        self.handler.router.dispatch_queued()
--- a/libs/replay/src/berylwalk/replay/_virtual_time.py
+++ b/libs/replay/src/berylwalk/replay/_virtual_time.py
@@ -1,4 +1,4 @@
-"""Time that passes from event to event."""
+"""Discrete-event scheduler."""
 
 from collections.abc import Callable
 from heapq import heappop, heappush
@@ -6,12 +6,12 @@
 
 
 class VirtualTime:
-    """Calls functions in the order of their times.
+    """Virtual clock that runs scheduled callbacks in order of time.
 
     Attributes
     ----------
     now : float
-        Present time, in seconds.
+        Current virtual time, in seconds.
     """
 
     def __init__(self) -> None:
@@ -20,15 +20,15 @@
         self._numbers = count()
 
     def call_at(self, time: float, call: Callable[[], None]) -> None:
-        """Have a function called at a time; those of one time in the order given."""
+        """Schedule a callback at a time; callbacks of one time run in FIFO order."""
         heappush(self._events, (max(time, self.now), next(self._numbers), call))
 
     def call_later(self, delay_s: float, call: Callable[[], None]) -> None:
-        """Have a function called after some seconds."""
+        """Schedule a callback after a delay."""
         self.call_at(self.now + delay_s, call)
 
     def run_until(self, time: float) -> None:
-        """Call all that is due until a time."""
+        """Run all callbacks that are due until a time."""
         while self._events and self._events[0][0] <= time:
             self.now, _, call = heappop(self._events)
             call()
--- a/libs/replay/tests/test_replay_model.py
+++ b/libs/replay/tests/test_replay_model.py
@@ -1,4 +1,4 @@
-"""The model of engines, callers and time."""
+"""Tests of the simulated engines, callers and clock."""
 
 import pytest
 
@@ -19,7 +19,7 @@
 
 
 def scenario(**changes):
-    """Return a calm scenario."""
+    """Return a scenario without overload or faults."""
     values = {
         "slowness": [1.0, 1.0],
         "load": Load(length_s=5.0, kinds=[RequestKind(name="chat", per_s=4.0)]),
@@ -28,20 +28,19 @@
 
 
 class TestRuns:
-    def test_calm_load_is_served_in_time(self):
+    def test_light_load_meets_all_objectives(self):
         assert measure(run(scenario(), seed=1))["all"].in_time == 1.0
 
-    def test_runs_repeat(self):
-        """A seed gives the same requests and the same decisions."""
+    def test_same_seed_gives_same_results(self):
         first, second = (measure(run(scenario(), seed=7)) for _ in range(2))
         assert first == second
 
-    def test_slow_engines_are_slower(self):
+    def test_slowness_increases_time_to_first_event(self):
         fast = measure(run(scenario(slowness=[1.0]), seed=1))["all"]
         slow = measure(run(scenario(slowness=[3.0]), seed=1))["all"]
         assert slow.first_event_s > fast.first_event_s
 
-    def test_overload_is_refused_and_comes_back_once(self):
+    def test_caller_retries_once_after_refusal(self):
         surge = Surge(at_s=0.0, for_s=5.0, factor=40.0)
         load = Load(
             length_s=5.0, kinds=[RequestKind(name="chat", per_s=4.0)], surges=[surge]
@@ -50,7 +49,7 @@
         assert measure(outcomes)["all"].refused_again > 0.1
         assert max(outcome.refusals for outcome in outcomes) == 2
 
-    def test_crash_breaks_answers_off(self):
+    def test_crash_interrupts_responses(self):
         load = Load(
             length_s=5.0,
             kinds=[RequestKind(name="chat", per_s=20.0, output_tokens=400)],
@@ -59,8 +58,8 @@
         outcomes = run(scenario(load=load), seed=1)
         assert measure(outcomes)["all"].broken > 0
 
-    def test_long_prompt_holds_up_the_streams_beside_it(self):
-        """A step reads a chunk of it, and an event takes several steps."""
+    def test_long_prompt_delays_concurrent_streams(self):
+        """Chunked prefill lengthens the steps of all running sequences."""
         kinds = [
             RequestKind(name="chat", per_s=5.0, output_tokens=300, spread=0.01),
             RequestKind(
@@ -75,7 +74,7 @@
 
 class TestScenarios:
     @pytest.mark.parametrize("name", sorted(standard_scenarios()))
-    def test_standard_ones_are_sound(self, name):
+    def test_standard_scenarios_are_valid(self, name):
         assert read_scenario(standard_scenarios()[name]).about
 
     @pytest.mark.parametrize(
@@ -91,7 +90,7 @@
             ("slowness = [", "end of document"),
         ],
     )
-    def test_findings_name_their_place(self, tmp_path, text, place):
+    def test_error_has_path_of_invalid_field(self, tmp_path, text, place):
         path = tmp_path / "scenario.toml"
         path.write_text(text)
         with pytest.raises(ScenarioError) as caught:
@@ -100,14 +99,14 @@
 
 
 class TestSettings:
-    def test_changes_end_with_the_context(self):
+    def test_overrides_are_restored_on_exit(self):
         from berylwalk.dispatch import _concurrency_limits
 
-        former = _concurrency_limits.RESERVED_REQUESTS
-        with override_settings({"_concurrency_limits.RESERVED_REQUESTS": former + 1}):
-            assert former + 1 == _concurrency_limits.RESERVED_REQUESTS
-        assert former == _concurrency_limits.RESERVED_REQUESTS
+        previous = _concurrency_limits.RESERVED_REQUESTS
+        with override_settings({"_concurrency_limits.RESERVED_REQUESTS": previous + 1}):
+            assert previous + 1 == _concurrency_limits.RESERVED_REQUESTS
+        assert previous == _concurrency_limits.RESERVED_REQUESTS
 
-    def test_unknown_setting_is_an_error(self):
+    def test_unknown_constant_raises(self):
         with pytest.raises(AttributeError), override_settings({"_placement.NONE": 1}):
             pass
--- a/libs/replay/tests/test_replay_policy.py
+++ b/libs/replay/tests/test_replay_policy.py
@@ -1,8 +1,4 @@
-"""Loads that mechanisms of the policy answer, replayed with and without them.
-
-Each test fails without its mechanism: what it gains was measured on the users' bench
-first, and is shown here without it.
-"""
+"""Ablation tests: each mechanism must improve the results of a standard scenario."""
 
 import pytest
 from msgspec.structs import replace
@@ -20,7 +16,7 @@
 
 
 def mean(scenario_name, kind, measure_name, *, without=None):
-    """Return the mean of a measure over the seeds."""
+    """Return the mean of a result over the seeds, optionally without a mechanism."""
     scenario = read_scenario(standard_scenarios()[scenario_name])
     values = []
     with override_settings(MECHANISMS[without] if without else {}):
@@ -30,11 +26,11 @@
     return sum(values) / len(values)
 
 
-class TestFreshLoads:
-    """Many routers see the same free places."""
+class TestLoadReportInterval:
+    """Many routers place requests by loads that their peers report."""
 
-    def test_loads_that_are_told_sooner_keep_the_most_urgent_in_time(self):
-        """Half a second old, places are given away that were taken long ago."""
+    def test_frequent_load_reports_keep_top_rank_in_time(self):
+        """With stale loads, routers overcommit targets that are already busy."""
         scenario = read_scenario(standard_scenarios()["many-routers"])
         shares = {}
         for tell_s in (scenario.tell_s, 0.45):
@@ -43,12 +39,12 @@
         assert shares[scenario.tell_s] > shares[0.45] + 0.03
 
 
-class TestMostUrgentFirst:
-    """Places are short, and what waits is spread over many routers."""
+class TestReservedRequests:
+    """Scarce capacity, with queued requests spread over many routers."""
 
     @pytest.mark.parametrize("scenario", ["burst", "engines-gone"])
-    def test_most_urgent_requests_are_served(self, scenario):
-        """Without reserved places, places go to whatever waits where one is seen."""
+    def test_top_rank_is_served_first(self, scenario):
+        """Without reserved capacity, lower ranks take slots that the top rank needs."""
         kept = mean(scenario, "long", "in_time")
         assert kept > 0.7
         assert kept > mean(scenario, "long", "in_time", without="reserved-places") + 0.1
