--- a/libs/cli/src/berylwalk/cli/_admin_client.py
+++ b/libs/cli/src/berylwalk/cli/_admin_client.py
@@ -26,19 +26,19 @@
     "unavailable": ExitCode.UNDECIDED,
     "timed-out": ExitCode.UNDECIDED,
 }
-_UNSETTLED_KINDS = frozenset({"undecided", "internal"})
+_OUTCOME_UNKNOWN_KINDS = frozenset({"undecided", "internal"})
 
 
 @dataclass(frozen=True, slots=True)
 class Reply:
-    """A successful answer.
+    """A successful response.
 
     Parameters
     ----------
     headers : mapping of str to str
         Headers by lower-case name.
     body : bytes
-        The whole body.
+        Complete body.
     """
 
     headers: Mapping[str, str]
@@ -51,16 +51,16 @@
 
     @property
     def version(self) -> int:
-        """Settings version that the answer shows."""
+        """Settings version in the ``ETag`` header."""
         return int(self.headers["etag"].strip('"'))
 
 
-class UnsettledError(CommandError):
-    """The request was sent, and may have been, or may yet be, carried out."""
+class OutcomeUnknownError(CommandError):
+    """The request was sent, and it is unknown whether it takes effect."""
 
 
 class AdminClient:
-    """Call the administration API of one router.
+    """Client of the administration API of one router.
 
     Parameters
     ----------
@@ -69,7 +69,7 @@
     token : str
         The operator's bearer token.
     timeout_s : float
-        Longest wait for connecting, and for each part of the answer, in seconds.
+        Timeout for connecting and for each read and write, in seconds.
     """
 
     def __init__(self, url: str, token: str, *, timeout_s: float) -> None:
@@ -93,7 +93,7 @@
         Raises
         ------
         CommandError
-            When there is no token.
+            If no token is given, or its file cannot be read.
         """
         token = _read_token(arguments.token_file)
         return cls(arguments.admin, token, timeout_s=arguments.timeout)
@@ -110,11 +110,11 @@
         Parameters
         ----------
         method, path : str
-            The path is relative to the root of the API.
+            HTTP method, and path relative to the root of the API.
         body : bytes
-            The body.
+            Request body.
         headers : mapping of str to str, optional
-            Further headers.
+            Additional headers.
 
         Returns
         -------
@@ -123,9 +123,9 @@
         Raises
         ------
         CommandError
-            When the API cannot be reached, or answers with an error.
-        UnsettledError
-            When it is not known whether the request was carried out.
+            If the API cannot be reached, or responds with an error.
+        OutcomeUnknownError
+            If it is unknown whether the request takes effect.
         """
         all_headers = {"Authorization": f"Bearer {self._token}", **(headers or {})}
         try:
@@ -145,7 +145,7 @@
             httpcore.TimeoutException,
         ) as error:
             line = f"{self._url} did not answer: {_reason(error)}"
-            raise UnsettledError(ExitCode.UNDECIDED, [line]) from error
+            raise OutcomeUnknownError(ExitCode.UNDECIDED, [line]) from error
         if response.status != 200:
             raise self._error(response)
         return Reply(_headers(response), response.content)
@@ -156,22 +156,22 @@
             lines = problem_lines(problem)
             kind = problem["kind"]
         except (ValueError, KeyError, TypeError, AttributeError):
-            line = f"{self._url} is no administration API: status {response.status}"
-            return UnsettledError(ExitCode.UNDECIDED, [line])
+            line = f"{self._url} is not an administration API: status {response.status}"
+            return OutcomeUnknownError(ExitCode.UNDECIDED, [line])
         exit_code = _EXIT_CODE_BY_KIND.get(kind, ExitCode.FAILED)
-        if kind in _UNSETTLED_KINDS:
-            return UnsettledError(exit_code, lines)
+        if kind in _OUTCOME_UNKNOWN_KINDS:
+            return OutcomeUnknownError(exit_code, lines)
         return CommandError(exit_code, lines)
 
 
 def _read_token(token_file: Path | None) -> str:
     if token_file is None:
         token = os.environ.get(TOKEN_VARIABLE, "").strip()
-        problem = f"there is no token: set {TOKEN_VARIABLE} or use --token-file"
+        problem = f"no token given: set {TOKEN_VARIABLE} or use --token-file"
     else:
         try:
             token = token_file.read_text(encoding="utf-8").strip()
-            problem = f"{token_file}: is empty"
+            problem = f"{token_file}: token file is empty"
         except (OSError, UnicodeDecodeError) as error:
             token = ""
             problem = f"{token_file}: cannot be read: {error}"
--- a/libs/cli/src/berylwalk/cli/_causes.py
+++ b/libs/cli/src/berylwalk/cli/_causes.py
@@ -1,11 +1,11 @@
-"""Why requests of a whole day were not served in time, grouped by cause."""
+"""Command that counts why requests were not served in time."""
 
 from argparse import Namespace
 from collections import Counter, defaultdict
 from collections.abc import Iterable
 
 from berylwalk.cli._exit_codes import CommandError, ExitCode
-from berylwalk.cli._explaining import Line, read_lines
+from berylwalk.cli._request_timeline import LogLine, read_lines
 
 MS_PER_S = 1000
 IN_TIME = "in time"
@@ -18,31 +18,31 @@
 
 
 def print_causes(arguments: Namespace) -> ExitCode:
-    """Print, for each kind and rank, how many requests ended by which cause.
+    """Print the number of requests per cause for each kind and rank.
 
     Parameters
     ----------
     arguments : Namespace
-        With ``files``, and ``since_s`` and ``until_s`` from the first line on.
+        With ``files``, and ``since_s`` and ``until_s`` relative to the first line.
 
     Raises
     ------
     CommandError
-        When no line tells of a request.
+        If no line records the end of a request.
     FindingsError
-        When a file can't be read.
+        If a file cannot be read.
     """
     lines = [line for file in arguments.files for line in read_lines(file)]
     started_at = min((line.time for line in lines), default=0.0)
-    ended = [
+    ended_lines = [
         line
         for line in lines
         if line.event == "request-ended"
         and arguments.since_s <= line.time - started_at < arguments.until_s
     ]
-    if not ended:
-        raise CommandError(ExitCode.FAILED, ["no line tells of a request's end"])
-    for (kind, rank), counts in sorted(counted(ended).items()):
+    if not ended_lines:
+        raise CommandError(ExitCode.FAILED, ["no request-ended line in the logs"])
+    for (kind, rank), counts in sorted(count_causes(ended_lines).items()):
         total = sum(counts.values())
         print(f"{kind}, rank {rank}: {total} requests")
         for cause, count in counts.most_common():
@@ -50,8 +50,8 @@
     return ExitCode.OK
 
 
-def counted(lines: Iterable[Line]) -> CauseCounts:
-    """Return the number of requests by kind and rank, and by cause."""
+def count_causes(lines: Iterable[LogLine]) -> CauseCounts:
+    """Return the number of requests per cause, by kind and rank."""
     counts_by_class: CauseCounts = defaultdict(Counter)
     for line in lines:
         fields = line.fields
@@ -61,8 +61,8 @@
     return counts_by_class
 
 
-def cause_of(line: Line) -> str:
-    """Return why a request was not served in time, or that it was."""
+def cause_of(line: LogLine) -> str:
+    """Return why a request was not served in time, or `IN_TIME`."""
     fields = line.fields
     if fields.get("status") != 200:
         return f"{fields.get('status')} {fields.get('reason')}"
--- a/libs/cli/src/berylwalk/cli/_daemons.py
+++ b/libs/cli/src/berylwalk/cli/_daemons.py
@@ -11,7 +11,7 @@
 
 
 def run_router_command(arguments: Namespace) -> ExitCode:
-    """Run a router until it is told to stop.
+    """Run a router until it is stopped by a signal.
 
     Parameters
     ----------
@@ -25,20 +25,19 @@
     Raises
     ------
     FindingsError
-        With every mistake of the file.
+        With all errors of the settings file.
     CommandError
-        When an address cannot be bound.
+        If the daemon fails with an `OSError`, such as an address in use.
     """
     settings = RouterSettings.from_file(arguments.settings)
-    # Only the daemons need the rest of the system, so that the other commands
-    # start fast.
+    # Imported here to keep the start of the other commands fast.
     from berylwalk.router import run_router
 
     return _run(run_router, settings)
 
 
 def run_agent_command(arguments: Namespace) -> ExitCode:
-    """Run an agent until it is told to stop; as `run_router_command`."""
+    """Run an agent until it is stopped; arguments as for `run_router_command`."""
     settings = AgentSettings.from_file(arguments.settings)
     from berylwalk.agent import run_agent
 
@@ -49,6 +48,5 @@
     try:
         daemon(settings)
     except OSError as error:
-        # For instance an address that is in use.
         raise CommandError(ExitCode.FAILED, [f"cannot run: {error}"]) from error
     return ExitCode.OK
--- a/libs/cli/src/berylwalk/cli/_deployment.py
+++ b/libs/cli/src/berylwalk/cli/_deployment.py
@@ -1,4 +1,4 @@
-"""Commands for the deployment on the users' platform."""
+"""Command that checks deployment files."""
 
 import tomllib
 from argparse import Namespace
@@ -6,15 +6,15 @@
 
 from msgspec import DecodeError, ValidationError
 
-from berylwalk.cli._checking import read_text
 from berylwalk.cli._exit_codes import ExitCode
+from berylwalk.cli._settings_checks import read_text
 from berylwalk.model import Finding, FindingsError
 from berylwalk.platform import decode_vm_settings
 
 ROLE_KEYS = frozenset(
     {"run", "on", "share", "count", "apart", "serves", "metrics", "template", "env"}
 )
-NEEDED_KEYS = ("run", "on")
+REQUIRED_KEYS = ("run", "on")
 
 
 def check_deployment(arguments: Namespace) -> ExitCode:
@@ -23,13 +23,13 @@
     Raises
     ------
     FindingsError
-        With the mistakes of all files.
+        With the errors of all files.
     """
     findings: list[Finding] = []
     for file in arguments.files:
-        found = (_check_deploy if file.suffix == ".toml" else _check_vm)(file)
-        findings += found
-        if not found:
+        file_findings = (_check_deploy if file.suffix == ".toml" else _check_vm)(file)
+        findings += file_findings
+        if not file_findings:
             print(f"{file}: valid")
     if findings:
         raise FindingsError(findings)
@@ -51,14 +51,14 @@
         return [Finding(str(file), str(error))]
     findings = []
     if "build" not in document:
-        findings.append(Finding(str(file), "no 'build'"))
+        findings.append(Finding(str(file), "missing 'build'"))
     roles = document.get("roles", {})
     if not roles:
-        findings.append(Finding(str(file), "no [roles]"))
+        findings.append(Finding(str(file), "missing [roles]"))
     for name, role in roles.items():
         place = f"{file}: [roles.{name}]"
         findings += [
-            Finding(place, f"no {key!r}") for key in NEEDED_KEYS if key not in role
+            Finding(place, f"no {key!r}") for key in REQUIRED_KEYS if key not in role
         ]
         findings += [
             Finding(place, f"unknown {key!r}")
--- a/libs/cli/src/berylwalk/cli/_exit_codes.py
+++ b/libs/cli/src/berylwalk/cli/_exit_codes.py
@@ -1,29 +1,29 @@
-"""Exit codes, and the error that carries one."""
+"""Exit codes, and the exception that ends a command with one."""
 
 from collections.abc import Iterable
 from enum import IntEnum
 
 
 class ExitCode(IntEnum):
-    """How a command ended."""
+    """Exit code of a command."""
 
     OK = 0
-    """The command did what it was asked."""
+    """The command succeeded."""
 
     FAILED = 1
     """A daemon or the administration API failed."""
 
     USAGE = 2
-    """The command line is wrong."""
+    """The command line is invalid."""
 
     FINDINGS = 3
-    """The input has mistakes; all of them were printed."""
+    """The input has errors; all of them are printed."""
 
     CLASH = 4
-    """Another operator changed the settings meanwhile; nothing was changed."""
+    """The change conflicts with a later one; nothing was changed."""
 
     UNDECIDED = 5
-    """The API cannot be reached, or the change is not decided yet."""
+    """The API cannot be reached, or the outcome of the change is unknown."""
 
     DENIED = 6
     """The token is missing or wrong."""
@@ -42,14 +42,14 @@
 
 
 class CommandError(Exception):
-    """Raised to end the command with a message.
+    """Raised to end a command with a message.
 
     Parameters
     ----------
     exit_code : ExitCode
-        How the command ends.
+        Exit code of the process.
     lines : iterable of str
-        What is printed to the standard error stream.
+        Lines that are printed to standard error.
     """
 
     def __init__(self, exit_code: ExitCode, lines: Iterable[str]) -> None:
--- a/libs/cli/src/berylwalk/cli/_text.py
+++ b/libs/cli/src/berylwalk/cli/_formatting.py
@@ -1,17 +1,17 @@
-"""Values and tables as text."""
+"""Formatting of values and tables."""
 
 from collections.abc import Iterable, Sequence
 
-_GAP = "  "
+_COLUMN_SEPARATOR = "  "
 
 
 def format_value(value: object) -> str:
-    """Write a value as an INI file has it.
+    """Format a value as in an INI file.
 
     Parameters
     ----------
     value : bool or int or float or str or list of str
-        As JSON gives it.
+        Value decoded from JSON.
 
     Returns
     -------
@@ -25,25 +25,25 @@
 
 
 def format_table(titles: Sequence[str], rows: Iterable[Sequence[object]]) -> str:
-    """Write rows in aligned columns.
+    """Format rows in aligned columns.
 
     Parameters
     ----------
     titles : sequence of str
-        Titles of the columns.
+        Column titles.
     rows : iterable of sequence of object
-        Cells, which are written as values.
+        Cells, formatted by `format_value`.
 
     Returns
     -------
     str
-        Lines without an end of line after the last.
+        Table without a trailing newline.
     """
     lines = [tuple(titles)]
     lines += [tuple(format_value(cell) for cell in row) for row in rows]
     widths = [max(map(len, column)) for column in zip(*lines, strict=True)]
     return "\n".join(
-        _GAP.join(
+        _COLUMN_SEPARATOR.join(
             cell.ljust(width) for cell, width in zip(line, widths, strict=True)
         ).rstrip()
         for line in lines
--- a/libs/cli/src/berylwalk/cli/_main.py
+++ b/libs/cli/src/berylwalk/cli/_main.py
@@ -1,4 +1,4 @@
-"""Running a command and turning its errors into messages and exit codes."""
+"""Entry point that maps errors of commands to messages and exit codes."""
 
 import os
 import sys
@@ -15,7 +15,7 @@
     Parameters
     ----------
     argv : sequence of str, optional
-        Arguments without the program's name; those of the process when left out.
+        Arguments without the program name; defaults to those of the process.
 
     Returns
     -------
@@ -25,13 +25,13 @@
     Raises
     ------
     SystemExit
-        For ``--help``, and with code 2 when the command line is wrong.
+        For ``--help``, and with code 2 if the command line is invalid.
     """
     try:
         try:
             return _run(argv)
         finally:
-            # A reader that has gone is noticed here, not at the interpreter's end.
+            # Raises BrokenPipeError here rather than at interpreter shutdown.
             sys.stdout.flush()
     except BrokenPipeError:
         _discard_output()
@@ -51,10 +51,10 @@
 
 
 def _discard_output() -> None:
-    # What is still buffered must not fail again.
-    nowhere = os.open(os.devnull, os.O_WRONLY)
-    os.dup2(nowhere, sys.stdout.fileno())
-    os.close(nowhere)
+    # The interpreter flushes buffered output at shutdown, which must not fail again.
+    devnull = os.open(os.devnull, os.O_WRONLY)
+    os.dup2(devnull, sys.stdout.fileno())
+    os.close(devnull)
 
 
 def _print_errors(lines: Iterable[str]) -> None:
--- a/libs/cli/src/berylwalk/cli/_options.py
+++ b/libs/cli/src/berylwalk/cli/_options.py
@@ -1,4 +1,4 @@
-"""Options that several commands have in common."""
+"""Options shared by several commands."""
 
 import re
 from argparse import ArgumentParser, ArgumentTypeError
@@ -9,13 +9,13 @@
 
 DEFAULT_ADMIN_URL = "http://127.0.0.1:8081"
 DEFAULT_TIMEOUT_S = 15.0
-"""Longer than the API itself waits for a decision."""
+"""Exceeds the time within which the API decides a change."""
 
 _CHANGE_ID_PATTERN = re.compile(r"[A-Za-z0-9._-]{1,100}")
 
 
 def client_options() -> ArgumentParser:
-    """Make the options of commands that call the administration API."""
+    """Return the options of commands that call the administration API."""
     options = ArgumentParser(add_help=False)
     options.add_argument(
         "--admin",
@@ -41,7 +41,7 @@
 
 
 def change_options() -> ArgumentParser:
-    """Make the options of commands that change the settings."""
+    """Return the options of commands that change the settings."""
     options = ArgumentParser(add_help=False)
     options.add_argument(
         "--if-version",
@@ -84,25 +84,25 @@
 
 
 def change_id(text: str) -> str:
-    """Check the name of a change.
+    """Validate a change id.
 
     Parameters
     ----------
     text : str
-        As given on the command line.
+        Value on the command line.
 
     Returns
     -------
     str
-        The text.
+        The unchanged value.
 
     Raises
     ------
     ArgumentTypeError
-        When the administration API would refuse it.
+        If the administration API would reject the id.
     """
     if _CHANGE_ID_PATTERN.fullmatch(text) is None:
         raise ArgumentTypeError(
-            f"{text!r} is not of 1 to 100 letters, digits, '.', '_' or '-'"
+            f"{text!r} does not consist of 1 to 100 letters, digits, '.', '_' or '-'"
         )
     return text
--- a/libs/cli/src/berylwalk/cli/_parser.py
+++ b/libs/cli/src/berylwalk/cli/_parser.py
@@ -1,4 +1,4 @@
-"""The command line."""
+"""Parser of the command line."""
 
 from argparse import (
     ArgumentParser,
@@ -10,35 +10,35 @@
 from pathlib import Path
 
 from berylwalk.cli._causes import print_causes
-from berylwalk.cli._changing import (
-    delete_section,
-    import_settings,
-    set_value,
-    show_change,
-    unset_value,
-)
-from berylwalk.cli._checking import FileRole, check_settings, print_reference
 from berylwalk.cli._daemons import run_agent_command, run_router_command
 from berylwalk.cli._deployment import check_deployment
 from berylwalk.cli._exit_codes import EXIT_CODES_HELP, ExitCode
-from berylwalk.cli._explaining import explain, print_beliefs
 from berylwalk.cli._options import change_id, change_options, client_options
 from berylwalk.cli._quarantined import print_quarantined
-from berylwalk.cli._reading import export_settings, get_settings, print_tree
-from berylwalk.cli._replaying import replay, setting_change
+from berylwalk.cli._replay_command import parse_override, replay
+from berylwalk.cli._request_timeline import explain, print_router_metrics
 from berylwalk.cli._rollouts import print_rollouts
+from berylwalk.cli._settings_changes import (
+    delete_section,
+    import_settings,
+    set_value,
+    show_change,
+    unset_value,
+)
+from berylwalk.cli._settings_checks import FileRole, check_settings, print_reference
+from berylwalk.cli._settings_queries import export_settings, get_settings, print_tree
 from berylwalk.cli._status import print_status
 
 Command = Callable[[Namespace], ExitCode]
 
 
 def make_parser() -> ArgumentParser:
-    """Make the parser of the whole command line.
+    """Return the parser of the command line.
 
     Returns
     -------
     ArgumentParser
-        Parsed arguments carry the command as ``run``.
+        Its parsed arguments hold the function of the command as ``run``.
     """
     parser = ArgumentParser(
         prog="berylwalk",
@@ -135,13 +135,13 @@
         dest="changes",
         action="append",
         default=[],
-        type=setting_change,
+        type=parse_override,
         metavar="NAME=VALUE",
         help="change a setting, such as _concurrency_limits.RESERVED_REQUESTS=0",
     )
 
     text = "show what a direct router believes, from its metrics"
-    beliefs = _add(commands, "beliefs", text, print_beliefs)
+    beliefs = _add(commands, "beliefs", text, print_router_metrics)
     beliefs.add_argument("url", metavar="URL", help="address of its metrics")
     beliefs.add_argument(
         "--timeout-s", type=float, default=2.0, help="bound of the call, in seconds"
@@ -177,11 +177,13 @@
     commands = settings.add_subparsers(
         title="commands", required=True, metavar="COMMAND"
     )
-    _add_reading(commands, [client_options()])
-    _add_changing(commands, [client_options(), change_options()])
+    _add_settings_queries(commands, [client_options()])
+    _add_settings_changes(commands, [client_options(), change_options()])
 
 
-def _add_reading(commands: _SubParsersAction, parents: list[ArgumentParser]) -> None:
+def _add_settings_queries(
+    commands: _SubParsersAction, parents: list[ArgumentParser]
+) -> None:
     text = "show the effective values of a node and where they come from"
     get = _add(commands, "get", text, get_settings, parents=parents)
     _add_path(get)
@@ -202,7 +204,9 @@
     )
 
 
-def _add_changing(commands: _SubParsersAction, parents: list[ArgumentParser]) -> None:
+def _add_settings_changes(
+    commands: _SubParsersAction, parents: list[ArgumentParser]
+) -> None:
     setting = _add(commands, "set", "set a key", set_value, parents=parents)
     _add_path(setting)
     _add_key(setting)
--- a/libs/cli/src/berylwalk/cli/_problem_lines.py
+++ b/libs/cli/src/berylwalk/cli/_problem_lines.py
@@ -1,28 +1,28 @@
-"""Errors of the administration API as lines of text."""
+"""Formatting of errors of the administration API."""
 
 from collections.abc import Iterator
 from typing import Any
 
-from berylwalk.cli._text import format_value
+from berylwalk.cli._formatting import format_value
 
 
 def problem_lines(problem: dict[str, Any]) -> list[str]:
-    """Write an error for operators.
+    """Format an error as lines of text.
 
     Parameters
     ----------
     problem : dict
-        Body of the answer.
+        Body of the response.
 
     Returns
     -------
     list of str
-        One line for each finding or clash, or the detail alone.
+        Lines for each finding and clash, or the detail if there are none.
 
     Raises
     ------
     KeyError, TypeError
-        When the body is not an error of the administration API.
+        If the body is not an error of the administration API.
     """
     lines = [
         f"{finding['place']}: {finding['problem']}"
@@ -36,12 +36,12 @@
 def _clash_lines(clash: dict[str, Any]) -> Iterator[str]:
     place = f"[{clash['path']}] {clash['key']}".rstrip()
     yield f"{place}: clashes with a later change; nothing was changed"
-    yield f"  yours:  {_shown(clash['yours'])}"
+    yield f"  yours:  {_display(clash['yours'])}"
     yield (
-        f"  theirs: {_shown(clash['theirs'])} (version {clash['their_version']}, "
+        f"  theirs: {_display(clash['theirs'])} (version {clash['their_version']}, "
         f"change {clash['their_change_id']} of {clash['their_author']})"
     )
 
 
-def _shown(value: object) -> str:
+def _display(value: object) -> str:
     return "(unset)" if value is None else format_value(value)
--- a/libs/cli/src/berylwalk/cli/_quarantined.py
+++ b/libs/cli/src/berylwalk/cli/_quarantined.py
@@ -1,4 +1,4 @@
-"""Requests that are held back since targets ended under them."""
+"""Command that shows and releases quarantined requests."""
 
 from argparse import Namespace
 from datetime import UTC, datetime
@@ -18,17 +18,18 @@
 
 
 def print_quarantined(arguments: Namespace) -> ExitCode:
-    """Print what the store keeps of such requests, or let one through.
+    """Print the quarantine records in the store, or release one request.
 
     Parameters
     ----------
     arguments : Namespace
-        With ``url`` of the store, ``timeout_s`` and ``release``: an identity or None.
+        With ``url`` of the store, ``timeout_s``, and ``release``: the identity of a
+        request in hexadecimal, or None.
 
     Raises
     ------
     CommandError
-        When the store does not answer, or has no such record.
+        If the store does not respond, or has no such record.
     """
     return anyio.run(_with_store, arguments)
 
@@ -49,13 +50,13 @@
     if isinstance(items, Unavailable):
         raise CommandError(ExitCode.UNDECIDED, [f"the store: {items.detail}"])
     for item in items:
-        print(_line(item))
+        print(_format_record(item))
     if not items:
         print("no request is held back")
     return ExitCode.OK
 
 
-def _line(item: KeyValue) -> str:
+def _format_record(item: KeyValue) -> str:
     try:
         identity = identity_from_key(item.key)
         record = decode(item.value, type=Record)
@@ -82,7 +83,7 @@
             print(f"{identity} is let through, at all routers within 15 s")
             return ExitCode.OK
         case Conflict():
-            reason = "its record has just changed; look again"
+            reason = "its record was changed concurrently; try again"
         case failure:
             reason = f"the store: {failure.detail}"
     raise CommandError(ExitCode.UNDECIDED, [f"{identity}: {reason}"])
--- a/libs/cli/src/berylwalk/cli/_replaying.py
+++ b/libs/cli/src/berylwalk/cli/_replay_command.py
@@ -1,4 +1,4 @@
-"""Loads replayed in virtual time on the decisions of the direct router."""
+"""Command that simulates a load in virtual time."""
 
 from argparse import ArgumentTypeError, Namespace
 from dataclasses import asdict, fields
@@ -11,18 +11,18 @@
     from berylwalk.replay import Measures
 
 
-def setting_change(text: str) -> tuple[str, float]:
-    """Return the name and the new value of ``NAME=VALUE``."""
+def parse_override(text: str) -> tuple[str, float]:
+    """Parse ``NAME=VALUE`` into the name of a constant and its new value."""
     name, equals, value = text.partition("=")
     try:
         return name, float(value)
     except ValueError:
-        problem = "" if equals else "a setting is given as NAME=VALUE"
-        raise ArgumentTypeError(problem or f"{value!r} is no number") from None
+        problem = "" if equals else "expected NAME=VALUE"
+        raise ArgumentTypeError(problem or f"{value!r} is not a number") from None
 
 
 def replay(arguments: Namespace) -> ExitCode:
-    """Print the measures of a scenario, and those without a mechanism beside them.
+    """Print the results of a scenario, and those without each given mechanism.
 
     Parameters
     ----------
@@ -32,9 +32,9 @@
     Raises
     ------
     CommandError
-        When the scenario or a setting is not there or not as it should be.
+        If the scenario, a mechanism or a constant is unknown or invalid.
     """
-    # Loaded only here: it needs numpy, which no daemon started by this command uses.
+    # Imported here so that the daemons do not load numpy.
     from berylwalk.replay import MECHANISMS, ScenarioError, standard_scenarios
 
     path = standard_scenarios().get(arguments.scenario, Path(arguments.scenario))
@@ -44,11 +44,11 @@
         raise CommandError(
             ExitCode.FAILED, [f"no mechanism {unknown[0]!r}; there are: {known}"]
         )
-    versions = {"as it is": dict(arguments.changes)}
+    variants = {"as it is": dict(arguments.changes)}
     for name in arguments.without:
-        versions[f"without {name}"] = {**versions["as it is"], **MECHANISMS[name]}
+        variants[f"without {name}"] = {**variants["as it is"], **MECHANISMS[name]}
     try:
-        for name, changes in versions.items():
+        for name, changes in variants.items():
             _print_table(name, _runs(path, changes, arguments.seeds))
     except (ScenarioError, OSError, AttributeError, ModuleNotFoundError) as error:
         raise CommandError(ExitCode.FAILED, [str(error)]) from error
@@ -70,6 +70,11 @@
     print(f"{name}, mean of {len(runs)} seeds")
     print(f"{'':10}" + "".join(f"{each:>15}" for each in names))
     for kind in runs[0]:
-        of_kind = [asdict(measures[kind]) for measures in runs if kind in measures]
-        means = [sum(each[key] for each in of_kind) / len(of_kind) for key in names]
+        kind_measures = [
+            asdict(measures[kind]) for measures in runs if kind in measures
+        ]
+        means = [
+            sum(each[key] for each in kind_measures) / len(kind_measures)
+            for key in names
+        ]
         print(f"{kind:10}" + "".join(f"{mean:15.3f}" for mean in means))
--- a/libs/cli/src/berylwalk/cli/_explaining.py
+++ b/libs/cli/src/berylwalk/cli/_request_timeline.py
@@ -1,4 +1,4 @@
-"""What became of one request, from the log files of all routers."""
+"""Timeline of one request from the logs of all routers, and metrics of a router."""
 
 import sys
 from argparse import Namespace
@@ -10,11 +10,12 @@
 from msgspec import DecodeError
 from msgspec.json import decode
 
-from berylwalk.cli._checking import read_text
 from berylwalk.cli._exit_codes import CommandError, ExitCode
+from berylwalk.cli._settings_checks import read_text
 
-CONTEXT_S = 5.0
-"""Time before a request's end within which changes of beliefs are shown."""
+CONTEXT_WINDOW_S = 5.0
+"""Time before the first line of a request from which other log lines of its routers
+are shown."""
 QUARANTINE_EVENTS = frozenset(
     {
         "target-ended-under-request",
@@ -25,7 +26,7 @@
         "trial-permitted",
     }
 )
-"""What is told of a request whatever its id, when targets end under it."""
+"""Events that are shown for all requests with the same identity, whatever their id."""
 HIDDEN_FIELDS = frozenset({"time", "node", "event", "request_id", "attempts"})
 
 MEANING_BY_REASON = {
@@ -55,40 +56,40 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Line:
-    """One line of a log.
+class LogLine:
+    """A line of a log.
 
     Parameters
     ----------
     fields : dict
-        All fields, as logged.
+        All fields of the JSON object.
     """
 
     fields: dict[str, Any]
 
     @property
     def time(self) -> float:
-        """Time of day, in seconds since the epoch."""
+        """Time in seconds since the Unix epoch."""
         return float(self.fields.get("time", 0.0))
 
     @property
     def node(self) -> str:
-        """Name of the VM."""
+        """Name of the node that wrote the line."""
         return str(self.fields.get("node", "?"))
 
     @property
     def event(self) -> str:
-        """What happened."""
+        """Name of the event."""
         return str(self.fields.get("event", "?"))
 
     @property
     def request_id(self) -> str | None:
-        """The request concerned."""
+        """Id of the request, or None if the event is not about a single one."""
         return self.fields.get("request_id")
 
 
 def explain(arguments: Namespace) -> ExitCode:
-    """Print the timeline of a request and what its end means.
+    """Print the timeline of a request and the meaning of its final reason.
 
     Parameters
     ----------
@@ -98,29 +99,29 @@
     Raises
     ------
     CommandError
-        When no line tells of the request.
+        If no line has the id of the request.
     FindingsError
-        When a file can't be read.
+        If a file cannot be read.
     """
     lines = [line for file in arguments.files for line in read_lines(file)]
     lines.sort(key=lambda line: line.time)
-    own = [line for line in lines if line.request_id == arguments.request_id]
-    if not own:
+    request_lines = [line for line in lines if line.request_id == arguments.request_id]
+    if not request_lines:
         raise CommandError(
             ExitCode.FAILED,
             [
                 f"no line about {arguments.request_id} in {len(lines)} lines: its "
-                "router was killed before it could tell, dropped lines under load "
+                "router was killed before it wrote the log, dropped lines under load "
                 "(lines_dropped), or is not among the files"
             ],
         )
-    for text in timeline(own, lines):
+    for text in timeline(request_lines, lines):
         print(text)
     return ExitCode.OK
 
 
-def read_lines(file: Path) -> Iterator[Line]:
-    """Yield the JSON lines of a file; text before the object is passed over."""
+def read_lines(file: Path) -> Iterator[LogLine]:
+    """Yield the JSON lines of a file; a prefix before the object is skipped."""
     for text in read_text(file).splitlines():
         start = text.find("{")
         if start < 0:
@@ -128,54 +129,56 @@
         try:
             fields = decode(text[start:])
         except DecodeError:
-            # Lines of other programs, or one that was cut.
+            # Output of another program, or a truncated line.
             continue
         if isinstance(fields, dict):
-            yield Line(fields)
+            yield LogLine(fields)
 
 
-def timeline(own: list[Line], lines: Iterable[Line]) -> Iterator[str]:
-    """Yield the request's lines with what its routers and targets did meanwhile.
+def timeline(request_lines: list[LogLine], lines: Iterable[LogLine]) -> Iterator[str]:
+    """Yield the lines of a request and those that give their context.
 
-    If targets ended under the same request, whatever its ids, the lines of all of that
-    are among them.
+    Context are lines of the same routers about its targets, and quarantine events of
+    requests with the same identity, whatever their id.
     """
-    started_at = own[0].time
-    nodes = {line.node for line in own}
-    targets = {target for line in own for target in _targets_of(line)}
-    identities = {line.fields.get("identity") for line in own} - {None}
+    started_at = request_lines[0].time
+    nodes = {line.node for line in request_lines}
+    targets = {target for line in request_lines for target in _targets_of(line)}
+    identities = {line.fields.get("identity") for line in request_lines} - {None}
     for line in lines:
-        is_own = line.request_id == own[0].request_id
-        is_near = started_at - CONTEXT_S <= line.time <= own[-1].time
+        is_own_line = line.request_id == request_lines[0].request_id
+        is_in_window = (
+            started_at - CONTEXT_WINDOW_S <= line.time <= request_lines[-1].time
+        )
         is_context = (
             line.request_id is None
             and line.node in nodes
-            and is_near
+            and is_in_window
             and _targets_of(line) <= targets
         )
-        is_of_same = (
+        has_same_identity = (
             line.event in QUARANTINE_EVENTS
             and line.fields.get("identity") in identities
-            and line.time <= own[-1].time
+            and line.time <= request_lines[-1].time
         )
-        if is_own or is_context or is_of_same:
-            mark = "*" if is_own else " "
+        if is_own_line or is_context or has_same_identity:
+            mark = "*" if is_own_line else " "
             offset_ms = (line.time - started_at) * 1000
             head = f"{mark} {offset_ms:9.1f} ms  {line.node}  {line.event}"
-            yield f"{head}  {_shown(line)}"
-    for line in own:
+            yield f"{head}  {_format_fields(line)}"
+    for line in request_lines:
         if line.event == "request-ended":
-            yield from _ending(line)
+            yield from _summary(line)
 
 
-def _targets_of(line: Line) -> set[str]:
-    named = set(line.fields.get("obstacles", ()))
+def _targets_of(line: LogLine) -> set[str]:
+    targets = set(line.fields.get("obstacles", ()))
     if "target" in line.fields:
-        named.add(line.fields["target"])
-    return named
+        targets.add(line.fields["target"])
+    return targets
 
 
-def _shown(line: Line) -> str:
+def _format_fields(line: LogLine) -> str:
     return " ".join(
         f"{name}={value}"
         for name, value in line.fields.items()
@@ -183,25 +186,25 @@
     )
 
 
-def _ending(line: Line) -> Iterator[str]:
+def _summary(line: LogLine) -> Iterator[str]:
     for number, attempt in enumerate(line.fields.get("attempts", ()), 1):
         yield f"  attempt {number}: " + " ".join(
             f"{name}={value}" for name, value in attempt.items() if value != ""
         )
     reason = str(line.fields.get("reason", ""))
-    bare = reason.removeprefix("cut-")
-    meaning = MEANING_BY_REASON.get(bare, "see docs/OPERATIONS.md")
-    cut = " (a begun stream was cut)" if bare != reason else ""
-    yield f"cause: {reason}{cut}: {meaning}"
+    base_reason = reason.removeprefix("cut-")
+    meaning = MEANING_BY_REASON.get(base_reason, "see docs/OPERATIONS.md")
+    truncation_note = " (a begun stream was cut)" if base_reason != reason else ""
+    yield f"cause: {reason}{truncation_note}: {meaning}"
 
 
-def print_beliefs(arguments: Namespace) -> ExitCode:
-    """Print what a router believes, from its metrics.
+def print_router_metrics(arguments: Namespace) -> ExitCode:
+    """Print the metrics of a router without the histogram buckets.
 
     Raises
     ------
     CommandError
-        When the router does not answer.
+        If the router does not respond.
     """
     from urllib.error import URLError
     from urllib.request import urlopen
--- a/libs/cli/src/berylwalk/cli/_rollouts.py
+++ b/libs/cli/src/berylwalk/cli/_rollouts.py
@@ -1,4 +1,4 @@
-"""Roll-outs of versions, as the store keeps them."""
+"""Command that shows the roll-outs in the store."""
 
 from argparse import Namespace
 from datetime import UTC, datetime
@@ -23,7 +23,7 @@
     Raises
     ------
     CommandError
-        When the store does not answer.
+        If the store does not respond.
     """
     return anyio.run(_print_all, arguments)
 
@@ -38,13 +38,13 @@
     if isinstance(items, Unavailable):
         raise CommandError(ExitCode.UNDECIDED, [f"the store: {items.detail}"])
     for item in items:
-        print(_line(item))
+        print(_format_record(item))
     if not items:
         print("there was no roll-out")
     return ExitCode.OK
 
 
-def _line(item: KeyValue) -> str:
+def _format_record(item: KeyValue) -> str:
     service = service_from_record_key(item.key)
     try:
         record = decode(item.value, type=Record)
--- a/libs/cli/src/berylwalk/cli/_changing.py
+++ b/libs/cli/src/berylwalk/cli/_settings_changes.py
@@ -5,14 +5,14 @@
 from urllib.parse import quote
 from uuid import uuid4
 
-from berylwalk.cli._admin_client import AdminClient, Reply, UnsettledError
-from berylwalk.cli._checking import read_text
+from berylwalk.cli._admin_client import AdminClient, OutcomeUnknownError, Reply
 from berylwalk.cli._exit_codes import CommandError, ExitCode
-from berylwalk.cli._reading import VERSION_COMMENT
+from berylwalk.cli._settings_checks import read_text
+from berylwalk.cli._settings_queries import VERSION_COMMENT
 
 
 def set_value(arguments: Namespace) -> ExitCode:
-    """Set one key.
+    """Set a key.
 
     Parameters
     ----------
@@ -30,19 +30,19 @@
 
 
 def unset_value(arguments: Namespace) -> ExitCode:
-    """Remove one key, so that the value further up is in force; as `set_value`."""
+    """Remove a key, so that it is inherited; arguments as for `set_value`."""
     return _patch(
         arguments, {"path": arguments.path, "key": arguments.key, "value": None}
     )
 
 
 def delete_section(arguments: Namespace) -> ExitCode:
-    """Delete a section with all sections below it; as `set_value`."""
+    """Delete a section and all sections below it; arguments as for `set_value`."""
     return _patch(arguments, {"path": arguments.path, "section": "delete"})
 
 
 def import_settings(arguments: Namespace) -> ExitCode:
-    """Replace the tree by that of a file.
+    """Replace the settings tree by that of a file.
 
     Parameters
     ----------
@@ -59,8 +59,8 @@
         version = _exported_version(text)
     if version is None:
         line = (
-            f"{arguments.file}: does not tell the version that it was made from: "
-            "export the settings anew or give --if-version"
+            f"{arguments.file}: the first line has no settings version: "
+            "export the settings again or give --if-version"
         )
         raise CommandError(ExitCode.USAGE, [line])
     headers = {"Import-File": quote(str(arguments.file))}
@@ -70,7 +70,7 @@
 
 
 def show_change(arguments: Namespace) -> ExitCode:
-    """Tell whether a change was accepted.
+    """Show the settings version of a change, if it was accepted.
 
     Parameters
     ----------
@@ -80,7 +80,12 @@
     Returns
     -------
     ExitCode
-        Ends with ``UNDECIDED`` when the change is not among the accepted ones.
+        `ExitCode.OK`.
+
+    Raises
+    ------
+    CommandError
+        With ``UNDECIDED`` if the change is not among the recent accepted changes.
     """
     client = AdminClient.from_arguments(arguments)
     document = client.request("GET", f"settings/changes/{arguments.change_id}").document
@@ -108,25 +113,27 @@
     version: int,
     headers: dict[str, str],
 ) -> ExitCode:
-    # The name is chosen here, so that it is known also when no answer comes.
+    # Chosen by the client, so that the change can be looked up if no response arrives.
     change_id = arguments.change_id or uuid4().hex
     headers = {**headers, "If-Match": f'"{version}"', "Change-Id": change_id}
     client = AdminClient.from_arguments(arguments)
     try:
         reply = client.request(method, path, body, headers)
-    except UnsettledError as error:
-        raise _with_advice(error, change_id, version) from error
+    except OutcomeUnknownError as error:
+        raise _with_instructions(error, change_id, version) from error
     _print_accepted(reply)
     return ExitCode.OK
 
 
-def _with_advice(error: UnsettledError, change_id: str, version: int) -> CommandError:
-    advice = (
-        "it is not known whether the change was accepted: ask with 'berylwalk "
+def _with_instructions(
+    error: OutcomeUnknownError, change_id: str, version: int
+) -> CommandError:
+    instructions = (
+        "it is unknown whether the change was accepted: check with 'berylwalk "
         f"settings change {change_id}', or repeat the command with "
         f"--change-id {change_id} --if-version {version}"
     )
-    return CommandError(error.exit_code, [*error.lines, advice])
+    return CommandError(error.exit_code, [*error.lines, instructions])
 
 
 def _print_accepted(reply: Reply) -> None:
--- a/libs/cli/src/berylwalk/cli/_checking.py
+++ b/libs/cli/src/berylwalk/cli/_settings_checks.py
@@ -1,4 +1,4 @@
-"""Commands on settings files, without a running system."""
+"""Commands that validate and document settings files offline."""
 
 import re
 from argparse import Namespace
@@ -20,7 +20,7 @@
 
 
 class FileRole(StrEnum):
-    """What a settings file is for."""
+    """Process or tree that a settings file configures."""
 
     ROUTER = "router"
     AGENT = "agent"
@@ -28,12 +28,13 @@
 
 
 def check_settings(arguments: Namespace) -> ExitCode:
-    """Check settings files and report the mistakes of all of them together.
+    """Check settings files and report the errors of all files together.
 
     Parameters
     ----------
     arguments : Namespace
-        With ``files`` and ``role``; without a role each file's sections tell it.
+        With ``files`` and ``role``. If the role is None, it is inferred from the
+        sections of each file.
 
     Returns
     -------
@@ -42,12 +43,12 @@
     Raises
     ------
     FindingsError
-        With every mistake of every file.
+        With all errors of all files.
     """
     findings: list[Finding] = []
     for file in arguments.files:
         try:
-            role = arguments.role or _guess_role(file)
+            role = arguments.role or _infer_role(file)
             _CHECK_BY_ROLE[role](file)
         except FindingsError as error:
             findings += error.findings
@@ -70,7 +71,7 @@
     Parameters
     ----------
     file : Path
-        The file.
+        Path of the file, in UTF-8.
 
     Returns
     -------
@@ -79,7 +80,7 @@
     Raises
     ------
     FindingsError
-        When it cannot be read.
+        If the file cannot be read.
     """
     try:
         return file.read_text(encoding="utf-8")
@@ -87,7 +88,7 @@
         raise FindingsError([Finding(str(file), f"cannot be read: {error}")]) from error
 
 
-def _guess_role(file: Path) -> FileRole:
+def _infer_role(file: Path) -> FileRole:
     text = read_text(file)
     if _TREE_SECTION.search(text):
         return FileRole.TREE
--- a/libs/cli/src/berylwalk/cli/_reading.py
+++ b/libs/cli/src/berylwalk/cli/_settings_queries.py
@@ -1,4 +1,4 @@
-"""Commands that show the settings in force."""
+"""Commands that show the current settings."""
 
 import json
 from argparse import Namespace
@@ -8,13 +8,13 @@
 
 from berylwalk.cli._admin_client import AdminClient
 from berylwalk.cli._exit_codes import CommandError, ExitCode
-from berylwalk.cli._text import format_table, format_value
+from berylwalk.cli._formatting import format_table, format_value
 
 VERSION_COMMENT = "; settings version "
 
 
 def get_settings(arguments: Namespace) -> ExitCode:
-    """Show the effective values of a node, or of one key alone.
+    """Show the effective values of a node, or of a single key.
 
     Parameters
     ----------
@@ -41,7 +41,7 @@
 
 
 def print_tree(arguments: Namespace) -> ExitCode:
-    """Show the whole tree and where each value comes from."""
+    """Show the settings tree and the origin of each value."""
     document = AdminClient.from_arguments(arguments).request("GET", "settings/tree")
     if arguments.json:
         print(json.dumps(document.document, indent=2))
@@ -53,7 +53,7 @@
 
 
 def export_settings(arguments: Namespace) -> ExitCode:
-    """Print the tree as INI, with its version in a comment for the import."""
+    """Print the tree as INI; a comment holds the version that an import is based on."""
     reply = AdminClient.from_arguments(arguments).request("GET", "settings/export")
     print(f"{VERSION_COMMENT}{reply.version}")
     print(reply.body.decode().rstrip("\n"))
@@ -81,10 +81,10 @@
 def _section_lines(section: dict[str, Any]) -> Iterator[str]:
     yield f"[{section['path']}]"
     for value in section["values"]:
-        yield f"  {value['key']} = {format_value(value['value'])}{_remark(value)}"
+        yield f"  {value['key']} = {format_value(value['value'])}{_origin_note(value)}"
 
 
-def _remark(value: dict[str, Any]) -> str:
+def _origin_note(value: dict[str, Any]) -> str:
     if value["origin"] == "inherited":
         return f"  (inherited from {value['source']})"
     if value["origin"] == "overridden":
--- a/libs/cli/src/berylwalk/cli/_status.py
+++ b/libs/cli/src/berylwalk/cli/_status.py
@@ -1,4 +1,4 @@
-"""The command that shows the fleet."""
+"""Command that shows the state of the fleet."""
 
 import json
 from argparse import Namespace
@@ -6,9 +6,9 @@
 
 from berylwalk.cli._admin_client import AdminClient
 from berylwalk.cli._exit_codes import ExitCode
-from berylwalk.cli._text import format_table
+from berylwalk.cli._formatting import format_table
 
-_TARGET_TITLES = (
+_TARGET_COLUMNS = (
     "AGENT",
     "ADDRESS",
     "DOMAIN",
@@ -18,12 +18,12 @@
     "WAITING",
     "RESOURCES",
 )
-_TIER_TITLES = ("TIER", "RANK", "WAITING", "RUNNING")
-_NODE_TITLES = ("NODE", "ROLE", "ADDRESS", "DOMAIN", "SETTINGS", "SILENT_S")
+_TIER_COLUMNS = ("TIER", "RANK", "WAITING", "RUNNING")
+_NODE_COLUMNS = ("NODE", "ROLE", "ADDRESS", "DOMAIN", "SETTINGS", "SILENT_S")
 
 
 def print_status(arguments: Namespace) -> ExitCode:
-    """Show targets, tiers and nodes as one router sees them.
+    """Show the targets, tiers and nodes that a router knows.
 
     Parameters
     ----------
@@ -47,9 +47,9 @@
 
 def _status_text(status: dict[str, list[dict[str, Any]]]) -> str:
     tables = (
-        format_table(_TARGET_TITLES, map(_target_row, status["targets"])),
-        format_table(_TIER_TITLES, map(_tier_row, status["tiers"])),
-        format_table(_NODE_TITLES, map(_node_row, status["nodes"])),
+        format_table(_TARGET_COLUMNS, map(_target_row, status["targets"])),
+        format_table(_TIER_COLUMNS, map(_tier_row, status["tiers"])),
+        format_table(_NODE_COLUMNS, map(_node_row, status["nodes"])),
     )
     return "\n\n".join(tables)
 
@@ -81,7 +81,7 @@
     return tier["name"], tier["rank"], tier["waiting"], tier["running"]
 
 
-def _silence(silent_s: float | None) -> str:
+def _format_silence(silent_s: float | None) -> str:
     return "never heard" if silent_s is None else f"{silent_s:.1f}"
 
 
@@ -92,5 +92,5 @@
         node["address"],
         node["failure_domain"],
         node["settings_version"],
-        _silence(node["silent_s"]),
+        _format_silence(node["silent_s"]),
     )
--- a/libs/cli/tests/conftest.py
+++ b/libs/cli/tests/conftest.py
@@ -1,4 +1,4 @@
-"""A running administration API, and the command line in another thread."""
+"""Fixtures that run commands against an administration API."""
 
 from dataclasses import dataclass
 from hashlib import sha256
@@ -35,11 +35,11 @@
 
 
 class Settings:
-    """Settings without a store; ``loses_answers`` hides what was accepted."""
+    """In-memory settings; with ``loses_responses`` an accepted change is undecided."""
 
     def __init__(self):
         self.document = SettingsDocument(1, parse_ini(SETTINGS))
-        self.loses_answers = False
+        self.loses_responses = False
 
     async def latest(self):
         """Return the document."""
@@ -53,8 +53,8 @@
         if not isinstance(result, SettingsDocument):
             return result
         self.document = result
-        if self.loses_answers:
-            return Undecided("the answer was lost")
+        if self.loses_responses:
+            return Undecided("the response was lost")
         return Accepted(result.version, result)
 
 
@@ -91,8 +91,8 @@
 
 
 @dataclass
-class Ended:
-    """A command that has ended."""
+class CommandResult:
+    """Exit code and output of a command."""
 
     exit_code: int
     output: str
@@ -101,20 +101,20 @@
 
 @pytest.fixture(autouse=True)
 def environment(monkeypatch):
-    """Set the token and a fixed width of help texts."""
+    """Set the token and a fixed width for help texts."""
     monkeypatch.setenv("BERYLWALK_ADMIN_TOKEN", TOKEN)
     monkeypatch.setenv("COLUMNS", "88")
 
 
 @pytest.fixture
 def settings():
-    """Settings at version 1."""
+    """Return settings at version 1."""
     return Settings()
 
 
 @pytest.fixture
 async def admin_url(settings):
-    """URL of a running administration API."""
+    """Yield the URL of a running administration API."""
     application = admin_app(
         settings=settings,
         fleet=_make_fleet(),
@@ -129,7 +129,7 @@
 
 @pytest.fixture
 def command(capsys):
-    """Run a command in this thread."""
+    """Return a function that runs a command in this thread."""
 
     def run(*argv):
         try:
@@ -137,14 +137,14 @@
         except SystemExit as error:
             exit_code = error.code
         captured = capsys.readouterr()
-        return Ended(exit_code, captured.out, captured.err)
+        return CommandResult(exit_code, captured.out, captured.err)
 
     return run
 
 
 @pytest.fixture
 def client_command(command, admin_url):
-    """Run a command against the API, which goes on in this thread."""
+    """Return a function that runs a command against the API in a thread."""
 
     async def run(*argv, admin=admin_url):
         return await run_sync(lambda: command(*argv, "--admin", admin))
@@ -154,7 +154,7 @@
 
 @pytest.fixture
 def unused_url():
-    """URL of a port that nobody listens on, kept bound until the test ends."""
+    """Yield the URL of a port that is bound, but not listening."""
     with socket() as bound:
         bound.bind(("127.0.0.1", 0))
         yield f"http://127.0.0.1:{bound.getsockname()[1]}"
@@ -162,7 +162,7 @@
 
 @pytest.fixture
 async def other_url():
-    """URL of a server that is not an administration API."""
+    """Yield the URL of a server that is not an administration API."""
 
     async def application(scope, receive, send):
         await send_json(send, 502, ["bad gateway"])
--- a/libs/cli/tests/test_cli_command_line.py
+++ b/libs/cli/tests/test_cli_command_line.py
@@ -45,26 +45,26 @@
 class TestHelp:
     @pytest.mark.parametrize("name", COMMANDS, ids=lambda name: name or "berylwalk")
     def test_help(self, command, snapshot, name):
-        """Every command explains itself."""
-        ended = command(*name.split(), "--help")
-        assert ended.exit_code == ExitCode.OK
-        assert ended.output == snapshot
+        """Help texts must not change unnoticed."""
+        result = command(*name.split(), "--help")
+        assert result.exit_code == ExitCode.OK
+        assert result.output == snapshot
 
     def test_reference(self, command):
-        """The printed reference is that of the settings library."""
+        """The command prints the reference of `berylwalk.settings`."""
         assert command("settings-reference").output == f"{settings_reference()}"
 
 
 class TestOutput:
     @pytest.mark.parametrize("argv", [["settings-reference"], ["--help"]])
-    def test_reader_that_leaves(self, monkeypatch, capsys, argv):
-        """A pipe that is closed early ends the command without a traceback."""
+    def test_broken_pipe(self, monkeypatch, capsys, argv):
+        """A closed output pipe ends the command without a traceback."""
         reading, writing = os.pipe()
         os.close(reading)
         with os.fdopen(writing, "w") as output:
             monkeypatch.setattr("sys.stdout", output)
             assert main(argv) == ExitCode.FAILED
-            # The interpreter flushes once more at its end.
+            # As the interpreter does at shutdown.
             output.flush()
         assert capsys.readouterr().err == ""
 
@@ -84,43 +84,43 @@
         ],
     )
     def test_wrong_command_line(self, command, argv):
-        """A wrong command line is told from wrong input."""
+        """Usage errors have their own exit code."""
         assert command(*argv.split()).exit_code == ExitCode.USAGE
 
 
 class TestCheckSettings:
     def test_valid_files(self, command, tmp_path):
-        """Valid files are named with what they are for."""
+        """Each valid file is listed with its role."""
         (tmp_path / "router.ini").write_text(ROUTER)
-        ended = command("check-settings", str(tmp_path / "router.ini"))
-        assert (ended.exit_code, ended.errors) == (ExitCode.OK, "")
-        assert ended.output.endswith("router.ini: valid (router)\n")
+        result = command("check-settings", str(tmp_path / "router.ini"))
+        assert (result.exit_code, result.errors) == (ExitCode.OK, "")
+        assert result.output.endswith("router.ini: valid (router)\n")
 
     def test_all_findings_of_all_files(self, command, tmp_path, monkeypatch, snapshot):
-        """Mistakes of several files are reported together, each with its place."""
+        """Errors of all files are reported together, each with its location."""
         monkeypatch.chdir(tmp_path)
         (tmp_path / "agent.ini").write_text(BROKEN_AGENT)
         (tmp_path / "tree.ini").write_text(BROKEN_TREE)
-        ended = command("check-settings", "agent.ini", "tree.ini", "missing.ini")
-        assert ended.exit_code == ExitCode.FINDINGS
-        assert ended.errors == snapshot
+        result = command("check-settings", "agent.ini", "tree.ini", "missing.ini")
+        assert result.exit_code == ExitCode.FINDINGS
+        assert result.errors == snapshot
 
-    def test_role_goes_before_the_sections(self, command, tmp_path):
-        """A file of the other kind of process is refused."""
+    def test_role_overrides_inference(self, command, tmp_path):
+        """A router file is invalid as an agent file."""
         (tmp_path / "router.ini").write_text(ROUTER)
         argv = ("check-settings", "--role", "agent", str(tmp_path / "router.ini"))
-        ended = command(*argv)
-        assert ended.exit_code == ExitCode.FINDINGS
-        assert "[target] url" in ended.errors
+        result = command(*argv)
+        assert result.exit_code == ExitCode.FINDINGS
+        assert "[target] url" in result.errors
 
 
 class TestDaemons:
     @pytest.mark.parametrize("name", ["router", "agent"])
-    def test_mistakes_of_the_file(self, command, tmp_path, name):
-        """A daemon does not start with mistakes in its file; it names them all."""
+    def test_invalid_settings_file(self, command, tmp_path, name):
+        """A daemon with an invalid file does not start, and reports all errors."""
         file = tmp_path / "node.ini"
         file.write_text("[node]\nid = x\n")
-        ended = command(name, "--settings", str(file))
-        assert ended.exit_code == ExitCode.FINDINGS
-        assert f"{file} [fleet] key:" in ended.errors
-        assert f"{file} [node] address:" in ended.errors
+        result = command(name, "--settings", str(file))
+        assert result.exit_code == ExitCode.FINDINGS
+        assert f"{file} [fleet] key:" in result.errors
+        assert f"{file} [node] address:" in result.errors
--- a/libs/cli/tests/test_cli_explaining.py
+++ b/libs/cli/tests/test_cli_explaining.py
@@ -1,4 +1,4 @@
-"""Finding the cause of a failed request from logs alone."""
+"""Tests of ``explain``, ``check-deployment`` and ``beliefs``."""
 
 import pytest
 from msgspec.json import encode
@@ -90,7 +90,7 @@
 
 @pytest.fixture
 def logs(tmp_path):
-    """Return log files of two routers, with other programs' lines between."""
+    """Return log files of two routers, with other output and a truncated line."""
     files = []
     for node in ("edge-1", "edge-2"):
         lines = [line for line in REFUSED + LOST + LATE if line["node"] == node]
@@ -104,7 +104,7 @@
 
 
 class TestExplain:
-    """The way from an id to a cause."""
+    """Timeline of a request."""
 
     @pytest.mark.parametrize(
         ("request_id", "expected"),
@@ -114,34 +114,34 @@
             ("a3", ["first_event_ms=1200.0", "load=61000", "peer_in_flight=9"]),
         ],
     )
-    def test_cause_of_three_kinds(self, logs, capsys, request_id, expected):
-        """Refused with targets there, lost with its target, late."""
+    def test_cause(self, logs, capsys, request_id, expected):
+        """The cause is shown for a refused, a failed and a late request."""
         assert main(["explain", request_id, *logs]) == 0
         shown = capsys.readouterr().out
         for text in expected:
             assert text in shown
 
-    def test_beliefs_at_that_time_are_shown(self, logs, capsys):
-        """What the router came to believe shortly before is part of the story."""
+    def test_preceding_target_events_are_shown(self, logs, capsys):
+        """Events shortly before the request that affect its targets are shown."""
         main(["explain", "a1", *logs])
         assert "target-listed" in capsys.readouterr().out
 
     def test_unknown_id(self, logs, capsys):
-        """Nothing found is a failure that says what it may mean."""
+        """The error lists the possible reasons."""
         assert main(["explain", "nobody", *logs]) == 1
-        assert "was killed before it could tell" in capsys.readouterr().err
+        assert "was killed before it wrote the log" in capsys.readouterr().err
 
     def test_missing_file(self, logs, capsys):
-        """A file that can't be read is named."""
+        """The error names the file."""
         assert main(["explain", "a1", "nowhere.log"]) == 3
         assert "nowhere.log" in capsys.readouterr().err
 
 
 class TestCheckDeployment:
-    """Files of the deployment."""
+    """Validation of deployment files."""
 
     def test_deploy_file_of_the_repository(self, capsys):
-        """What is deployed is valid."""
+        """The deploy file in this repository is valid."""
         assert main(["check-deployment", "deploy/system.toml"]) == 0
 
     @pytest.mark.parametrize(
@@ -154,27 +154,25 @@
             ("a.toml", "build = 'b'\n[roles.r]\nrun = 'x'", "no 'on'"),
         ],
     )
-    def test_mistakes_are_told_with_their_place(
-        self, tmp_path, capsys, name, text, expected
-    ):
-        """All of them, and the exit code says so."""
+    def test_errors_have_location(self, tmp_path, capsys, name, text, expected):
+        """Invalid files are reported with a distinct exit code."""
         file = tmp_path / name
         file.write_text(text)
         assert main(["check-deployment", str(file)]) == 3
         assert expected in capsys.readouterr().err
 
-    def test_router_that_does_not_answer(self, capsys):
-        """Its metrics can't be read."""
+    def test_unreachable_router(self, capsys):
+        """The error names the URL of the metrics."""
         url = "http://127.77.9.9:9/metrics"
         assert main(["beliefs", url, "--timeout-s", "1"]) == 5
         assert url in capsys.readouterr().err
 
 
-class TestHeldBack:
-    """From a request that is held back to the targets that ended under it."""
+class TestQuarantinedRequest:
+    """Timeline of a quarantined request."""
 
-    def test_chain_goes_over_other_ids_and_routers(self, tmp_path, capsys):
-        """All ends under the same request are shown, however long ago."""
+    def test_events_of_same_identity_are_shown(self, tmp_path, capsys):
+        """Crashes under other ids of the same request are shown, however old."""
         lines = [
             {
                 "time": 10.0 + number,
--- a/libs/cli/tests/test_cli_platform_commands.py
+++ b/libs/cli/tests/test_cli_platform_commands.py
@@ -1,4 +1,4 @@
-"""Commands that need only files: causes of a day, replayed loads."""
+"""Tests of ``causes`` and ``replay``."""
 
 from json import dumps
 
@@ -7,8 +7,8 @@
 from berylwalk.cli import main
 
 
-def ended(**fields):
-    """Return a log line of a request's end."""
+def request_ended(**fields):
+    """Return a ``request-ended`` log line."""
     values = {
         "time": 1.0,
         "node": "edge-1",
@@ -27,15 +27,17 @@
 
 
 class TestCauses:
-    def test_causes_are_told_apart(self, tmp_path, capsys):
+    def test_each_cause_is_counted(self, tmp_path, capsys):
         lines = [
-            ended(),
-            ended(first_event_ms=900.0),
-            ended(first_event_ms=900.0, waited_ms=500.0),
-            ended(first_event_ms=900.0, attempts=[{"longest_pause_ms": 0.0}] * 2),
-            ended(attempts=[{"longest_pause_ms": 400.0}]),
-            ended(status=503, reason="no-place"),
-            ended(status=0, reason="cut-timeout"),
+            request_ended(),
+            request_ended(first_event_ms=900.0),
+            request_ended(first_event_ms=900.0, waited_ms=500.0),
+            request_ended(
+                first_event_ms=900.0, attempts=[{"longest_pause_ms": 0.0}] * 2
+            ),
+            request_ended(attempts=[{"longest_pause_ms": 400.0}]),
+            request_ended(status=503, reason="no-place"),
+            request_ended(status=0, reason="cut-timeout"),
             dumps(
                 {"time": 1.0, "event": "request-ended", "status": 404, "reason": "x"}
             ),
@@ -50,13 +52,15 @@
         for cause in ("a pause that was too long", "503 no-place", "0 cut-timeout"):
             assert shown.count(cause) == 1
 
-    def test_span_of_time_is_cut_out(self, tmp_path, capsys):
+    def test_since_and_until_limit_the_lines(self, tmp_path, capsys):
         log = tmp_path / "edge-1.log"
-        log.write_text("\n".join(ended(time=float(second)) for second in range(10)))
+        log.write_text(
+            "\n".join(request_ended(time=float(second)) for second in range(10))
+        )
         assert main(["causes", str(log), "--since", "2", "--until", "5"]) == 0
         assert "3 requests" in capsys.readouterr().out
 
-    def test_file_without_requests_is_an_error(self, tmp_path):
+    def test_log_without_requests_fails(self, tmp_path):
         log = tmp_path / "edge-1.log"
         log.write_text("")
         assert main(["causes", str(log)]) != 0
@@ -72,7 +76,7 @@
         )
         return str(path)
 
-    def test_versions_are_shown_beside_each_other(self, scenario, capsys):
+    def test_prints_a_table_per_variant(self, scenario, capsys):
         arguments = ["replay", scenario, "--seeds", "1", "--without", "waiting"]
         assert main(arguments) == 0
         shown = capsys.readouterr().out
@@ -87,10 +91,10 @@
             (["--set", "_nowhere.NONE=1"], "_nowhere"),
         ],
     )
-    def test_what_is_not_there_is_named(self, scenario, options, text, capsys):
+    def test_error_names_unknown_option_value(self, scenario, options, text, capsys):
         assert main(["replay", scenario, *options]) != 0
         assert text in capsys.readouterr().err
 
-    def test_missing_scenario_is_an_error(self, capsys):
+    def test_missing_scenario_fails(self, capsys):
         assert main(["replay", "nowhere.toml"]) != 0
         assert "nowhere.toml" in capsys.readouterr().err
--- a/libs/cli/tests/test_cli_quarantined.py
+++ b/libs/cli/tests/test_cli_quarantined.py
@@ -1,4 +1,4 @@
-"""Requests that are held back, as operators see them and let them through."""
+"""Tests of ``quarantined``."""
 
 from contextlib import asynccontextmanager
 from os import getpid
@@ -29,7 +29,7 @@
 
 @pytest.fixture
 def quarantined(command):
-    """Return a context manager: a store with a record, and the command against it."""
+    """Return a context manager that serves a store and yields a runner of commands."""
 
     @asynccontextmanager
     async def serve(value=RECORD):
@@ -47,53 +47,53 @@
     return serve
 
 
-class TestShown:
-    """What is printed."""
+class TestList:
+    """Output of the records."""
 
     async def test_records(self, quarantined):
-        """One line each: since when, trials, and the targets that ended."""
+        """A line has identity, start, number of trials and the crashed targets."""
         async with quarantined() as run:
-            ended = await run()
-        assert ended.exit_code == 0
-        assert ended.output == (
+            result = await run()
+        assert result.exit_code == 0
+        assert result.output == (
             f"{IDENTITY.hex()}  since 2001-09-09T01:46:40+00:00  trials 1  "
             "ended: i-1 i-2 i-3\n"
         )
 
     async def test_none(self, quarantined):
-        """That is said."""
+        """An empty list is stated explicitly."""
         async with quarantined(None) as run:
-            ended = await run()
-        assert (ended.exit_code, ended.output) == (0, "no request is held back\n")
+            result = await run()
+        assert (result.exit_code, result.output) == (0, "no request is held back\n")
 
-    async def test_record_that_cannot_be_read(self, quarantined):
-        """It is shown as such."""
+    async def test_invalid_record(self, quarantined):
+        """A record that cannot be decoded does not fail the command."""
         async with quarantined(b"{") as run:
-            ended = await run()
-        assert "not readable" in ended.output
+            result = await run()
+        assert "not readable" in result.output
 
-    def test_store_that_does_not_answer(self, command, unused_url):
-        """The exit code tells that nothing is known."""
-        ended = command("quarantined", unused_url)
-        assert ended.exit_code == 5
-        assert "the store" in ended.errors
+    def test_unreachable_store(self, command, unused_url):
+        """An unreachable store is not shown as an empty list."""
+        result = command("quarantined", unused_url)
+        assert result.exit_code == 5
+        assert "the store" in result.errors
 
 
 class TestRelease:
-    """Letting one through."""
+    """Release of a request."""
 
     async def test_record_is_deleted(self, quarantined):
-        """Routers notice that it is gone."""
+        """Routers release the request when its record is deleted."""
         async with quarantined() as run:
-            ended = await run("--release", IDENTITY.hex())
+            result = await run("--release", IDENTITY.hex())
             assert run.store.get(record_key(IDENTITY)) is None
-        assert ended.exit_code == 0
-        assert "is let through" in ended.output
+        assert result.exit_code == 0
+        assert "is let through" in result.output
 
     @pytest.mark.parametrize("identity", ["nonsense", "ab", "ff" * 16])
     async def test_no_such_record(self, quarantined, identity):
-        """It is an error, with the reason."""
+        """The error names the identity."""
         async with quarantined() as run:
-            ended = await run("--release", identity)
-        assert ended.exit_code == 1
-        assert identity in ended.errors
+            result = await run("--release", identity)
+        assert result.exit_code == 1
+        assert identity in result.errors
--- a/libs/cli/tests/test_cli_rollouts.py
+++ b/libs/cli/tests/test_cli_rollouts.py
@@ -1,4 +1,4 @@
-"""Roll-outs as operators see them."""
+"""Tests of ``rollouts``."""
 
 from os import getpid
 
@@ -23,8 +23,8 @@
     return "asyncio"
 
 
-class TestShown:
-    """What is printed."""
+class TestList:
+    """Output of the records."""
 
     @pytest.mark.parametrize(
         ("value", "line"),
@@ -38,18 +38,18 @@
         ],
     )
     async def test_records(self, command, value, line):
-        """One line each: phase, order, versions that get nothing, and why."""
+        """A line has phase, start, versions without traffic, and the reason."""
         platform = PlatformStandin()
         if value is not None:
             platform.store.put(record_key("s"), value)
         async with serving(platform.handle, HOST, PORT, platform.run):
-            ended = await run_sync(lambda: command("rollouts", URL))
-        assert (ended.exit_code, ended.output) == (0, line)
+            result = await run_sync(lambda: command("rollouts", URL))
+        assert (result.exit_code, result.output) == (0, line)
 
-    async def test_record_that_cannot_be_read(self, command):
-        """It is said so, with the place."""
+    async def test_invalid_record(self, command):
+        """A record that cannot be decoded is reported with its service."""
         platform = PlatformStandin()
         platform.store.put(record_key("s"), b"{")
         async with serving(platform.handle, HOST, PORT, platform.run):
-            ended = await run_sync(lambda: command("rollouts", URL))
-        assert ended.output.startswith("s: not readable: ")
+            result = await run_sync(lambda: command("rollouts", URL))
+        assert result.output.startswith("s: not readable: ")
