--- a/libs/agent/src/berylwalk/agent/_dispatch.py
+++ b/libs/agent/src/berylwalk/agent/_dispatch.py
@@ -165,7 +165,7 @@
         stream = await self._client.open_stream(
             grant.method,
             self._target_url + grant.path,
-            headers=target_headers(grant, call.hop.traceparent),
+            headers=target_headers(grant, call.span.traceparent),
             body=body,
             coalesce_s=COALESCE_S if is_model else 0.0,
         )
--- a/libs/agent/src/berylwalk/agent/_dispatch_observer.py
+++ b/libs/agent/src/berylwalk/agent/_dispatch_observer.py
@@ -7,7 +7,14 @@
 from berylwalk.agent._events import DispatchEnd
 from berylwalk.agent._machine import AgentMachine
 from berylwalk.model import Refusal, RefusalReason
-from berylwalk.telemetry import AgentMetrics, Hop, HopStatus, Level, Tracing, log_event
+from berylwalk.telemetry import (
+    AgentMetrics,
+    Level,
+    SpanStatus,
+    TraceSpan,
+    Tracing,
+    log_event,
+)
 from berylwalk.wire import Grant
 
 
@@ -19,7 +26,7 @@
     ----------
     grant : Grant
         Grant of the request.
-    hop : Hop
+    span : TraceSpan
         Span of the request.
     started_at : float
         Monotonic time of the dispatch, in seconds.
@@ -32,7 +39,7 @@
     """
 
     grant: Grant
-    hop: Hop
+    span: TraceSpan
     started_at: float
     status: int = 0
     tokens: int = 0
@@ -74,8 +81,8 @@
             "berylwalk.attempt": grant.attempt,
             "berylwalk.conditional": grant.conditional,
         }
-        hop = self._tracing.start_hop(grant.traceparent, "agent.dispatch", attributes)
-        return DispatchedCall(grant, hop, self._clock())
+        span = self._tracing.start_span(grant.traceparent, "agent.dispatch", attributes)
+        return DispatchedCall(grant, span, self._clock())
 
     def first_chunk(self, call: DispatchedCall) -> None:
         """Record the first chunk of a response."""
@@ -93,10 +100,10 @@
         if end in (DispatchEnd.BROKEN, DispatchEnd.CALLER_GONE):
             self._metrics.wasted_prefill_tokens.inc(grant.prompt_tokens)
         is_complete = end is DispatchEnd.COMPLETE
-        call.hop.set_attributes(
+        call.span.set_attributes(
             {"berylwalk.end": end.value, "http.response.status_code": call.status}
         )
-        call.hop.end(HopStatus.OK if is_complete else HopStatus.ERROR, end.value)
+        call.span.end(SpanStatus.OK if is_complete else SpanStatus.ERROR, end.value)
         log_event(
             Level.INFO,
             "dispatch-ended",
--- a/libs/agent/src/berylwalk/agent/_settings_responder.py
+++ b/libs/agent/src/berylwalk/agent/_settings_responder.py
@@ -1,6 +1,6 @@
 """Settings queries of routers that cannot get the settings elsewhere."""
 
-from berylwalk.process import SettingsReplies
+from berylwalk.process import SettingsReplyBuilder
 from berylwalk.settings import SettingsReplica
 from berylwalk.wire import SettingsQuery, decode_query, encode_sync
 
@@ -19,7 +19,7 @@
     """
 
     def __init__(self, replica: SettingsReplica) -> None:
-        self._replies = SettingsReplies(replica)
+        self._replies = SettingsReplyBuilder(replica)
 
     async def respond(self, request: bytes) -> bytes:
         """Return the encoded reply to an encoded query.
--- a/libs/agent/src/berylwalk/agent/_shell.py
+++ b/libs/agent/src/berylwalk/agent/_shell.py
@@ -52,8 +52,8 @@
         self._ticks = TickLoop(
             lambda: self.handle(Tick()),
             next_due=lambda: machine.next_due(clock()),
-            least_s=TICK_S,
-            longest_s=IDLE_TICK_S,
+            min_interval_s=TICK_S,
+            max_interval_s=IDLE_TICK_S,
             clock=clock,
         )
         self.drained = Event()
@@ -71,7 +71,7 @@
         """Admit or refuse a grant; return the refusal, or None if it is dispatched."""
         actions = self._machine.handle(GrantArrived(grant), self._clock())
         self._perform(actions)
-        self._ticks.note_event()
+        self._ticks.reschedule()
         refused = [action for action in actions if isinstance(action, RefuseGrant)]
         return refused[0].refusal if refused else None
 
@@ -84,7 +84,7 @@
             logging.exception("failed to handle %s", type(event).__name__)
         # By far the most frequent event; it sets no timer.
         if not isinstance(event, TargetProgress):
-            self._ticks.note_event()
+            self._ticks.reschedule()
 
     async def run_ticks(self) -> None:
         """Send ticks to the state machine when they are due."""
--- a/libs/caller/src/berylwalk/caller/_app.py
+++ b/libs/caller/src/berylwalk/caller/_app.py
@@ -31,7 +31,7 @@
 from berylwalk.caller._routes import Endpoint, Route, find_route
 from berylwalk.caller._submission import submit_and_relay
 from berylwalk.model import Outcome, Submitter
-from berylwalk.telemetry import HopStatus, Tracing
+from berylwalk.telemetry import SpanStatus, Tracing
 from berylwalk.transport import Application, Receive, Scope, Send, send_json
 
 OK = 200
@@ -135,9 +135,9 @@
     )
     try:
         await _answer(api, exchange, scope)
-        exchange.hop.end()
+        exchange.span.end()
     except BaseException as error:
-        exchange.hop.end(HopStatus.ERROR, type(error).__name__)
+        exchange.span.end(SpanStatus.ERROR, type(error).__name__)
         raise
     finally:
         exchange.share.close()
@@ -209,7 +209,7 @@
         values=exchange.values,
         body=body,
         arrived_at=exchange.arrived_at,
-        traceparent=exchange.hop.traceparent,
+        traceparent=exchange.span.traceparent,
     )
     request = api.builder.build(received)
     if isinstance(request, ErrorAnswer):
@@ -227,6 +227,6 @@
     error = await submit_and_relay(
         api.submitter, request, relay, exchange.receive, api.limits, api.times
     )
-    exchange.hop.set_attributes({"status": relay.status})
+    exchange.span.set_attributes({"status": relay.status})
     if error is not None:
         await send_error(exchange, error)
--- a/libs/caller/src/berylwalk/caller/_exchange.py
+++ b/libs/caller/src/berylwalk/caller/_exchange.py
@@ -6,7 +6,7 @@
 from berylwalk.caller._headers import TRACEPARENT, ValuesByName, values_by_name
 from berylwalk.caller._limits import HeldShare
 from berylwalk.model import RequestId
-from berylwalk.telemetry import Hop, Tracing
+from berylwalk.telemetry import TraceSpan, Tracing
 from berylwalk.transport import Receive, Scope, Send, send_json
 
 HOP_NAME = "caller"
@@ -30,7 +30,7 @@
         Monotonic time, in seconds.
     share : HeldShare
         Bytes that the request holds of the common budget.
-    hop : Hop
+    span : TraceSpan
         Span of the request.
     """
 
@@ -41,7 +41,7 @@
     method: str
     arrived_at: float
     share: HeldShare
-    hop: Hop
+    span: TraceSpan
 
 
 def open_exchange(
@@ -70,7 +70,7 @@
         Monotonic time, in seconds.
     """
     values = values_by_name(scope["headers"])
-    hop = tracing.start_hop(
+    span = tracing.start_span(
         values.get(TRACEPARENT, [""])[0],
         HOP_NAME,
         {"request_id": str(request_id), "method": scope["method"]},
@@ -83,7 +83,7 @@
         method=scope["method"],
         arrived_at=arrived_at,
         share=share,
-        hop=hop,
+        span=span,
     )
 
 
@@ -92,5 +92,5 @@
     request_id = str(exchange.request_id)
     document = error_document(answer, request_id)
     headers = error_headers(answer, request_id)
-    exchange.hop.set_attributes({"status": answer.status, "code": answer.code})
+    exchange.span.set_attributes({"status": answer.status, "code": answer.code})
     await send_json(exchange.send, answer.status, document, headers)
--- a/libs/process/src/berylwalk/process/_connections.py
+++ b/libs/process/src/berylwalk/process/_connections.py
@@ -14,7 +14,7 @@
 )
 from berylwalk.wire import FleetKey
 
-AnswerQuestion = Callable[[bytes], Awaitable[bytes]]
+SyncHandler = Callable[[bytes], Awaitable[bytes]]
 """Turns an encoded question of another node into the encoded answer."""
 
 
@@ -62,7 +62,7 @@
             ),
         )
 
-    def sync_server(self, settings: NodeSettings, answer: AnswerQuestion) -> SyncServer:
+    def sync_server(self, settings: NodeSettings, answer: SyncHandler) -> SyncServer:
         """Return a server for the questions of other nodes; it is not started.
 
         Parameters
--- a/libs/process/src/berylwalk/process/_settings_replies.py
+++ b/libs/process/src/berylwalk/process/_settings_reply_builder.py
@@ -4,7 +4,7 @@
 from berylwalk.wire import SettingsQuery, SettingsReply
 
 
-class SettingsReplies:
+class SettingsReplyBuilder:
     """Makes replies; the encoded document is kept for the next one.
 
     Parameters
--- a/libs/process/src/berylwalk/process/_ticking.py
+++ b/libs/process/src/berylwalk/process/_ticking.py
@@ -16,7 +16,7 @@
         Tells the state machine of the time.
     next_due : callable
         Returns when the machine needs the next tick, in seconds of the clock.
-    least_s, longest_s : float
+    min_interval_s, max_interval_s : float
         Least and longest time between two ticks, in seconds.
     clock : callable
         Monotonic clock, in seconds.
@@ -27,19 +27,19 @@
         tick: Callable[[], None],
         *,
         next_due: Callable[[], float],
-        least_s: float,
-        longest_s: float,
+        min_interval_s: float,
+        max_interval_s: float,
         clock: Callable[[], float],
     ) -> None:
         self._tick = tick
         self._next_due = next_due
-        self._least_s = least_s
-        self._longest_s = longest_s
+        self._min_interval_s = min_interval_s
+        self._max_interval_s = max_interval_s
         self._clock = clock
         self._ticks_at = NEVER
         self._due_sooner = Event()
 
-    def note_event(self) -> None:
+    def reschedule(self) -> None:
         """End the present wait if the last event made something due before it."""
         if self._ticks_at == NEVER:
             return
@@ -55,8 +55,10 @@
 
     async def _sleep_until_due(self) -> None:
         now = self._clock()
-        wait_s = min(max(self._next_due() - now, self._least_s), self._longest_s)
-        if wait_s <= 2 * self._least_s:
+        wait_s = min(
+            max(self._next_due() - now, self._min_interval_s), self._max_interval_s
+        )
+        if wait_s <= 2 * self._min_interval_s:
             # Cheaper than to be woken.
             await sleep(wait_s)
             return
--- a/libs/router/src/berylwalk/router/_active_requests.py
+++ b/libs/router/src/berylwalk/router/_active_requests.py
@@ -8,7 +8,7 @@
 
 from berylwalk.model import FinalResponse, Outcome, Request, ResponseSink
 from berylwalk.router._stored_answers import AnswerCopy, StoredAnswer
-from berylwalk.telemetry import Hop
+from berylwalk.telemetry import TraceSpan
 from berylwalk.wire import Grant
 
 
@@ -41,7 +41,7 @@
         The request.
     sink : ResponseSink
         Where its answer goes.
-    hop : Hop or None
+    span : TraceSpan or None
         Span of the request.
     copy : AnswerCopy or None
         Copy of the answer for the idempotency record.
@@ -65,7 +65,7 @@
 
     request: Request
     sink: ResponseSink
-    hop: Hop | None = None
+    span: TraceSpan | None = None
     copy: AnswerCopy | None = None
     clock: Callable[[], float] = monotonic
     ended: Event = field(default_factory=Event)
--- a/libs/router/src/berylwalk/router/_grant_tasks.py
+++ b/libs/router/src/berylwalk/router/_grant_tasks.py
@@ -14,7 +14,7 @@
     RouterEvent,
 )
 from berylwalk.router._grants_http import GrantSender
-from berylwalk.telemetry import Hop, HopStatus, Tracing
+from berylwalk.telemetry import SpanStatus, TraceSpan, Tracing
 from berylwalk.wire import Grant
 
 Spawn = Callable[..., None]
@@ -75,19 +75,19 @@
         self._handle(GrantNotSent(grant.request_id, grant.attempt))
 
     async def _send(self, active: ActiveRequest, granted: ActiveGrant) -> None:
-        hop = self._start_hop(active, granted.grant)
+        span = self._start_span(active, granted.grant)
         granted.grant = msgspec.structs.replace(
-            granted.grant, traceparent=hop.traceparent
+            granted.grant, traceparent=span.traceparent
         )
         try:
             await self._sender.send(active, granted)
         finally:
             was_cut = granted.scope.cancelled_caught
-            hop.end(HopStatus.ERROR if was_cut else HopStatus.OK)
+            span.end(SpanStatus.ERROR if was_cut else SpanStatus.OK)
 
-    def _start_hop(self, active: ActiveRequest, grant: Grant) -> Hop:
-        return self._tracing.start_hop(
-            active.hop.traceparent,
+    def _start_span(self, active: ActiveRequest, grant: Grant) -> TraceSpan:
+        return self._tracing.start_span(
+            active.span.traceparent,
             "router.grant",
             {
                 "berylwalk.request_id": str(grant.request_id),
--- a/libs/router/src/berylwalk/router/_observing.py
+++ b/libs/router/src/berylwalk/router/_observing.py
@@ -6,7 +6,7 @@
 
 from berylwalk.model import FinalResponse, Outcome
 from berylwalk.router._active_requests import ActiveRequest
-from berylwalk.telemetry import HopStatus, Level, RouterMetrics, log_event
+from berylwalk.telemetry import Level, RouterMetrics, SpanStatus, log_event
 
 FINISHED_EVENT = "request-finished"
 
@@ -94,13 +94,13 @@
         )
 
     def _end_hop(self, active: ActiveRequest, final: FinalResponse | None) -> None:
-        if active.hop is None:
+        if active.span is None:
             return
-        active.hop.set_attributes(
+        active.span.set_attributes(
             {"berylwalk.outcome": _outcome(final), "berylwalk.agent": active.agent}
         )
-        status = HopStatus.OK if _is_complete(final) else HopStatus.ERROR
-        active.hop.end(status, _outcome(final))
+        status = SpanStatus.OK if _is_complete(final) else SpanStatus.ERROR
+        active.span.end(status, _outcome(final))
 
 
 def _outcome(final: FinalResponse | None) -> str:
--- a/libs/router/src/berylwalk/router/_settings_sync.py
+++ b/libs/router/src/berylwalk/router/_settings_sync.py
@@ -10,7 +10,7 @@
 
 from berylwalk.model import FindingsError
 from berylwalk.platform import EventKind, KeyValueStore, Unavailable
-from berylwalk.process import SettingsReplies
+from berylwalk.process import SettingsReplyBuilder
 from berylwalk.router._settings_store import PlatformSettingsStore
 from berylwalk.settings import (
     SETTINGS_KEY,
@@ -79,7 +79,7 @@
         self._pull_jitter_s = pull_jitter_s
         self._clock = clock
         self._rng = rng or Random()
-        self._replies = SettingsReplies(replica)
+        self._replies = SettingsReplyBuilder(replica)
         self._store_answers: bool | None = None
         # Agents that are ahead, by their names.
         self._address_by_agent: dict[str, str] = {}
--- a/libs/router/src/berylwalk/router/_shell.py
+++ b/libs/router/src/berylwalk/router/_shell.py
@@ -105,8 +105,8 @@
         self._ticks = TickLoop(
             lambda: self.handle(Tick()),
             next_due=next_due,
-            least_s=TICK_S,
-            longest_s=IDLE_TICK_S,
+            min_interval_s=TICK_S,
+            max_interval_s=IDLE_TICK_S,
             clock=clock,
         )
         self.drained = Event()
@@ -177,7 +177,7 @@
             # A fault must not leave a caller waiting, nor end the process.
             logging.exception("handling %s failed", type(event).__name__)
             self._end_unknown(event, "an internal error occurred")
-        self._ticks.note_event()
+        self._ticks.reschedule()
 
     def report(self, event: RouterEvent) -> None:
         """Take an event of a grant."""
@@ -198,13 +198,13 @@
             await sleep(0.02)
 
     def _activate(self, request: Request, sink: ResponseSink) -> ActiveRequest:
-        hop = self._tracing.start_hop(
+        span = self._tracing.start_span(
             request.traceparent,
             "router.request",
             {"berylwalk.request_id": str(request.request_id)},
         )
         copy = AnswerCopy() if request.idempotency_key else None
-        active = ActiveRequest(request, sink, hop, copy, self._clock)
+        active = ActiveRequest(request, sink, span, copy, self._clock)
         self._active_by_id[request.request_id] = active
         return active
 
--- a/libs/telemetry/src/berylwalk/telemetry/__init__.py
+++ b/libs/telemetry/src/berylwalk/telemetry/__init__.py
@@ -9,17 +9,17 @@
     render,
 )
 from berylwalk.telemetry._ops import ops_application
-from berylwalk.telemetry._traces import Exporter, Hop, HopStatus, Tracing
+from berylwalk.telemetry._traces import Exporter, SpanStatus, TraceSpan, Tracing
 
 __all__ = [
     "AgentMetrics",
     "ConfigurationError",
     "Exporter",
-    "Hop",
-    "HopStatus",
     "Level",
     "RequestMetrics",
     "RouterMetrics",
+    "SpanStatus",
+    "TraceSpan",
     "Tracing",
     "configure_logging",
     "log_event",
--- a/libs/telemetry/src/berylwalk/telemetry/_traces.py
+++ b/libs/telemetry/src/berylwalk/telemetry/_traces.py
@@ -40,14 +40,14 @@
     OTLP = "otlp"
 
 
-class HopStatus(StrEnum):
+class SpanStatus(StrEnum):
     """How a hop ended."""
 
     OK = "ok"
     ERROR = "error"
 
 
-class Hop:
+class TraceSpan:
     """One span in progress.
 
     Parameters
@@ -77,17 +77,17 @@
         """
         self._span.set_attributes(dict(attributes))
 
-    def end(self, status: HopStatus = HopStatus.OK, reason: str = "") -> None:
+    def end(self, status: SpanStatus = SpanStatus.OK, reason: str = "") -> None:
         """Finish the span.
 
         Parameters
         ----------
-        status : HopStatus
+        status : SpanStatus
             How the hop ended.
         reason : str, optional
             Description of an error.
         """
-        if status is HopStatus.ERROR:
+        if status is SpanStatus.ERROR:
             self._span.set_status(Status(StatusCode.ERROR, reason))
         else:
             self._span.set_status(Status(StatusCode.OK))
@@ -160,9 +160,9 @@
         provider.add_span_processor(BatchSpanProcessor(span_exporter))
         return cls(provider, file)
 
-    def start_hop(
+    def start_span(
         self, traceparent: str | None, name: str, attributes: Attributes | None = None
-    ) -> Hop:
+    ) -> TraceSpan:
         """Start a span below the caller's, or a new trace.
 
         Parameters
@@ -176,19 +176,19 @@
 
         Returns
         -------
-        Hop
+        TraceSpan
             Its `traceparent` goes on to the next hop.
         """
         parent = _parse_traceparent(traceparent)
         if self._tracer is None:
-            return Hop(_unrecorded_span(parent))
+            return TraceSpan(_unrecorded_span(parent))
         context = None
         if parent is not None:
             context = trace.set_span_in_context(NonRecordingSpan(parent))
         span = self._tracer.start_span(
             name, context=context, attributes=dict(attributes or {})
         )
-        return Hop(span)
+        return TraceSpan(span)
 
     def close(self) -> None:
         """Export what is left, for up to the SDK's timeout, and stop."""
--- a/libs/telemetry/tests/test_telemetry_traces.py
+++ b/libs/telemetry/tests/test_telemetry_traces.py
@@ -4,23 +4,23 @@
 
 import pytest
 
-from berylwalk.telemetry import ConfigurationError, Exporter, HopStatus, Tracing
+from berylwalk.telemetry import ConfigurationError, Exporter, SpanStatus, Tracing
 
 TRACE_ID = "0af7651916cd43dd8448eb211c80319c"
 SPAN_ID = "b7ad6b7169203331"
 TRACEPARENT = f"00-{TRACE_ID}-{SPAN_ID}-01"
 
 
-class TestStartHop:
+class TestStartSpan:
     def test_spans_of_two_hops_are_linked(self, tmp_path):
         """The second hop's span is a child of the first, in the same trace."""
         path = tmp_path / "spans.jsonl"
         tracing = Tracing.from_config(
             "router", "router-1", exporter=Exporter.FILE, file_path=str(path)
         )
-        first = tracing.start_hop(TRACEPARENT, "place", {"tier": 1})
-        second = tracing.start_hop(first.traceparent, "dispatch")
-        second.end(HopStatus.ERROR, "stream broken")
+        first = tracing.start_span(TRACEPARENT, "place", {"tier": 1})
+        second = tracing.start_span(first.traceparent, "dispatch")
+        second.end(SpanStatus.ERROR, "stream broken")
         first.end()
         tracing.close()
         child, parent = [json.loads(line) for line in path.read_text().splitlines()]
@@ -31,8 +31,8 @@
 
     def test_without_exporter_context_is_passed_on(self):
         """The caller's ids go on unchanged when nothing is recorded."""
-        hop = Tracing.from_config("agent", "agent-1").start_hop(TRACEPARENT, "run")
-        assert hop.traceparent == TRACEPARENT
+        span = Tracing.from_config("agent", "agent-1").start_span(TRACEPARENT, "run")
+        assert span.traceparent == TRACEPARENT
 
     @pytest.mark.parametrize(
         "traceparent",
@@ -41,10 +41,10 @@
     def test_invalid_context_starts_a_new_trace(self, traceparent):
         """Without a valid parent each hop gets new ids."""
         tracing = Tracing.from_config("agent", "agent-1")
-        first = tracing.start_hop(traceparent, "run").traceparent
-        second = tracing.start_hop(traceparent, "run").traceparent
+        first = tracing.start_span(traceparent, "run").traceparent
+        second = tracing.start_span(traceparent, "run").traceparent
         assert first != second
-        assert tracing.start_hop(first, "run").traceparent == first
+        assert tracing.start_span(first, "run").traceparent == first
 
     def test_exporter_without_destination_is_rejected(self):
         """A file exporter needs a path."""
--- a/libs/transport/src/berylwalk/transport/_http_client.py
+++ b/libs/transport/src/berylwalk/transport/_http_client.py
@@ -125,7 +125,7 @@
             head = request_head(method, parsed_url, headers, len(body))
         except ValueError as error:
             # The peer is fine, which "not sent" would leave in doubt.
-            return RequestFailed(SendState.LOST, describe(error))
+            return RequestFailed(SendState.OUTCOME_UNKNOWN, describe(error))
         limit_s = self._read_timeout_s if read_timeout_s is None else read_timeout_s
         connection = await self._connect(parsed_url)
         if isinstance(connection, RequestFailed):
@@ -177,7 +177,7 @@
         Returns
         -------
         HttpResponse or RequestFailed
-            The response; a truncated body is `SendState.LOST`.
+            The response; a truncated body is `SendState.OUTCOME_UNKNOWN`.
         """
         if self._pool is None:
             return RequestFailed(SendState.NOT_SENT, "client is not started")
@@ -188,7 +188,7 @@
         try:
             content = await response.aread()
         except _NETWORK_ERRORS as error:
-            return RequestFailed(SendState.LOST, describe(error))
+            return RequestFailed(SendState.OUTCOME_UNKNOWN, describe(error))
         finally:
             with anyio.CancelScope(shield=True):
                 await response.aclose()
@@ -254,14 +254,14 @@
             await connection.wait(limit_s)
     except TimeoutError:
         connection.close()
-        return RequestFailed(SendState.LOST, "no response in time")
+        return RequestFailed(SendState.OUTCOME_UNKNOWN, "no response in time")
     except BaseException:
         connection.close()
         raise
     if connection.status:
         return None
     connection.close()
-    return RequestFailed(SendState.LOST, connection.failure)
+    return RequestFailed(SendState.OUTCOME_UNKNOWN, connection.failure)
 
 
 async def _send(
@@ -272,7 +272,7 @@
     except _NOT_SENT_ERRORS as error:
         return RequestFailed(SendState.NOT_SENT, describe(error))
     except _NETWORK_ERRORS as error:
-        return RequestFailed(SendState.LOST, describe(error))
+        return RequestFailed(SendState.OUTCOME_UNKNOWN, describe(error))
 
 
 def _complete_headers(
--- a/libs/transport/src/berylwalk/transport/_http_results.py
+++ b/libs/transport/src/berylwalk/transport/_http_results.py
@@ -7,12 +7,12 @@
 class SendState(StrEnum):
     """What is known about a request that failed.
 
-    ``NOT_SENT``: not a byte left this process. ``LOST``: the peer may have
+    ``NOT_SENT``: not a byte left this process. ``OUTCOME_UNKNOWN``: the peer may have
     received and acted on it.
     """
 
     NOT_SENT = "not_sent"
-    LOST = "lost"
+    OUTCOME_UNKNOWN = "lost"
 
 
 @dataclass(frozen=True, slots=True)
--- a/libs/transport/tests/test_transport_http.py
+++ b/libs/transport/tests/test_transport_http.py
@@ -188,7 +188,7 @@
                 async with client.stream("GET", url) as stream:
                     assert await collect(stream) == (b"partial", True)
                 response = await client.request("GET", url)
-                assert response.state is SendState.LOST
+                assert response.state is SendState.OUTCOME_UNKNOWN
 
         run(main, use_uvloop)
 
@@ -201,7 +201,7 @@
         async def main():
             async with serving(abort, linger_s=2 * BOUND_S) as (_, client, url):
                 response = await client.request("GET", url)
-                assert response.state is SendState.LOST
+                assert response.state is SendState.OUTCOME_UNKNOWN
 
         run(main, use_uvloop)
 
@@ -223,7 +223,7 @@
                 async with client.stream("GET", url) as stream:
                     assert await collect(stream) == (b"abc", True)
                 failed = await client.request("GET", url)
-                assert failed.state is SendState.LOST
+                assert failed.state is SendState.OUTCOME_UNKNOWN
                 await client.close()
 
         run(main, use_uvloop)
@@ -285,7 +285,7 @@
                 await client.start()
                 for send in (client.request, client.open_stream):
                     failed = await send("POST", url, body=b"abc")
-                    assert failed.state is SendState.LOST
+                    assert failed.state is SendState.OUTCOME_UNKNOWN
                 await client.close()
 
         run(main, use_uvloop)
@@ -300,7 +300,7 @@
             async with serving(silent) as (_, client, url):
                 for send in (client.request, client.open_stream):
                     failed = await send("GET", url, read_timeout_s=0.05)
-                    assert failed.state is SendState.LOST
+                    assert failed.state is SendState.OUTCOME_UNKNOWN
 
         run(main, use_uvloop)
 
@@ -618,6 +618,6 @@
                 await client.start()
                 failed = await client.open_stream("GET", url)
                 await client.close()
-                assert failed.state is SendState.LOST
+                assert failed.state is SendState.OUTCOME_UNKNOWN
 
         run(main, use_uvloop)
