--- a/libs/process/src/berylwalk/process/__init__.py
+++ b/libs/process/src/berylwalk/process/__init__.py
@@ -1,4 +1,4 @@
-"""What daemons have in common: connections, start, supervision, graceful end."""
+"""Shared parts of the daemons: connections, startup, supervision and shutdown."""
 
 from berylwalk.process._background import keep_running
 from berylwalk.process._connections import NodeConnections, SyncHandler
--- a/libs/process/src/berylwalk/process/_background.py
+++ b/libs/process/src/berylwalk/process/_background.py
@@ -1,4 +1,4 @@
-"""Tasks that run for as long as the process does."""
+"""Supervision of background tasks."""
 
 from collections.abc import Awaitable, Callable
 from time import monotonic
@@ -8,8 +8,8 @@
 
 from berylwalk.platform import backoff_s
 
-HEALTHY_AFTER_S = 30.0
-"""A run of this length ends a series of failures."""
+BACKOFF_RESET_S = 30.0
+"""Duration of a run after which the restart backoff starts anew."""
 
 
 async def keep_running(
@@ -19,16 +19,18 @@
     pause: Callable[[float], Awaitable[None]] = sleep,
     clock: Callable[[], float] = monotonic,
 ) -> None:
-    """Run a coroutine function again whenever it ends, until cancelled.
+    """Run a coroutine function and restart it with backoff whenever it ends.
+
+    It runs until it is cancelled.
 
     Parameters
     ----------
     name : str
         Name of the task, for the logs.
     run : callable
-        Coroutine function that is not meant to return.
+        Coroutine function that is expected not to return.
     pause : callable
-        Sleeps between runs; receives seconds.
+        Coroutine function that sleeps between runs; takes seconds.
     clock : callable
         Monotonic clock, in seconds.
     """
@@ -40,8 +42,8 @@
         except Exception:
             logging.exception("background task %s failed", name)
         else:
-            logging.error("background task %s ended", name)
-        if clock() - started_at >= HEALTHY_AFTER_S:
+            logging.error("background task %s returned unexpectedly", name)
+        if clock() - started_at >= BACKOFF_RESET_S:
             failures = 0
         failures += 1
         delay_s = backoff_s(failures)
--- a/libs/process/src/berylwalk/process/_connections.py
+++ b/libs/process/src/berylwalk/process/_connections.py
@@ -1,4 +1,4 @@
-"""Connections that routers and agents have in common."""
+"""Network clients and sockets shared by routers and agents."""
 
 from collections.abc import Awaitable, Callable
 from dataclasses import dataclass
@@ -15,25 +15,25 @@
 from berylwalk.wire import FleetKey
 
 SyncHandler = Callable[[bytes], Awaitable[bytes]]
-"""Turns an encoded question of another node into the encoded answer."""
+"""Coroutine function that takes an encoded request and returns the encoded reply."""
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class NodeConnections:
-    """Clients and sockets of one node, and the key that seals what they send.
+    """Clients and sockets of one node, and the key that seals their messages.
 
     Parameters
     ----------
     key : FleetKey
-        Key that all processes of the installation share.
+        Key shared by all processes of the installation.
     store : KeyValueClient
-        The platform's key-value service.
+        Client of the platform's key-value service.
     http : HttpClient
-        Calls of agents or of the target.
+        Client for requests to agents or to the target.
     endpoint : DatagramEndpoint
-        Control datagrams.
+        Socket for control datagrams.
     sync_client : SyncClient
-        Questions to other nodes.
+        Client for sync requests to other nodes.
     """
 
     key: FleetKey
@@ -44,7 +44,7 @@
 
     @classmethod
     def from_config(cls, settings: NodeSettings) -> Self:
-        """Build all of them from the settings of the node; none is started."""
+        """Construct all connections from the settings of the node, not started."""
         node = settings.node
         platform = settings.platform
         key = FleetKey(settings.fleet.key.get_secret_value().encode())
@@ -63,14 +63,14 @@
         )
 
     def sync_server(self, settings: NodeSettings, answer: SyncHandler) -> SyncServer:
-        """Return a server for the questions of other nodes; it is not started.
+        """Return a server, not started, for the sync requests of other nodes.
 
         Parameters
         ----------
         settings : NodeSettings
             Settings of the node.
         answer : callable
-            Answers one question.
+            Handles one request.
         """
         return SyncServer.from_config(
             settings.node.address,
@@ -81,7 +81,7 @@
         )
 
     async def start(self) -> None:
-        """Open the control socket and the pools of the clients.
+        """Open the control socket and the connection pools of the clients.
 
         Raises
         ------
@@ -92,6 +92,6 @@
             await client.start()
 
     async def close(self) -> None:
-        """Close all of them at once."""
+        """Close the control socket and the clients."""
         for client in (self.endpoint, self.http, self.store):
             await client.close()
--- a/libs/process/src/berylwalk/process/_datagram_counter.py
+++ b/libs/process/src/berylwalk/process/_datagram_counter.py
@@ -1,4 +1,4 @@
-"""Totals of the control socket as a metric."""
+"""Metric of control datagrams."""
 
 from dataclasses import replace
 
@@ -9,12 +9,12 @@
 
 
 class DatagramCounter:
-    """Copies the totals of the control socket into the metrics.
+    """Exporter of the datagram counts of the control socket to the metrics.
 
     Parameters
     ----------
     metrics : RequestMetrics
-        Holds the counter of datagrams.
+        Metrics with the datagram counter.
     endpoint : DatagramEndpoint
         The control socket.
     """
@@ -22,12 +22,12 @@
     def __init__(self, metrics: RequestMetrics, endpoint: DatagramEndpoint) -> None:
         self._metrics = metrics
         self._endpoint = endpoint
-        self._told = DatagramCounts()
+        self._reported = DatagramCounts()
 
     def update(self) -> None:
-        """Add what came since the last update."""
+        """Add the datagrams since the last update to the counter."""
         totals = self._endpoint.counts
         for direction in DIRECTIONS:
-            added = getattr(totals, direction) - getattr(self._told, direction)
-            self._metrics.datagrams.labels(direction).inc(added)
-        self._told = replace(totals)
+            increment = getattr(totals, direction) - getattr(self._reported, direction)
+            self._metrics.datagrams.labels(direction).inc(increment)
+        self._reported = replace(totals)
--- a/libs/process/src/berylwalk/process/_running.py
+++ b/libs/process/src/berylwalk/process/_running.py
@@ -1,4 +1,4 @@
-"""Runs a daemon as the only business of a process."""
+"""Main loop of a daemon process: startup, signals and shutdown."""
 
 from collections.abc import AsyncIterator, Callable
 from signal import SIGINT, SIGTERM, Signals
@@ -11,32 +11,32 @@
 
 
 class Daemon(Protocol):
-    """What a process runs."""
+    """Service that a process runs."""
 
     async def start(self) -> None:
-        """Open all ports and start the background tasks."""
+        """Bind all ports and start the background tasks."""
 
     async def drain(self) -> None:
-        """Take no new work, and return when what was accepted has ended."""
+        """Refuse new work, and return when all accepted work has finished."""
 
     async def close(self) -> None:
-        """Stop at once; work in progress is cut."""
+        """Stop immediately; work in progress is aborted."""
 
 
 def run_daemon(build: Callable[[], Daemon], *, node_id: str, log_level: str) -> None:
-    """Run a daemon until SIGTERM or SIGINT; work in progress ends first.
+    """Run a daemon until SIGTERM or SIGINT, then drain it and close it.
 
-    A later SIGINT ends the process without waiting. A later SIGTERM does not:
-    platforms repeat it.
+    A second SIGINT cancels the drain. A second SIGTERM is ignored, because
+    platforms may repeat it.
 
     Parameters
     ----------
     build : callable
-        Makes the daemon, inside the running event loop.
+        Constructs the daemon, inside the running event loop.
     node_id : str
-        Name of the process in its logs.
+        Node id in the logs.
     log_level : str
-        Least severity that is logged, such as ``"info"``.
+        Minimum severity that is logged, such as ``"info"``.
 
     Raises
     ------
@@ -52,22 +52,24 @@
     with open_signal_receiver(SIGTERM, SIGINT) as signals:
         try:
             await daemon.start()
-            logging.info("received %s", Signals(await anext(signals)).name)
+            logging.info("received %s, draining", Signals(await anext(signals)).name)
             await drain_unless_interrupted(daemon, signals)
         finally:
             await daemon.close()
 
 
 async def drain_unless_interrupted(daemon: Daemon, signals: AsyncIterator[int]) -> None:
-    """Drain, and give up draining at a SIGINT."""
+    """Drain the daemon; cancel the drain on SIGINT."""
     async with create_task_group() as tasks:
 
-        async def wait_for_interrupt() -> None:
-            async for number in signals:
-                logging.warning("received %s again", Signals(number).name)
-                if number == SIGINT:
+        async def cancel_on_interrupt() -> None:
+            async for signal_number in signals:
+                logging.warning(
+                    "received %s while draining", Signals(signal_number).name
+                )
+                if signal_number == SIGINT:
                     tasks.cancel_scope.cancel()
 
-        tasks.start_soon(wait_for_interrupt)
+        tasks.start_soon(cancel_on_interrupt)
         await daemon.drain()
         tasks.cancel_scope.cancel()
--- a/libs/process/src/berylwalk/process/_settings_reply_builder.py
+++ b/libs/process/src/berylwalk/process/_settings_reply_builder.py
@@ -1,16 +1,16 @@
-"""Answers to nodes that ask for the settings document."""
+"""Replies to nodes that query the settings document."""
 
 from berylwalk.settings import SettingsDocument, SettingsReplica
 from berylwalk.wire import SettingsQuery, SettingsReply
 
 
 class SettingsReplyBuilder:
-    """Makes replies; the encoded document is kept for the next one.
+    """Builder of settings replies that caches the encoded document.
 
     Parameters
     ----------
     replica : SettingsReplica
-        Holds the document.
+        Local replica of the settings document.
     """
 
     def __init__(self, replica: SettingsReplica) -> None:
@@ -18,14 +18,14 @@
         self._encoded: tuple[SettingsDocument, bytes] | None = None
 
     def reply(self, query: SettingsQuery, *, is_settled: bool) -> SettingsReply:
-        """Return the version in force, and the document if it is newer.
+        """Return the current version, and the document if the other node's is older.
 
         Parameters
         ----------
         query : SettingsQuery
-            Names the version that the other node has.
+            Query with the version that the other node has.
         is_settled : bool
-            Passed on with the reply.
+            Whether this node has confirmed that it has the latest version.
         """
         document = self._replica.document
         if document is None or document.version <= query.known_version:
--- a/libs/process/src/berylwalk/process/_ticking.py
+++ b/libs/process/src/berylwalk/process/_ticking.py
@@ -1,4 +1,4 @@
-"""When a state machine is told of the passing of time."""
+"""Timer loop of a state machine."""
 
 from collections.abc import Callable
 
@@ -8,16 +8,16 @@
 
 
 class TickLoop:
-    """Calls a function when the state machine has something due.
+    """Loop that ticks a state machine when its next timer is due.
 
     Parameters
     ----------
     tick : callable
-        Tells the state machine of the time.
+        Advances the state machine to the current time.
     next_due : callable
-        Returns when the machine needs the next tick, in seconds of the clock.
+        Returns the clock time at which the next tick is due, in seconds.
     min_interval_s, max_interval_s : float
-        Least and longest time between two ticks, in seconds.
+        Minimum and maximum time between two ticks, in seconds.
     clock : callable
         Monotonic clock, in seconds.
     """
@@ -36,19 +36,22 @@
         self._min_interval_s = min_interval_s
         self._max_interval_s = max_interval_s
         self._clock = clock
-        self._ticks_at = NEVER
-        self._due_sooner = Event()
+        self._next_tick_at = NEVER
+        self._rescheduled = Event()
 
     def reschedule(self) -> None:
-        """End the present wait if the last event made something due before it."""
-        if self._ticks_at == NEVER:
+        """End the current wait if the next tick is now due before its end.
+
+        Call it after each event that may set a timer.
+        """
+        if self._next_tick_at == NEVER:
             return
-        if self._next_due() < self._ticks_at:
-            self._ticks_at = NEVER
-            self._due_sooner.set()
+        if self._next_due() < self._next_tick_at:
+            self._next_tick_at = NEVER
+            self._rescheduled.set()
 
     async def run(self) -> None:
-        """Tick for ever."""
+        """Tick until cancelled."""
         while True:
             self._tick()
             await self._sleep_until_due()
@@ -59,11 +62,11 @@
             max(self._next_due() - now, self._min_interval_s), self._max_interval_s
         )
         if wait_s <= 2 * self._min_interval_s:
-            # Cheaper than to be woken.
+            # For short waits a plain sleep costs less than a wait on the event.
             await sleep(wait_s)
             return
-        self._due_sooner = Event()
-        self._ticks_at = now + wait_s
+        self._rescheduled = Event()
+        self._next_tick_at = now + wait_s
         with move_on_after(wait_s):
-            await self._due_sooner.wait()
-        self._ticks_at = NEVER
+            await self._rescheduled.wait()
+        self._next_tick_at = NEVER
--- a/libs/process/src/berylwalk/process/_tracing.py
+++ b/libs/process/src/berylwalk/process/_tracing.py
@@ -1,4 +1,4 @@
-"""Tracing as the settings of a node ask for it."""
+"""Tracing configured from the settings of a node."""
 
 from berylwalk.settings import TelemetrySection
 from berylwalk.telemetry import Exporter, Tracing
@@ -14,14 +14,14 @@
     service_name : str
         ``router`` or ``agent``.
     node_id : str
-        Name of the process.
+        Node id of the process.
     telemetry : TelemetrySection
         Settings of logs and traces.
 
     Raises
     ------
     OSError
-        If the file for spans cannot be opened.
+        If the span file cannot be opened.
     """
     path = telemetry.trace_path
     return Tracing.from_config(
--- a/libs/process/tests/test_process_running.py
+++ b/libs/process/tests/test_process_running.py
@@ -9,20 +9,20 @@
 
 
 class SlowDaemon:
-    """Drains once it is told that its work ended."""
+    """Daemon whose drain finishes when `work_finished` is set."""
 
     def __init__(self):
-        self.work_ended = anyio.Event()
+        self.work_finished = anyio.Event()
         self.drained = False
 
     async def drain(self):
-        await self.work_ended.wait()
+        await self.work_finished.wait()
         self.drained = True
 
 
 class TestDrain:
-    async def test_repeated_sigterm_cuts_nothing(self):
-        """A platform may send SIGTERM again; the drain goes on."""
+    async def test_repeated_sigterm_does_not_cancel_the_drain(self):
+        """A repeated SIGTERM, as platforms send it, does not cancel the drain."""
         daemon = SlowDaemon()
         handled = anyio.Event()
 
@@ -34,11 +34,11 @@
         async with anyio.create_task_group() as tasks:
             tasks.start_soon(drain_unless_interrupted, daemon, signals())
             await handled.wait()
-            daemon.work_ended.set()
+            daemon.work_finished.set()
         assert daemon.drained
 
-    async def test_sigint_gives_up(self):
-        """An operator's second Ctrl-C ends the process."""
+    async def test_sigint_cancels_the_drain(self):
+        """A second Ctrl-C ends the process without waiting for the drain."""
         daemon = SlowDaemon()
 
         async def signals():
@@ -49,8 +49,8 @@
 
 
 class TestBackground:
-    async def test_failed_and_ended_tasks_start_again(self):
-        """Neither an error nor an early end stops a background task."""
+    async def test_failed_and_returned_tasks_are_restarted(self):
+        """A background task that fails or returns is restarted with backoff."""
         delays = []
 
         async def run() -> None:
--- a/libs/telemetry/src/berylwalk/telemetry/_errors.py
+++ b/libs/telemetry/src/berylwalk/telemetry/_errors.py
@@ -1,5 +1,5 @@
-"""Errors of this package."""
+"""Exceptions raised by this package."""
 
 
 class ConfigurationError(ValueError):
-    """The telemetry settings contradict each other."""
+    """The telemetry settings are incomplete."""
--- a/libs/telemetry/src/berylwalk/telemetry/_exporters.py
+++ b/libs/telemetry/src/berylwalk/telemetry/_exporters.py
@@ -1,4 +1,4 @@
-"""Where finished spans go: a file of JSON lines, or an OTLP collector."""
+"""Span exporters: a file of JSON lines, or an OTLP collector."""
 
 from pathlib import Path
 from typing import TextIO
@@ -11,22 +11,22 @@
 
 
 def open_span_file(file_path: str | None) -> TextIO:
-    """Open the file that spans are appended to.
+    """Open the file to which spans are appended.
 
     Raises
     ------
     ConfigurationError
-        Without a path.
+        If no path is given.
     OSError
         If the file cannot be opened.
     """
     if not file_path:
-        raise ConfigurationError("the file exporter needs a path")
+        raise ConfigurationError("trace exporter 'file' requires a file path")
     return Path(file_path).open("a", encoding="utf-8")
 
 
 def file_exporter(file: TextIO) -> SpanExporter:
-    """Return what writes each span as one JSON line."""
+    """Return an exporter that writes each span as one JSON line."""
     return ConsoleSpanExporter(out=file, formatter=_json_line)
 
 
@@ -35,13 +35,13 @@
 
 
 def otlp_exporter(endpoint: str | None) -> SpanExporter:
-    """Return what sends spans to a collector.
+    """Return an exporter that sends spans to a collector.
 
     Raises
     ------
     ConfigurationError
-        Without an endpoint.
+        If no endpoint is given.
     """
     if not endpoint:
-        raise ConfigurationError("the otlp exporter needs an endpoint")
+        raise ConfigurationError("trace exporter 'otlp' requires an endpoint")
     return OTLPSpanExporter(endpoint=endpoint)
--- a/libs/telemetry/src/berylwalk/telemetry/_logs.py
+++ b/libs/telemetry/src/berylwalk/telemetry/_logs.py
@@ -1,4 +1,4 @@
-"""Logs: one JSON object a line, through absl."""
+"""Logging through absl, one JSON object per line."""
 
 import logging as standard_logging
 import time
@@ -12,7 +12,7 @@
 
 
 class Level(IntEnum):
-    """Log levels, with absl's numbers."""
+    """Log levels, with the numeric values of absl."""
 
     DEBUG = logging.DEBUG
     INFO = logging.INFO
@@ -21,12 +21,12 @@
 
 
 class JsonFormatter(standard_logging.Formatter):
-    """Format records as JSON lines.
+    """Formatter of log records as JSON lines.
 
     Parameters
     ----------
     node_id : str
-        Name of this process in every line.
+        Node id in every line.
     """
 
     def __init__(self, node_id: str) -> None:
@@ -35,44 +35,45 @@
         self._encoder = msgspec.json.Encoder(enc_hook=str)
 
     def format(self, record: standard_logging.LogRecord) -> str:
-        """Return one line for a record."""
-        standard: dict[str, object] = {
+        """Return a record as one JSON line."""
+        standard_fields: dict[str, object] = {
             "time": _utc_time(record.created),
             "level": record.levelname.lower(),
             "message": record.getMessage(),
             "node": self._node_id,
         }
         fields = getattr(record, FIELDS_ATTRIBUTE, {})
-        # The standard fields come first and cannot be replaced.
-        line = standard | fields | standard
+        # The standard fields come first and cannot be overridden.
+        line = standard_fields | fields | standard_fields
         if record.exc_info and record.exc_info[0] is not None:
             line["exception"] = self.formatException(record.exc_info)
         return self._encoder.encode(line).decode()
 
 
 def configure_logging(node_id: str, level: Level = Level.INFO) -> None:
-    """Write this process's logs, and its libraries', to stderr as JSON lines.
+    """Write the logs of this process and its libraries to stderr as JSON lines.
 
     Parameters
     ----------
     node_id : str
-        Name of this process in every line.
+        Node id in every line.
     level : Level
-        Least severe level written.
+        Minimum level that is written.
     """
     logging.use_absl_handler()
     handler = logging.get_absl_handler()
     handler.setFormatter(JsonFormatter(node_id))
     if not flags.FLAGS.is_parsed():
-        # The daemons use argparse; absl would otherwise print a plain warning.
+        # absl prints a plain-text warning for unparsed flags; the daemons use
+        # argparse.
         flags.FLAGS.mark_as_parsed()
     logging.set_verbosity(int(level))
     for name in LIBRARY_LOGGERS:
-        _adopt(standard_logging.getLogger(name))
+        _propagate_to_root(standard_logging.getLogger(name))
 
 
-def _adopt(logger: standard_logging.Logger) -> None:
-    # A library that configured its own logger would bypass the JSON handler.
+def _propagate_to_root(logger: standard_logging.Logger) -> None:
+    # A logger that a library configured itself bypasses the JSON handler.
     logger.handlers.clear()
     logger.propagate = True
 
@@ -80,7 +81,7 @@
 def log_event(
     level: Level, event: str, /, *, request_id: str | None = None, **fields: object
 ) -> None:
-    """Log an event with typed fields.
+    """Log an event with structured fields.
 
     Parameters
     ----------
@@ -89,9 +90,9 @@
     event : str
         Constant name of the event, such as ``"request-refused"``.
     request_id : str, optional
-        The request concerned.
+        Id of the request that the event belongs to.
     **fields : object
-        Values that JSON can express; others are written as strings.
+        Values of the fields; those without a JSON type are written as strings.
     """
     logger = logging.get_absl_logger()
     standard_level = logging.converter.absl_to_standard(int(level))
@@ -103,5 +104,5 @@
 
 
 def _utc_time(seconds: float) -> str:
-    whole = time.strftime("%Y-%m-%dT%H:%M:%S", time.gmtime(seconds))
-    return f"{whole}.{int(seconds % 1 * 1000):03d}Z"
+    whole_seconds = time.strftime("%Y-%m-%dT%H:%M:%S", time.gmtime(seconds))
+    return f"{whole_seconds}.{int(seconds % 1 * 1000):03d}Z"
--- a/libs/telemetry/src/berylwalk/telemetry/_metrics.py
+++ b/libs/telemetry/src/berylwalk/telemetry/_metrics.py
@@ -1,4 +1,4 @@
-"""Prometheus metrics of the daemons, one registry a process."""
+"""Prometheus metrics of the daemons, with one registry per process."""
 
 from dataclasses import dataclass
 from pathlib import Path
@@ -29,32 +29,32 @@
     60.0,
     120.0,
 )
-MEMORY_STATUS = Path("/proc/self/statm")
-RESIDENT_FIELD = 1
+STATM_PATH = Path("/proc/self/statm")
+RESIDENT_PAGES_FIELD = 1
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class RequestMetrics:
-    """Metrics that routers and agents have in common.
+    """Metrics shared by routers and agents.
 
     Parameters
     ----------
     registry : prometheus_client.CollectorRegistry
-        Holds all of them.
+        Registry of all metrics of the process.
     requests : Counter
         Finished requests; labels ``tier``, ``outcome``.
     refusals : Counter
         Refused requests; labels ``tier``, ``reason``.
     waiting, running : Gauge
-        Requests at present; label ``tier``.
+        Queued and running requests; label ``tier``.
     first_token_seconds, dispatch_seconds : Histogram
-        Durations, see the subclasses; label ``tier``.
+        Durations, defined by the subclasses; label ``tier``.
     wasted_prefill_tokens : Counter
-        Prompt tokens processed for answers that no caller received.
+        Prompt tokens processed for responses that no caller received.
     datagrams : Counter
         Control datagrams; label ``direction``.
     settings_version : Gauge
-        Version in force.
+        Current settings version.
     """
 
     registry: CollectorRegistry
@@ -73,15 +73,15 @@
 class RouterMetrics(RequestMetrics):
     """Metrics of a router.
 
-    ``first_token_seconds`` and ``dispatch_seconds`` are measured from the arrival
-    to the first token and to the dispatch.
+    ``first_token_seconds`` and ``dispatch_seconds`` are the times from the arrival
+    of a request to its first token and to its dispatch.
     """
 
     @classmethod
     def create(cls) -> Self:
         """Construct with a registry of its own."""
         return cls(
-            **_common(
+            **_shared_metrics(
                 "berylwalk_router",
                 first_token="Arrival to first token.",
                 dispatch="Arrival to dispatch.",
@@ -93,13 +93,13 @@
 class AgentMetrics(RequestMetrics):
     """Metrics of an agent.
 
-    ``first_token_seconds`` and ``dispatch_seconds`` are measured from the dispatch
-    to the first token and to its end.
+    ``first_token_seconds`` and ``dispatch_seconds`` are the times from a dispatch to
+    its first token and to its end.
 
     Parameters
     ----------
     limit : Gauge
-        Largest number of requests run at once at present.
+        Current concurrency limit.
     """
 
     limit: Gauge
@@ -108,12 +108,12 @@
     def create(cls) -> Self:
         """Construct with a registry of its own."""
         prefix = "berylwalk_agent"
-        common = _common(
+        shared = _shared_metrics(
             prefix,
             first_token="Dispatch to first token.",
             dispatch="Dispatch to its end.",
         )
-        return cls(limit=_limit(prefix, common["registry"]), **common)
+        return cls(limit=_limit(prefix, shared["registry"]), **shared)
 
 
 def render(registry: CollectorRegistry) -> bytes:
@@ -122,24 +122,24 @@
     Parameters
     ----------
     registry : prometheus_client.CollectorRegistry
-        A daemon's registry.
+        Registry of a daemon.
 
     Returns
     -------
     bytes
-        Body for ``/metrics``.
+        Body of a ``/metrics`` response.
     """
     return generate_latest(registry)
 
 
 def resident_bytes() -> float:
     """Return the resident memory of this process in bytes."""
-    pages = MEMORY_STATUS.read_text().split()[RESIDENT_FIELD]
+    pages = STATM_PATH.read_text().split()[RESIDENT_PAGES_FIELD]
     return float(int(pages) * getpagesize())
 
 
-def _common(prefix: str, *, first_token: str, dispatch: str) -> dict[str, Any]:
-    """Return the fields of `RequestMetrics` by name, in a registry of their own."""
+def _shared_metrics(prefix: str, *, first_token: str, dispatch: str) -> dict[str, Any]:
+    """Return the fields of `RequestMetrics` by name, in a new registry."""
     registry = CollectorRegistry()
     _add_resident_memory(registry)
     return {
@@ -148,10 +148,12 @@
         "refusals": _refusals(prefix, registry),
         "waiting": _waiting(prefix, registry),
         "running": _running(prefix, registry),
-        "first_token_seconds": _seconds(
+        "first_token_seconds": _duration_histogram(
             f"{prefix}_first_token_seconds", first_token, registry
         ),
-        "dispatch_seconds": _seconds(f"{prefix}_dispatch_seconds", dispatch, registry),
+        "dispatch_seconds": _duration_histogram(
+            f"{prefix}_dispatch_seconds", dispatch, registry
+        ),
         "wasted_prefill_tokens": _wasted_prefill_tokens(prefix, registry),
         "datagrams": _datagrams(prefix, registry),
         "settings_version": _settings_version(prefix, registry),
@@ -190,7 +192,7 @@
     )
 
 
-def _seconds(name: str, text: str, registry: CollectorRegistry) -> Histogram:
+def _duration_histogram(name: str, text: str, registry: CollectorRegistry) -> Histogram:
     return Histogram(name, text, ["tier"], registry=registry, buckets=SECONDS_BUCKETS)
 
 
--- a/libs/telemetry/src/berylwalk/telemetry/_ops.py
+++ b/libs/telemetry/src/berylwalk/telemetry/_ops.py
@@ -13,7 +13,7 @@
 Receive = Callable[[], Awaitable[MutableMapping[str, Any]]]
 Application = Callable[[MutableMapping[str, Any], Receive, Send], Awaitable[None]]
 
-JSON = "application/json"
+JSON_CONTENT_TYPE = "application/json"
 
 
 class _Readiness(msgspec.Struct):
@@ -35,18 +35,18 @@
 ) -> Application:
     """Return the ASGI application for the operations port.
 
-    ``/healthz`` tells that the loop runs, ``/readyz`` whether requests should
-    be sent here (status 503 with the findings if not), ``/metrics`` the
-    metrics.
+    ``/healthz`` always returns status 200 while the event loop runs. ``/readyz``
+    returns status 200 if the daemon is ready for requests, else 503; its body lists
+    the findings. ``/metrics`` returns the metrics.
 
     Parameters
     ----------
     registry : prometheus_client.CollectorRegistry
-        The daemon's registry.
+        Registry of the daemon.
     readiness : callable
-        Returns why the daemon is not ready; empty when it is.
+        Returns the reasons why the daemon is not ready; empty if it is ready.
     before_metrics : callable, optional
-        Called before each rendering, to copy state into gauges.
+        Called before the metrics are rendered, to update gauges.
 
     Returns
     -------
@@ -55,12 +55,12 @@
     """
 
     def health() -> _Response:
-        return _Response(200, JSON, b'{"alive":true}')
+        return _Response(200, JSON_CONTENT_TYPE, b'{"alive":true}')
 
     def ready() -> _Response:
         findings = readiness()
         body = msgspec.json.encode(_Readiness(not findings, findings))
-        return _Response(503 if findings else 200, JSON, body)
+        return _Response(503 if findings else 200, JSON_CONTENT_TYPE, body)
 
     def metrics() -> _Response:
         if before_metrics is not None:
@@ -72,19 +72,19 @@
     async def application(
         scope: MutableMapping[str, Any], receive: Receive, send: Send
     ) -> None:
-        await _send(send, _answer(scope, handlers_by_path))
+        await _send(send, _response_for(scope, handlers_by_path))
 
     return application
 
 
-def _answer(
+def _response_for(
     scope: Mapping[str, Any], handlers_by_path: Mapping[str, Callable[[], _Response]]
 ) -> _Response:
     handler = handlers_by_path.get(scope["path"])
     if handler is None:
-        return _Response(404, JSON, b'{"error":"not found"}')
+        return _Response(404, JSON_CONTENT_TYPE, b'{"error":"not found"}')
     if scope["method"] != "GET":
-        return _Response(405, JSON, b'{"error":"only GET is allowed"}')
+        return _Response(405, JSON_CONTENT_TYPE, b'{"error":"only GET is allowed"}')
     return handler()
 
 
--- a/libs/telemetry/src/berylwalk/telemetry/_traces.py
+++ b/libs/telemetry/src/berylwalk/telemetry/_traces.py
@@ -1,4 +1,4 @@
-"""Traces: one OpenTelemetry span a hop, W3C trace context between hops."""
+"""Tracing with OpenTelemetry spans and W3C trace context propagation."""
 
 import re
 import secrets
@@ -33,7 +33,7 @@
 
 
 class Exporter(StrEnum):
-    """Where finished spans go."""
+    """Destination of finished spans."""
 
     NONE = "none"
     FILE = "file"
@@ -41,24 +41,24 @@
 
 
 class SpanStatus(StrEnum):
-    """How a hop ended."""
+    """Status of a finished span."""
 
     OK = "ok"
     ERROR = "error"
 
 
 class TraceSpan:
-    """One span in progress.
+    """Span in progress.
 
     Parameters
     ----------
     span : opentelemetry.trace.Span
-        The span; a non-recording one when nothing is exported.
+        OpenTelemetry span; non-recording if spans are not exported.
 
     Attributes
     ----------
     traceparent : str
-        Header value for the next hop.
+        Value of the ``traceparent`` header for downstream requests.
     """
 
     __slots__ = ("_span", "traceparent")
@@ -68,7 +68,7 @@
         self.traceparent = _format_traceparent(span.get_span_context())
 
     def set_attributes(self, attributes: Attributes) -> None:
-        """Add attributes.
+        """Add attributes to the span.
 
         Parameters
         ----------
@@ -83,7 +83,7 @@
         Parameters
         ----------
         status : SpanStatus
-            How the hop ended.
+            Status of the span.
         reason : str, optional
             Description of an error.
         """
@@ -95,17 +95,17 @@
 
 
 class Tracing:
-    """Start hops, and export them unless the exporter is none.
+    """Factory of spans, which are exported unless the exporter is `Exporter.NONE`.
 
-    Spans are exported in batches by the SDK's own thread, so that neither a
-    file nor a collector can hold up the loop.
+    A thread of the SDK exports spans in batches, so that a slow file or collector
+    does not block the event loop.
 
     Parameters
     ----------
     provider : opentelemetry.sdk.trace.TracerProvider or None
-        None passes trace ids on without recording anything.
+        None propagates the trace context without recording spans.
     file : file object, optional
-        Closed with the tracing.
+        Span file, which `close` closes.
     """
 
     def __init__(
@@ -132,18 +132,18 @@
         service_name : str
             ``router`` or ``agent``.
         node_id : str
-            Name of this process.
+            Node id of this process.
         exporter : Exporter
-            Where finished spans go.
+            Destination of finished spans.
         file_path : str, optional
-            JSON lines are appended to it; needed by `Exporter.FILE`.
+            File to which JSON lines are appended; required by `Exporter.FILE`.
         endpoint : str, optional
-            OTLP over HTTP URL; needed by `Exporter.OTLP`.
+            URL for OTLP over HTTP; required by `Exporter.OTLP`.
 
         Raises
         ------
         ConfigurationError
-            If the chosen exporter lacks its path or endpoint.
+            If the path or endpoint that the exporter requires is missing.
         OSError
             If the file cannot be opened.
         """
@@ -163,12 +163,12 @@
     def start_span(
         self, traceparent: str | None, name: str, attributes: Attributes | None = None
     ) -> TraceSpan:
-        """Start a span below the caller's, or a new trace.
+        """Start a span as a child of the caller's span, or in a new trace.
 
         Parameters
         ----------
         traceparent : str or None
-            Header value received; an invalid one starts a new trace.
+            Received header value; a missing or invalid one starts a new trace.
         name : str
             Name of the span.
         attributes : mapping of str to str, int, float or bool, optional
@@ -177,11 +177,11 @@
         Returns
         -------
         TraceSpan
-            Its `traceparent` goes on to the next hop.
+            Span that the caller must end.
         """
         parent = _parse_traceparent(traceparent)
         if self._tracer is None:
-            return TraceSpan(_unrecorded_span(parent))
+            return TraceSpan(_non_recording_span(parent))
         context = None
         if parent is not None:
             context = trace.set_span_in_context(NonRecordingSpan(parent))
@@ -191,7 +191,7 @@
         return TraceSpan(span)
 
     def close(self) -> None:
-        """Export what is left, for up to the SDK's timeout, and stop."""
+        """Export the remaining spans, within the timeout of the SDK, and stop."""
         if self._provider is not None:
             self._provider.shutdown()
         if self._file is not None:
@@ -216,9 +216,10 @@
     return f"00-{context.trace_id:032x}-{context.span_id:016x}-{flags:02x}"
 
 
-def _unrecorded_span(parent: SpanContext | None) -> Span:
+def _non_recording_span(parent: SpanContext | None) -> Span:
     if parent is not None:
-        # Without a span of our own the next hop's parent is the caller's span.
+        # No span is recorded here, so the caller's span becomes the parent of
+        # downstream spans.
         return NonRecordingSpan(parent)
     context = SpanContext(
         trace_id=secrets.randbits(TRACE_ID_BITS) or 1,
--- a/libs/telemetry/tests/test_telemetry_logs.py
+++ b/libs/telemetry/tests/test_telemetry_logs.py
@@ -1,4 +1,4 @@
-"""Shape of the log lines."""
+"""Format of the log lines."""
 
 import io
 import json
@@ -12,19 +12,19 @@
 
 @pytest.fixture
 def output():
-    """Configured logging that writes to a buffer."""
+    """Buffer that receives the output of the configured logging."""
     handler = logging.get_absl_handler()
     python_handler = handler.python_handler
-    earlier_stream = python_handler.stream
+    previous_stream = python_handler.stream
     buffer = io.StringIO()
     configure_logging("router-1", Level.INFO)
     python_handler.setStream(buffer)
     yield buffer
-    python_handler.setStream(earlier_stream)
+    python_handler.setStream(previous_stream)
 
 
 def lines_without_time(buffer):
-    """Parsed lines; the time is checked for presence and left out."""
+    """Parse log lines, and check and remove their time."""
     lines = [json.loads(line) for line in buffer.getvalue().splitlines()]
     for line in lines:
         assert line.pop("time").endswith("Z")
@@ -33,7 +33,7 @@
 
 class TestLogEvent:
     def test_line_shape(self, output, snapshot):
-        """Fields keep their types; unknown types become strings."""
+        """Fields keep their JSON types; values of other types become strings."""
         log_event(
             Level.INFO,
             "request-refused",
@@ -45,12 +45,12 @@
         assert lines_without_time(output) == snapshot
 
     def test_below_level_is_not_written(self, output):
-        """A debug event is left out at level info."""
+        """A debug event is not written at level info."""
         log_event(Level.DEBUG, "detail")
         assert output.getvalue() == ""
 
     def test_library_logs_are_json_on_one_line(self, output):
-        """An exception logged by a library stays one JSON line."""
+        """An exception logged by a library is written as one JSON line."""
         try:
             raise ValueError("a\nb")
         except ValueError:
@@ -60,13 +60,13 @@
         assert "ValueError" in line["exception"]
 
     def test_fields_cannot_replace_the_standard_ones(self, output):
-        """A field named like a standard one does not hide it."""
+        """A field with the name of a standard field does not override it."""
         log_event(Level.INFO, "event", node="other", message="other")
         (line,) = lines_without_time(output)
         assert (line["node"], line["message"]) == ("router-1", "event")
 
-    def test_logger_configured_by_a_library_is_adopted(self, output):
-        """A logger that a library took out of the root handler comes back."""
+    def test_non_propagating_library_logger_is_restored(self, output):
+        """A library logger with propagation off is written by the JSON handler."""
         logger = standard_logging.getLogger("uvicorn.error")
         logger.propagate = False
         configure_logging("router-1")
--- a/libs/telemetry/tests/test_telemetry_ops.py
+++ b/libs/telemetry/tests/test_telemetry_ops.py
@@ -1,4 +1,4 @@
-"""The operations endpoint."""
+"""Operations endpoint."""
 
 import anyio
 import pytest
@@ -8,7 +8,7 @@
 
 
 def get(application, path):
-    """Status and body of a GET."""
+    """Return the status and body of a GET request."""
     sent = []
 
     async def send(message):
@@ -19,8 +19,8 @@
 
 
 class TestOpsApplication:
-    def test_readiness_tells_the_findings(self):
-        """Not ready is 503 with each reason, while health stays 200."""
+    def test_readiness_reports_findings(self):
+        """``/readyz`` returns 503 with the reasons, while ``/healthz`` returns 200."""
         findings = [Finding("settings", "no version in force yet")]
         application = ops_application(RouterMetrics.create().registry, lambda: findings)
         status, body = get(application, "/readyz")
@@ -32,7 +32,7 @@
 
     @pytest.mark.parametrize("metrics_class", [RouterMetrics, AgentMetrics])
     def test_metrics_are_rendered(self, metrics_class):
-        """Values set are found in the text, each daemon in its own registry."""
+        """Metrics are rendered with their values, from one registry per daemon."""
         metrics = metrics_class.create()
         metrics_class.create()
         metrics.requests.labels(tier="urgent", outcome="done").inc()
--- a/libs/telemetry/tests/test_telemetry_traces.py
+++ b/libs/telemetry/tests/test_telemetry_traces.py
@@ -1,4 +1,4 @@
-"""Trace context across hops."""
+"""Propagation of the trace context."""
 
 import json
 
@@ -12,8 +12,8 @@
 
 
 class TestStartSpan:
-    def test_spans_of_two_hops_are_linked(self, tmp_path):
-        """The second hop's span is a child of the first, in the same trace."""
+    def test_child_span_is_linked_to_its_parent(self, tmp_path):
+        """A span started from the context of another is its child in the same trace."""
         path = tmp_path / "spans.jsonl"
         tracing = Tracing.from_config(
             "router", "router-1", exporter=Exporter.FILE, file_path=str(path)
@@ -29,8 +29,8 @@
         assert child["context"]["trace_id"] == f"0x{TRACE_ID}"
         assert child["status"]["status_code"] == "ERROR"
 
-    def test_without_exporter_context_is_passed_on(self):
-        """The caller's ids go on unchanged when nothing is recorded."""
+    def test_context_is_propagated_without_exporter(self):
+        """The caller's trace context is propagated unchanged without recording."""
         span = Tracing.from_config("agent", "agent-1").start_span(TRACEPARENT, "run")
         assert span.traceparent == TRACEPARENT
 
@@ -39,7 +39,7 @@
         [None, "", "00-zz", f"00-{'0' * 32}-{SPAN_ID}-01", TRACEPARENT + "\n"],
     )
     def test_invalid_context_starts_a_new_trace(self, traceparent):
-        """Without a valid parent each hop gets new ids."""
+        """Without a valid parent each span starts a new trace."""
         tracing = Tracing.from_config("agent", "agent-1")
         first = tracing.start_span(traceparent, "run").traceparent
         second = tracing.start_span(traceparent, "run").traceparent
@@ -47,6 +47,6 @@
         assert tracing.start_span(first, "run").traceparent == first
 
     def test_exporter_without_destination_is_rejected(self):
-        """A file exporter needs a path."""
+        """The file exporter without a path is a configuration error."""
         with pytest.raises(ConfigurationError):
             Tracing.from_config("agent", "agent-1", exporter=Exporter.FILE)
--- a/libs/transport/src/berylwalk/transport/__init__.py
+++ b/libs/transport/src/berylwalk/transport/__init__.py
@@ -1,4 +1,4 @@
-"""Transport used by the daemons: datagrams, HTTP and the peer sync channel."""
+"""Transport layer of the daemons: UDP datagrams, HTTP and the peer sync channel."""
 
 from berylwalk.transport._asgi import (
     AbortConnection,
--- a/libs/transport/src/berylwalk/transport/_asgi.py
+++ b/libs/transport/src/berylwalk/transport/_asgi.py
@@ -1,4 +1,4 @@
-"""Small typed helpers for ASGI applications."""
+"""Typed helpers for ASGI applications."""
 
 from collections.abc import Awaitable, Callable, Iterable, Mapping, MutableMapping
 from enum import StrEnum
@@ -17,16 +17,16 @@
 JSON_CONTENT_TYPE = b"application/json"
 
 
-class AbortConnection(Exception):  # noqa: N818 - a request, not an error
-    """Raised in an application to close the connection at once.
+class AbortConnection(Exception):  # noqa: N818 - control flow, not an error
+    """Raised by an application to close the connection immediately.
 
-    A response in progress stays incomplete, so that the client can tell that
-    it was cut: there is no terminating chunk.
+    No terminating chunk is sent, so that the client detects that a response in
+    progress is incomplete.
     """
 
 
 class BodyFailure(StrEnum):
-    """Why a request body was not read."""
+    """Reason why a request body could not be read."""
 
     TOO_LARGE = "too_large"
     TIMED_OUT = "timed_out"
@@ -36,7 +36,7 @@
 def read_headers(scope: Scope) -> dict[str, str]:
     """Return the headers of a request by lower-case name.
 
-    Repeated headers are joined by ``", "``.
+    The values of repeated headers are joined with ``", "``.
 
     Parameters
     ----------
@@ -52,8 +52,8 @@
     for raw_name, raw_value in scope["headers"]:
         name = raw_name.decode("latin-1").lower()
         value = raw_value.decode("latin-1")
-        earlier = values_by_name.get(name)
-        values_by_name[name] = value if earlier is None else f"{earlier}, {value}"
+        previous = values_by_name.get(name)
+        values_by_name[name] = value if previous is None else f"{previous}, {value}"
     return values_by_name
 
 
@@ -69,12 +69,12 @@
     max_bytes : int
         Largest body accepted, in bytes.
     timeout_s : float
-        Limit for the whole body, in seconds.
+        Timeout for the whole body, in seconds.
 
     Returns
     -------
     bytes or BodyFailure
-        The body, or why there is none.
+        The body, or the reason why it could not be read.
     """
     parts: list[bytes] = []
     size = 0
@@ -103,7 +103,8 @@
     status : int
         HTTP status code.
     headers : iterable of (bytes, bytes)
-        Names in lower case. Without ``content-length`` the body is chunked.
+        Lower-case names and values. Without ``content-length`` the body is sent
+        with chunked encoding.
     """
     await send(
         {"type": "http.response.start", "status": status, "headers": list(headers)}
@@ -111,14 +112,14 @@
 
 
 async def send_chunk(send: Send, chunk: bytes) -> None:
-    """Send a part of the body, more to follow.
+    """Send a part of the body that is not the last.
 
     Parameters
     ----------
     send : callable
         ASGI send callable.
     chunk : bytes
-        The part, passed on unchanged.
+        The part, sent unchanged.
     """
     await send({"type": "http.response.body", "body": chunk, "more_body": True})
 
@@ -142,7 +143,7 @@
     document: object,
     headers: Mapping[str, str] | None = None,
 ) -> None:
-    """Send a whole JSON response.
+    """Send a complete JSON response.
 
     Parameters
     ----------
@@ -151,9 +152,9 @@
     status : int
         HTTP status code.
     document : object
-        Anything that msgspec can encode.
+        Any value that msgspec can encode.
     headers : mapping of str to str, optional
-        Further headers.
+        Additional headers.
     """
     body = msgspec.json.encode(document)
     raw_headers: list[Header] = [
--- a/libs/transport/src/berylwalk/transport/_datagrams.py
+++ b/libs/transport/src/berylwalk/transport/_datagrams.py
@@ -1,4 +1,4 @@
-"""UDP endpoint with sends that never wait."""
+"""UDP endpoint with non-blocking sends."""
 
 import socket
 from collections.abc import AsyncIterator
@@ -7,24 +7,24 @@
 
 import anyio
 
-from berylwalk.transport._sealing import Open, Seal, plain
+from berylwalk.transport._sealing import Open, Seal, identity
 
 MAX_DATAGRAM_BYTES = 65507
-RECEIVE_BATCH = 64
+MAX_BATCH_DATAGRAMS = 64
 SOCKET_BUFFER_BYTES = 1 << 20
 
 Address = tuple[str, int]
 
 
 class Datagram(NamedTuple):
-    """A datagram that was opened successfully.
+    """Received datagram that was opened successfully.
 
     Parameters
     ----------
     payload : bytes
-        The opened message.
+        The message after opening.
     address : tuple of (str, int)
-        IP number and port of the sender.
+        IP address and port of the sender.
     """
 
     payload: bytes
@@ -33,16 +33,17 @@
 
 @dataclass(slots=True)
 class DatagramCounts:
-    """Totals since the endpoint was created.
+    """Numbers of datagrams since the endpoint was created.
 
     Parameters
     ----------
     sent, received : int
-        Datagrams handed to the kernel, and datagrams opened.
+        Datagrams passed to the kernel, and datagrams received and opened.
     dropped : int
-        Sends given up: full socket buffer, oversize or a network error.
+        Sends that failed: full socket buffer, oversize datagram, network error
+        or closed endpoint.
     rejected : int
-        Arrivals that could not be opened.
+        Received datagrams that could not be opened.
     """
 
     sent: int = 0
@@ -52,27 +53,27 @@
 
 
 class DatagramEndpoint:
-    """A UDP socket whose sends may come from synchronous code.
+    """UDP socket that can send from synchronous code.
 
-    Iterate over it asynchronously, in one task, to get each `Datagram`.
+    Iterate over it asynchronously, in a single task, to receive each `Datagram`.
 
     Parameters
     ----------
     host : str
-        Local IP number.
+        Local IP address.
     port : int
-        Local port; 0 lets the system choose.
+        Local port; 0 selects a free port.
     seal, open_ : callable, optional
-        Applied to each payload sent and received.
+        Applied to each payload that is sent or received.
 
     Attributes
     ----------
     counts : DatagramCounts
-        Totals for the metrics.
+        Totals, exported as metrics.
     """
 
     def __init__(
-        self, host: str, port: int, *, seal: Seal = plain, open_: Open = plain
+        self, host: str, port: int, *, seal: Seal = identity, open_: Open = identity
     ) -> None:
         self._bind_address = (host, port)
         self._seal = seal
@@ -82,14 +83,14 @@
 
     @classmethod
     def from_config(
-        cls, host: str, port: int, *, seal: Seal = plain, open_: Open = plain
+        cls, host: str, port: int, *, seal: Seal = identity, open_: Open = identity
     ) -> Self:
-        """Construct from the configured address; see the class for parameters."""
+        """Construct from settings; see the class for parameters."""
         return cls(host, port, seal=seal, open_=open_)
 
     @property
     def address(self) -> Address:
-        """Local address in use, known after `start`."""
+        """Bound local address, available after `start`."""
         return self._started_socket().getsockname()
 
     async def start(self) -> None:
@@ -120,19 +121,19 @@
         udp_socket.close()
 
     def send(self, payload: bytes, address: Address) -> bool:
-        """Send one datagram without waiting.
+        """Send one datagram without blocking.
 
         Parameters
         ----------
         payload : bytes
             The message before sealing.
         address : tuple of (str, int)
-            IP number and port of the receiver.
+            IP address and port of the receiver.
 
         Returns
         -------
         bool
-            False if the datagram was dropped, which is also counted.
+            False if the datagram was dropped.
         """
         if self._socket is None:
             self.counts.dropped += 1
@@ -146,7 +147,7 @@
         return True
 
     async def __aiter__(self) -> AsyncIterator[Datagram]:
-        """Yield each datagram that can be opened, until `close`."""
+        """Yield each datagram that can be opened, until the endpoint is closed."""
         while self._socket is not None:
             try:
                 await anyio.wait_readable(self._socket)
@@ -156,9 +157,10 @@
                 yield datagram
 
     def _receive_batch(self) -> list[Datagram]:
-        # Bounded, so that a flood cannot keep other tasks from running.
+        # The batch is bounded, so that a flood of datagrams cannot starve other
+        # tasks.
         batch: list[Datagram] = []
-        for _ in range(RECEIVE_BATCH):
+        for _ in range(MAX_BATCH_DATAGRAMS):
             if self._socket is None:
                 break
             try:
@@ -166,7 +168,7 @@
             except BlockingIOError:
                 break
             except OSError:
-                # An ICMP error for an earlier send; nothing was received.
+                # An ICMP error for an earlier send; no datagram was received.
                 continue
             payload = self._open(sealed)
             if payload is None:
@@ -178,7 +180,7 @@
 
     def _started_socket(self) -> socket.socket:
         if self._socket is None:
-            raise RuntimeError("the endpoint is not started")
+            raise RuntimeError("endpoint is not started")
         return self._socket
 
 
--- a/libs/transport/src/berylwalk/transport/_http_client.py
+++ b/libs/transport/src/berylwalk/transport/_http_client.py
@@ -1,4 +1,4 @@
-"""HTTP client that tells "nothing was sent" from "sent, then lost"."""
+"""HTTP client that reports whether a failed request may have been received."""
 
 from asyncio import get_running_loop
 from collections.abc import AsyncIterator, Iterable
@@ -14,32 +14,32 @@
     RequestFailed,
     SendState,
 )
-from berylwalk.transport._request_head import host_of, request_head
-from berylwalk.transport._response_connection import ResponseConnection, describe
+from berylwalk.transport._request_head import host_header, request_head
+from berylwalk.transport._response_connection import ResponseConnection, format_error
 from berylwalk.transport._response_stream import HttpStream
 
-# Below the server's keep-alive, so that the client closes first and a request
-# rarely meets a connection that the server is just closing.
+# Shorter than the keep-alive of the server, so that the client closes an idle
+# connection first and a request is rarely sent while the server closes it.
 KEEP_ALIVE_S = 15.0
 DEFAULT_PORT = 80
 MAX_KEEP_ALIVE_CONNECTIONS = 256
 
 
 class HttpClient:
-    """HTTP/1.1 client that never repeats a request by itself.
+    """HTTP/1.1 client that never retries a request.
 
     `request` uses pooled connections. `open_stream` and `stream` use a new
-    connection each, so that no stale connection can make the fate of a request
-    unknown.
+    connection for each request, so that a stale connection cannot leave the
+    outcome of a request unknown.
 
     Parameters
     ----------
     connect_timeout_s : float
-        Limit for connecting, in seconds.
+        Timeout for connecting, in seconds.
     read_timeout_s : float or None
-        Limit for each wait for data, in seconds; None waits for ever.
+        Timeout for each wait for data, in seconds; None for no timeout.
     max_connections : int or None
-        Largest number of connections open at once.
+        Maximum number of pooled connections.
     """
 
     def __init__(
@@ -80,7 +80,7 @@
         )
 
     async def close(self) -> None:
-        """Close every connection."""
+        """Close all pooled connections."""
         pool = self._pool
         self._pool = None
         if pool is not None:
@@ -96,27 +96,27 @@
         read_timeout_s: float | None = None,
         coalesce_s: float = 0.0,
     ) -> HttpStream | RequestFailed:
-        """Send a request on a new connection; return with the response headers.
+        """Send a request on a new connection and wait for the response headers.
 
         Parameters
         ----------
         method : str
             HTTP method other than HEAD.
         url : str
-            ``http://`` URL whose host is an IP number.
+            ``http://`` URL whose host is an IP address.
         headers : iterable of (bytes, bytes)
-            Host and content length are added.
+            Names and values; ``host`` and ``content-length`` are added.
         body : bytes, optional
-            The whole body.
+            The complete body.
         read_timeout_s : float, optional
-            Replaces the client's limit.
+            Overrides the read timeout of the client, in seconds.
         coalesce_s : float, optional
-            Least time between two parts of the body, in seconds.
+            Minimum time between two parts of the body, in seconds.
 
         Returns
         -------
         HttpStream or RequestFailed
-            A stream that the caller must close, or why there is none.
+            A stream that the caller must close, or the failure.
         """
         if self._pool is None:
             return RequestFailed(SendState.NOT_SENT, "client is not started")
@@ -124,16 +124,16 @@
         try:
             head = request_head(method, parsed_url, headers, len(body))
         except ValueError as error:
-            # The peer is fine, which "not sent" would leave in doubt.
-            return RequestFailed(SendState.OUTCOME_UNKNOWN, describe(error))
-        limit_s = self._read_timeout_s if read_timeout_s is None else read_timeout_s
+            # NOT_SENT would be attributed to the peer, but the request is at fault.
+            return RequestFailed(SendState.OUTCOME_UNKNOWN, format_error(error))
+        timeout_s = self._read_timeout_s if read_timeout_s is None else read_timeout_s
         connection = await self._connect(parsed_url)
         if isinstance(connection, RequestFailed):
             return connection
-        failure = await _exchange_heads(connection, head, body, limit_s)
+        failure = await _exchange_heads(connection, head, body, timeout_s)
         if failure is not None:
             return failure
-        return HttpStream(connection, read_timeout_s=limit_s, coalesce_s=coalesce_s)
+        return HttpStream(connection, read_timeout_s=timeout_s, coalesce_s=coalesce_s)
 
     @asynccontextmanager
     async def stream(
@@ -146,7 +146,7 @@
         read_timeout_s: float | None = None,
         coalesce_s: float = 0.0,
     ) -> AsyncIterator[HttpStream | RequestFailed]:
-        """Like `open_stream`, as a context that closes the stream."""
+        """Open a stream as `open_stream` does, and close it on exit."""
         opened = await self.open_stream(
             method,
             url,
@@ -170,14 +170,15 @@
         body: bytes = b"",
         read_timeout_s: float | None = None,
     ) -> HttpResponse | RequestFailed:
-        """Send a request on a pooled connection and read the whole response.
+        """Send a request on a pooled connection and read the complete response.
 
-        Parameters are those of `open_stream`.
+        See `open_stream` for the parameters.
 
         Returns
         -------
         HttpResponse or RequestFailed
-            The response; a truncated body is `SendState.OUTCOME_UNKNOWN`.
+            The response or the failure; a truncated body is a failure with
+            `SendState.OUTCOME_UNKNOWN`.
         """
         if self._pool is None:
             return RequestFailed(SendState.NOT_SENT, "client is not started")
@@ -188,7 +189,7 @@
         try:
             content = await response.aread()
         except _NETWORK_ERRORS as error:
-            return RequestFailed(SendState.OUTCOME_UNKNOWN, describe(error))
+            return RequestFailed(SendState.OUTCOME_UNKNOWN, format_error(error))
         finally:
             with anyio.CancelScope(shield=True):
                 await response.aclose()
@@ -202,8 +203,8 @@
                     ResponseConnection, host, url.port or DEFAULT_PORT
                 )
         except OSError as error:
-            # A timeout is one as well.
-            return RequestFailed(SendState.NOT_SENT, describe(error))
+            # TimeoutError is a subclass of OSError.
+            return RequestFailed(SendState.NOT_SENT, format_error(error))
         return connection
 
     def _request(
@@ -245,16 +246,18 @@
 
 
 async def _exchange_heads(
-    connection: ResponseConnection, head: bytes, body: bytes, limit_s: float | None
+    connection: ResponseConnection, head: bytes, body: bytes, timeout_s: float | None
 ) -> RequestFailed | None:
-    """Send the request and wait for the response's head; closes on failure."""
+    """Send the request and wait for the response head; close on failure."""
     try:
         connection.send(head, body)
         while not connection.status and not connection.failure:
-            await connection.wait(limit_s)
+            await connection.wait(timeout_s)
     except TimeoutError:
         connection.close()
-        return RequestFailed(SendState.OUTCOME_UNKNOWN, "no response in time")
+        return RequestFailed(
+            SendState.OUTCOME_UNKNOWN, "no response within the read timeout"
+        )
     except BaseException:
         connection.close()
         raise
@@ -270,16 +273,16 @@
     try:
         return await sender.handle_async_request(request)
     except _NOT_SENT_ERRORS as error:
-        return RequestFailed(SendState.NOT_SENT, describe(error))
+        return RequestFailed(SendState.NOT_SENT, format_error(error))
     except _NETWORK_ERRORS as error:
-        return RequestFailed(SendState.OUTCOME_UNKNOWN, describe(error))
+        return RequestFailed(SendState.OUTCOME_UNKNOWN, format_error(error))
 
 
 def _complete_headers(
     url: httpcore.URL, headers: Iterable[Header], body: bytes
 ) -> list[Header]:
     return [
-        (b"host", host_of(url)),
+        (b"host", host_header(url)),
         (b"content-length", str(len(body)).encode()),
         *headers,
     ]
--- a/libs/transport/src/berylwalk/transport/_http_protocol.py
+++ b/libs/transport/src/berylwalk/transport/_http_protocol.py
@@ -1,4 +1,4 @@
-"""uvicorn's httptools protocol with deadlines, a header limit and aborts."""
+"""uvicorn's httptools protocol with timeouts, a header size limit and aborts."""
 
 from asyncio import TimerHandle, Transport
 from dataclasses import dataclass
@@ -27,18 +27,18 @@
     Parameters
     ----------
     header_timeout_s : float
-        From connecting, or from the first byte of a further request, to the
-        end of the headers.
+        Timeout for receiving the headers, in seconds. It starts when the
+        connection opens, or with the first byte of each later request.
     body_timeout_s : float
-        From the end of the headers to the end of the body.
+        Timeout for receiving the body, in seconds, from the end of the headers.
     keep_alive_s : float
-        How long an idle connection stays open.
+        Time after which an idle connection is closed, in seconds.
     max_header_bytes : int
-        Largest request line and headers.
+        Maximum size of the request line and headers.
     max_connections : int or None
-        Connections beyond it get status 503.
+        Connections above this number receive status 503.
     linger_s : float
-        How long an aborted connection may flush what was already sent.
+        Time that an aborted connection has to flush its send buffer, in seconds.
     """
 
     header_timeout_s: float = 10.0
@@ -55,11 +55,11 @@
     BODY = auto()
 
 
-class GuardedProtocol(HttpToolsProtocol):
-    """One server connection; constructed by uvicorn.
+class LimitedHttpProtocol(HttpToolsProtocol):
+    """Server connection that is constructed by uvicorn.
 
-    uvicorn has no deadline for receiving a request, so that a client could
-    hold a connection for ever by sending a byte now and then.
+    uvicorn has no timeout for receiving a request; without one, a slow client can
+    hold a connection indefinitely.
     """
 
     def __init__(self, limits: HttpLimits, **uvicorn_arguments: Any) -> None:
@@ -76,20 +76,20 @@
         self._arm(self._limits.header_timeout_s)
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Release the deadline."""
+        """Cancel the deadline."""
         self._disarm()
         super().connection_lost(exc)
 
     def data_received(self, data: bytes) -> None:
-        """Parse the data while the deadline runs."""
-        if self._awaits_request():
+        """Parse the data; the first byte of a request starts the header deadline."""
+        if self._is_awaiting_request():
             self._arm(self._limits.header_timeout_s)
         super().data_received(data)
         if self._phase is _Phase.HEADERS:
             self._count_header_bytes(len(data))
 
     def on_message_begin(self) -> None:
-        """Note that a request has begun, and offer the abort extension."""
+        """Start to receive a request, and add the abort extension to its scope."""
         super().on_message_begin()
         self._phase = _Phase.HEADERS
         self._header_bytes = 0
@@ -98,7 +98,7 @@
         self.scope["extensions"] = {ABORT_EXTENSION: {"call": self._abort}}
 
     def on_headers_complete(self) -> None:
-        """Exchange the header deadline for the body deadline."""
+        """Replace the header deadline with the body deadline."""
         self._phase = _Phase.BODY
         self._disarm()
         self._arm(self._limits.body_timeout_s)
@@ -107,20 +107,20 @@
             self.cycle.keep_alive = False
 
     def on_message_complete(self) -> None:
-        """Release the deadline."""
+        """Cancel the deadline."""
         self._phase = _Phase.IDLE
         self._disarm()
         super().on_message_complete()
 
     def shutdown(self) -> None:
-        """Close when idle; otherwise after the request being received or served."""
+        """Close the connection if it is idle, else after the current request."""
         self._draining = True
         if self._phase is _Phase.IDLE:
             super().shutdown()
         elif self.cycle is not None:
             self.cycle.keep_alive = False
 
-    def _awaits_request(self) -> bool:
+    def _is_awaiting_request(self) -> bool:
         if self._deadline is not None or self._phase is not _Phase.IDLE:
             return False
         return self.cycle is None or self.cycle.response_complete
@@ -136,7 +136,7 @@
     def _expire(self) -> None:
         self._deadline = None
         if self._is_serving_earlier_request():
-            # The late request was pipelined behind one still being answered.
+            # The late request is pipelined after one whose response is in progress.
             self.cycle.keep_alive = False
             return
         self.transport.abort()
@@ -158,8 +158,8 @@
         self.loop.call_later(self._limits.linger_s, self.transport.abort)
 
 
-def protocol_factory(limits: HttpLimits) -> partial[GuardedProtocol]:
-    """Return what uvicorn calls for each connection.
+def protocol_factory(limits: HttpLimits) -> partial[LimitedHttpProtocol]:
+    """Return the protocol factory that uvicorn calls for each connection.
 
     Parameters
     ----------
@@ -169,9 +169,9 @@
     Returns
     -------
     callable
-        Accepts uvicorn's keyword arguments.
+        Takes the keyword arguments that uvicorn passes to a protocol.
     """
-    return partial(GuardedProtocol, limits)
+    return partial(LimitedHttpProtocol, limits)
 
 
 def with_abort(application: Application) -> Application:
--- a/libs/transport/src/berylwalk/transport/_http_results.py
+++ b/libs/transport/src/berylwalk/transport/_http_results.py
@@ -1,14 +1,14 @@
-"""What becomes of a request of the HTTP client."""
+"""Results of requests of the HTTP client."""
 
 from dataclasses import dataclass
 from enum import StrEnum
 
 
 class SendState(StrEnum):
-    """What is known about a request that failed.
+    """Whether the peer may have received a request that failed.
 
-    ``NOT_SENT``: not a byte left this process. ``OUTCOME_UNKNOWN``: the peer may have
-    received and acted on it.
+    ``NOT_SENT``: no byte of the request was sent. ``OUTCOME_UNKNOWN``: the peer
+    may have received and executed the request.
     """
 
     NOT_SENT = "not_sent"
@@ -17,14 +17,14 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestFailed:
-    """A request without a response.
+    """Failure of a request without a complete response.
 
     Parameters
     ----------
     state : SendState
-        Whether the peer may have received it.
+        Whether the peer may have received the request.
     reason : str
-        The error, for the logs.
+        Description of the error, for the logs.
     """
 
     state: SendState
@@ -33,7 +33,7 @@
 
 @dataclass(frozen=True, slots=True)
 class HttpResponse:
-    """A whole response.
+    """Complete response.
 
     Parameters
     ----------
@@ -42,7 +42,7 @@
     headers : dict of str to str
         Values by lower-case name.
     body : bytes
-        The whole body.
+        The complete body.
     """
 
     status: int
--- a/libs/transport/src/berylwalk/transport/_http_server.py
+++ b/libs/transport/src/berylwalk/transport/_http_server.py
@@ -1,4 +1,4 @@
-"""HTTP server: uvicorn with an explicit start, drain and close."""
+"""HTTP server based on uvicorn, with explicit start, drain and close."""
 
 import socket
 from typing import Self
@@ -14,25 +14,25 @@
 )
 
 BACKLOG = 2048
-CLOSE_CHECK_S = 0.02
+CLOSE_POLL_INTERVAL_S = 0.02
 
 
 class HttpServer:
-    """Serve one ASGI application on one address.
+    """HTTP server for one ASGI application on one address.
 
-    uvicorn runs inside the caller's loop: it installs no signal handlers and
-    writes no access log.
+    uvicorn runs in the event loop of the caller, without signal handlers and
+    without an access log.
 
     Parameters
     ----------
     application : callable
         ASGI application for HTTP scopes. It may raise `AbortConnection`.
     host : str
-        Local IP number.
+        Local IP address.
     port : int
-        Local port; 0 lets the system choose.
+        Local port; 0 selects a free port.
     limits : HttpLimits, optional
-        Deadlines and sizes.
+        Timeouts, sizes and number of connections.
     """
 
     def __init__(
@@ -58,23 +58,23 @@
         *,
         limits: HttpLimits | None = None,
     ) -> Self:
-        """Construct from the configured address; see the class for parameters."""
+        """Construct from settings; see the class for parameters."""
         return cls(application, host, port, limits=limits)
 
     @property
     def address(self) -> tuple[str, int]:
-        """Local address in use, known after `start`."""
+        """Bound local address, available after `start`."""
         if self._address is None:
-            raise RuntimeError("the server is not started")
+            raise RuntimeError("server is not started")
         return self._address
 
     @property
     def connection_count(self) -> int:
-        """Connections open at present."""
+        """Number of open connections."""
         return len(self._server.server_state.connections)
 
     async def start(self) -> None:
-        """Listen; on return connections are accepted.
+        """Bind the address and start to accept connections.
 
         Raises
         ------
@@ -88,9 +88,9 @@
         await self._server.startup(sockets=[self._socket])
 
     def begin_drain(self) -> None:
-        """Accept nothing new, and let requests in progress finish.
+        """Stop accepting connections, and let requests in progress finish.
 
-        Idle connections are closed; the others close after their response.
+        Idle connections are closed; the others are closed after their response.
         """
         if self._draining or self._socket is None:
             return
@@ -102,23 +102,23 @@
             connection.shutdown()
 
     async def close(self, *, timeout_s: float = 0.0) -> bool:
-        """Drain, then cut what is left.
+        """Drain, then abort the remaining connections.
 
         Parameters
         ----------
         timeout_s : float
-            How long requests in progress may take, in seconds.
+            Timeout for requests in progress, in seconds.
 
         Returns
         -------
         bool
-            True if nothing had to be cut.
+            True if all requests finished in time.
         """
         self.begin_drain()
         with anyio.move_on_after(timeout_s):
             await self._wait_until_idle()
         finished = self._is_idle()
-        self._cut()
+        self._abort_remaining()
         with anyio.CancelScope(shield=True):
             await self._wait_until_idle()
         return finished
@@ -129,9 +129,9 @@
 
     async def _wait_until_idle(self) -> None:
         while not self._is_idle():
-            await anyio.sleep(CLOSE_CHECK_S)
+            await anyio.sleep(CLOSE_POLL_INTERVAL_S)
 
-    def _cut(self) -> None:
+    def _abort_remaining(self) -> None:
         state = self._server.server_state
         for connection in list(state.connections):
             connection.transport.abort()
--- a/libs/transport/src/berylwalk/transport/_pacing.py
+++ b/libs/transport/src/berylwalk/transport/_pacing.py
@@ -1,4 +1,4 @@
-"""A least time between two parts of a stream."""
+"""Minimum interval between two parts of a stream."""
 
 from asyncio import TimerHandle, get_running_loop
 from collections.abc import Callable
@@ -6,12 +6,12 @@
 
 
 class Pacer:
-    """Tells whether a part comes too soon after the one before.
+    """Rate limiter that enforces a minimum interval between parts.
 
     Parameters
     ----------
     interval_s : float
-        Least time between two parts, in seconds; 0 for none.
+        Minimum time between two parts, in seconds; 0 for no limit.
     """
 
     __slots__ = ("_interval_s", "_next_at", "_timer")
@@ -21,13 +21,14 @@
         self._next_at = 0.0
         self._timer: TimerHandle | None = None
 
-    def is_early(self, when_due: Callable[[], None]) -> bool:
-        """Return whether a part has to wait; if not, it counts as passed on.
+    def must_wait(self, on_due: Callable[[], None]) -> bool:
+        """Return whether a part must wait; if not, start the next interval.
 
         Parameters
         ----------
-        when_due : callable
-            Called by the loop, once for all that wait, when they are due.
+        on_due : callable
+            Called by the event loop at the end of the interval, once for all
+            parts that wait.
         """
         if not self._interval_s:
             return False
@@ -37,17 +38,17 @@
             return False
         if self._timer is None:
             delay_s = self._next_at - now
-            self._timer = get_running_loop().call_later(delay_s, self._due, when_due)
+            self._timer = get_running_loop().call_later(delay_s, self._on_timer, on_due)
         return True
 
     def stop(self) -> None:
-        """Call nothing back any more; may be used again."""
+        """Cancel a pending callback; the pacer can be used again."""
         if self._timer is not None:
             self._timer.cancel()
             self._timer = None
 
-    def _due(self, when_due: Callable[[], None]) -> None:
+    def _on_timer(self, on_due: Callable[[], None]) -> None:
         self._timer = None
-        # Timers may fire a little before their time.
+        # The timer may fire slightly early, before `_next_at`.
         self._next_at = 0.0
-        when_due()
+        on_due()
--- a/libs/transport/src/berylwalk/transport/_request_head.py
+++ b/libs/transport/src/berylwalk/transport/_request_head.py
@@ -1,4 +1,4 @@
-"""The bytes of a request before its body."""
+"""Encoding of the request line and headers."""
 
 import re
 from collections.abc import Iterable
@@ -12,13 +12,13 @@
 _TARGET = re.compile(rb"[\x21-\x7e]+")
 
 
-def host_of(url: httpcore.URL) -> bytes:
+def host_header(url: httpcore.URL) -> bytes:
     """Return the value of the Host header.
 
     Parameters
     ----------
     url : httpcore.URL
-        Where the request goes.
+        URL of the request.
     """
     return url.host if url.port is None else b"%s:%d" % (url.host, url.port)
 
@@ -26,30 +26,31 @@
 def request_head(
     method: str, url: httpcore.URL, headers: Iterable[Header], body_size: int
 ) -> bytes:
-    """Return request line and headers of an HTTP/1.1 request.
+    """Return the encoded request line and headers of an HTTP/1.1 request.
 
     Parameters
     ----------
     method : str
         HTTP method.
     url : httpcore.URL
-        Where the request goes.
+        URL of the request.
     headers : iterable of (bytes, bytes)
-        Host and content length are added.
+        Names and values; ``host`` and ``content-length`` are added.
     body_size : int
         Length of the body, in bytes.
 
     Raises
     ------
     ValueError
-        If a part could be read as more than itself.
+        If the method, the request target or a header contains characters that
+        are not allowed there, such as line breaks.
     """
-    verb = method.encode("ascii")
-    if not (_NAME.fullmatch(verb) and _TARGET.fullmatch(url.target)):
-        raise ValueError("invalid method or target")
+    method_bytes = method.encode("ascii")
+    if not (_NAME.fullmatch(method_bytes) and _TARGET.fullmatch(url.target)):
+        raise ValueError("invalid method or request target")
     lines = [
-        b"%s %s HTTP/1.1" % (verb, url.target),
-        b"host: " + host_of(url),
+        b"%s %s HTTP/1.1" % (method_bytes, url.target),
+        b"host: " + host_header(url),
         b"content-length: %d" % body_size,
     ]
     for name, value in headers:
--- a/libs/transport/src/berylwalk/transport/_response_connection.py
+++ b/libs/transport/src/berylwalk/transport/_response_connection.py
@@ -1,8 +1,8 @@
-"""One request and its response on a connection of their own.
+"""Client connection for one request and its response.
 
-A streamed answer is many small reads. As an `asyncio.Protocol` a connection
-stays registered with the loop between them, and what arrived before its reader
-runs is one part; ``docs/design/transport.md`` has the figures.
+A streamed response consists of many small reads. As an `asyncio.Protocol` the
+connection stays registered with the event loop between reads, and data that
+arrives before the reader runs is delivered as one part.
 """
 
 from asyncio import (
@@ -22,26 +22,26 @@
 
 MAX_HEAD_BYTES = 64 * 1024
 MAX_UNREAD_BYTES = 256 * 1024
-"""Unread bytes of the body from which the connection isn't read further."""
+"""Size of the unread body above which reading from the connection is paused."""
 FIRST_FINAL_STATUS = 200
 
-TryTake = Callable[[bytes], bool]
-"""Takes a part of the body at once, or returns False."""
+TryWrite = Callable[[bytes], bool]
+"""Writes a part of the body without blocking; returns False if it cannot."""
 
 
 class ResponseConnection(Protocol):
-    """Parses a response as it arrives; constructed by the loop.
+    """Incremental parser of a response; constructed by the event loop.
 
     Attributes
     ----------
     status : int
-        HTTP status code, 0 until the head is known.
+        HTTP status code, 0 until the head is complete.
     headers : dict of str to str
         Values by lower-case name.
     complete : bool
-        Whether the response came to its proper end.
+        Whether the complete response was received.
     failure : str
-        Why there won't be a proper end, or empty.
+        Reason why the response cannot be completed, or empty.
     """
 
     def __init__(self) -> None:
@@ -57,51 +57,51 @@
         self._transport: Transport | None = None
         self._waiter: Future[None] | None = None
         self._received_at = 0.0
-        self._try_take: TryTake | None = None
+        self._try_write: TryWrite | None = None
         self._pacer = Pacer(0.0)
 
     @property
-    def has_parts(self) -> bool:
-        """Whether a part of the body waits."""
+    def has_data(self) -> bool:
+        """Whether unread data of the body is available."""
         return bool(self._parts)
 
     def connection_made(self, transport: Transport) -> None:
-        """Keep the transport."""
+        """Store the transport."""
         self._transport = transport
 
     def data_received(self, data: bytes) -> None:
-        """Parse what arrived."""
-        # Bytes beyond the end belong to no response of ours.
+        """Parse the data."""
+        # Bytes after the end do not belong to this response.
         if self.complete or self.failure:
             return
         self._received_at = monotonic()
         try:
             self._parser.feed_data(data)
         except httptools.HttpParserError as error:
-            self._fail(describe(error))
+            self._fail(format_error(error))
         if not self.status:
             self._count_head_bytes(len(data))
-        self._offer()
+        self._deliver()
 
     def eof_received(self) -> bool:
-        """Take the end of what the peer sends; `close` closes the connection."""
+        """Handle the end of the data; the connection is closed by `close`."""
         if self.status and self._ends_with_connection():
             self.complete = True
-        self._fail("the connection ended before the body")
-        self._offer()
+        self._fail("connection closed before the end of the body")
+        self._deliver()
         return True
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Note that nothing more can arrive."""
-        self._fail("closed" if exc is None else describe(exc))
-        self._offer()
+        """Handle the loss of the connection."""
+        self._fail("connection closed" if exc is None else format_error(exc))
+        self._deliver()
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """Take a header from the parser."""
+        """Handle a header from the parser."""
         self.headers[name.decode("latin-1").lower()] = value.decode("latin-1")
 
     def on_headers_complete(self) -> None:
-        """Take the end of the head; one that is only informational is dropped."""
+        """Handle the end of the head; an informational (1xx) head is discarded."""
         status = self._parser.get_status_code()
         if status < FIRST_FINAL_STATUS:
             self.headers.clear()
@@ -109,7 +109,7 @@
         self.status = status
 
     def on_body(self, part: bytes) -> None:
-        """Take a part of the body from the parser."""
+        """Handle a part of the body from the parser."""
         self._parts.append(part)
         self._unread_bytes += len(part)
         if self._unread_bytes > MAX_UNREAD_BYTES and not self._reading_paused:
@@ -117,25 +117,25 @@
             self._transport.pause_reading()
 
     def on_message_complete(self) -> None:
-        """Note the proper end of the body."""
+        """Handle the end of the message."""
         self.complete = self.status != 0
 
     def send(self, head: bytes, body: bytes) -> None:
-        """Send the whole request without waiting for the peer to take it."""
+        """Write the complete request to the transport without waiting."""
         self._transport.writelines((head, body))
 
     async def wait(self, timeout_s: float | None) -> None:
-        """Wait until something changed.
+        """Wait for data, the end of the response or a failure.
 
         Parameters
         ----------
         timeout_s : float or None
-            Limit in seconds.
+            Timeout in seconds; None for no timeout.
 
         Raises
         ------
         TimeoutError
-            If nothing changed in time.
+            If nothing happened in time.
         """
         self._waiter = get_running_loop().create_future()
         if timeout_s is None:
@@ -145,37 +145,38 @@
             await self._waiter
 
     async def forward(
-        self, try_take: TryTake, pacer: Pacer, timeout_s: float | None
+        self, try_write: TryWrite, pacer: Pacer, timeout_s: float | None
     ) -> None:
-        """Pass parts on from the loop's callbacks, without waking a task for each.
+        """Write parts from event loop callbacks, without waking a task for each.
 
-        Returns when a part was refused, which then waits, or at the end.
+        Returns when ``try_write`` refuses a part, which stays unread, when the
+        response is complete, or when it fails.
 
         Parameters
         ----------
-        try_take : callable
+        try_write : callable
             Receives each part.
         pacer : Pacer
-            Says when a part has to wait for more.
+            Limits the rate of parts.
         timeout_s : float or None
-            Limit for each wait for data, in seconds.
+            Timeout for each wait for data, in seconds; None for no timeout.
 
         Raises
         ------
         TimeoutError
-            If nothing arrived in time.
+            If no data arrived in time.
         Exception
-            What ``try_take`` raised.
+            Any error raised by ``try_write``.
         """
-        self._try_take = try_take
+        self._try_write = try_write
         self._pacer = pacer
         try:
             await self._wait_for_end(timeout_s)
         finally:
             self._stop_forwarding()
 
-    def take_parts(self) -> bytes:
-        """Return what waits of the body, as one part."""
+    def read_available(self) -> bytes:
+        """Return the unread data of the body as one part."""
         parts = self._parts
         self._parts = []
         self._unread_bytes = 0
@@ -185,7 +186,7 @@
         return parts[0] if len(parts) == 1 else b"".join(parts)
 
     def close(self) -> None:
-        """Close the connection; what wasn't sent yet is dropped."""
+        """Close the connection; unsent data is discarded."""
         self._transport.abort()
 
     def _ends_with_connection(self) -> bool:
@@ -201,48 +202,49 @@
         if not self.complete and not self.failure:
             self.failure = reason
 
-    def _offer(self) -> None:
-        """Pass on what waits, now or when it is due."""
-        if self._try_take is not None and self._parts and not self._is_early():
-            self._pass_on(self._try_take)
-        if self._try_take is None or self.complete or self.failure:
+    def _deliver(self) -> None:
+        """Write the unread data, now or at the end of the pacing interval."""
+        if self._try_write is not None and self._parts and not self._must_wait():
+            self._write_available(self._try_write)
+        if self._try_write is None or self.complete or self.failure:
             self._wake()
 
-    def _is_early(self) -> bool:
+    def _must_wait(self) -> bool:
         if self.complete or self.failure:
             return False
-        return self._pacer.is_early(self._offer)
+        return self._pacer.must_wait(self._deliver)
 
-    def _pass_on(self, try_take: TryTake) -> None:
-        part = self.take_parts()
+    def _write_available(self, try_write: TryWrite) -> None:
+        part = self.read_available()
         try:
-            taken = try_take(part)
+            is_written = try_write(part)
         except Exception as error:
             self._stop_forwarding()
             if not self._waiter.done():
                 self._waiter.set_exception(error)
             return
-        if not taken:
-            # The task takes it, and all that follows, until it forwards again.
+        if not is_written:
+            # The waiting task reads this part and those that follow, until it calls
+            # `forward` again.
             self._stop_forwarding()
             self.on_body(part)
 
     def _stop_forwarding(self) -> None:
-        self._try_take = None
+        self._try_write = None
         self._pacer.stop()
 
     async def _wait_for_end(self, timeout_s: float | None) -> None:
-        """Wait to be woken; data that is passed on meanwhile extends the time."""
+        """Wait until woken; each received part restarts the timeout."""
         waiter = self._waiter = get_running_loop().create_future()
         if timeout_s is None:
             await waiter
             return
         self._received_at = monotonic()
         while not waiter.done():
-            left_s = self._received_at + timeout_s - monotonic()
-            if left_s <= 0:
+            remaining_s = self._received_at + timeout_s - monotonic()
+            if remaining_s <= 0:
                 raise TimeoutError
-            with anyio.move_on_after(left_s):
+            with anyio.move_on_after(remaining_s):
                 await shield(waiter)
         waiter.result()
 
@@ -252,8 +254,8 @@
             waiter.set_result(None)
 
 
-def describe(error: Exception) -> str:
-    """Return an error as one line for the logs.
+def format_error(error: Exception) -> str:
+    """Return an error as text for the logs.
 
     Parameters
     ----------
@@ -263,6 +265,6 @@
     Returns
     -------
     str
-        Type and message.
+        Type and message of the error.
     """
     return f"{type(error).__name__}: {error}"
--- a/libs/transport/src/berylwalk/transport/_response_stream.py
+++ b/libs/transport/src/berylwalk/transport/_response_stream.py
@@ -1,4 +1,4 @@
-"""Response bodies as they arrive."""
+"""Streamed response bodies."""
 
 from collections.abc import AsyncIterator, Awaitable, Callable
 from time import monotonic
@@ -6,29 +6,29 @@
 import anyio
 
 from berylwalk.transport._pacing import Pacer
-from berylwalk.transport._response_connection import ResponseConnection, TryTake
+from berylwalk.transport._response_connection import ResponseConnection, TryWrite
 
 
 class StreamBrokenError(Exception):
-    """The response body ended before its proper end."""
+    """The response body is incomplete."""
 
 
 class HttpStream:
-    """A response whose body is read in parts; close it in any case.
+    """Response whose body is read in parts; it must always be closed.
 
-    Iterate once. Only an iteration that ends without `StreamBrokenError` has
-    delivered the whole body.
+    Iterate over it once. The body is complete only if the iteration ends without
+    `StreamBrokenError`.
 
     Parameters
     ----------
     connection : ResponseConnection
-        Has received the response's head.
+        Connection that has received the response head.
     read_timeout_s : float or None
-        Limit for each wait for data, in seconds.
+        Timeout for each wait for data, in seconds; None for no timeout.
     coalesce_s : float
-        Least time between two parts, in seconds. What arrives sooner after a
-        part waits so long for more; the first part never waits, nor does any
-        of a slower stream. 0 delivers everything at once.
+        Minimum time between two parts, in seconds. Data that arrives earlier is
+        joined into the next part; the first part is never delayed. 0 delivers
+        data without delay.
 
     Attributes
     ----------
@@ -53,15 +53,15 @@
         self._pacer = Pacer(coalesce_s)
 
     async def __aiter__(self) -> AsyncIterator[bytes]:
-        """Yield the parts of the body as they arrive, without decoding."""
+        """Yield the parts of the body as they arrive, without content decoding."""
         connection = self._connection
         next_part_at = 0.0
         while True:
-            if connection.has_parts:
+            if connection.has_data:
                 if self._coalesce_s:
-                    await self._let_more_arrive(next_part_at)
+                    await self._wait_to_coalesce(next_part_at)
                     next_part_at = monotonic() + self._coalesce_s
-                yield connection.take_parts()
+                yield connection.read_available()
             elif connection.complete:
                 return
             elif connection.failure:
@@ -70,53 +70,54 @@
                 await self._wait()
 
     async def forward(
-        self, try_take: TryTake, take: Callable[[bytes], Awaitable[None]]
+        self, try_write: TryWrite, write: Callable[[bytes], Awaitable[None]]
     ) -> None:
-        """Pass the parts of the body on as they arrive, until its proper end.
+        """Write the parts of the body as they arrive, until its end.
 
-        Costs about half of an iteration. Use one of the two, and once.
+        It has less overhead than iteration, because no task is woken for each
+        part. A stream can be forwarded or iterated over, but not both.
 
         Parameters
         ----------
-        try_take : callable
-            Called by the loop with a part, outside of any task. Returns False,
-            without effect, when it can't take it at once.
-        take : callable
-            Coroutine function that takes the parts which were refused.
+        try_write : callable
+            Called by the event loop with a part, outside of any task. Returns
+            False, without effect, if it cannot write the part without blocking.
+        write : callable
+            Coroutine function that writes the parts that ``try_write`` refused.
 
         Raises
         ------
         StreamBrokenError
-            If the body ended before its proper end.
+            If the body is incomplete.
         """
         connection = self._connection
         while True:
-            if connection.has_parts:
-                await take(connection.take_parts())
+            if connection.has_data:
+                await write(connection.read_available())
             elif connection.complete:
                 return
             elif connection.failure:
                 raise StreamBrokenError(connection.failure)
             else:
-                await self._forward(try_take)
+                await self._forward(try_write)
 
     async def close(self) -> None:
         """Close the connection."""
         self._connection.close()
 
-    async def _let_more_arrive(self, until: float) -> None:
+    async def _wait_to_coalesce(self, until: float) -> None:
         delay_s = until - monotonic()
         if delay_s > 0 and not self._connection.complete:
             await anyio.sleep(delay_s)
 
-    async def _forward(self, try_take: TryTake) -> None:
+    async def _forward(self, try_write: TryWrite) -> None:
         try:
-            await self._connection.forward(try_take, self._pacer, self._read_timeout_s)
+            await self._connection.forward(try_write, self._pacer, self._read_timeout_s)
         except TimeoutError as error:
-            raise StreamBrokenError("no data in time") from error
+            raise StreamBrokenError("no data within the read timeout") from error
 
     async def _wait(self) -> None:
         try:
             await self._connection.wait(self._read_timeout_s)
         except TimeoutError as error:
-            raise StreamBrokenError("no data in time") from error
+            raise StreamBrokenError("no data within the read timeout") from error
--- a/libs/transport/src/berylwalk/transport/_sealing.py
+++ b/libs/transport/src/berylwalk/transport/_sealing.py
@@ -1,16 +1,16 @@
-"""The two callables that protect messages between the system's processes."""
+"""Types of the callables that seal and open messages between processes."""
 
 from collections.abc import Callable
 
-# Encrypts and authenticates a message.
+# Encrypts a message and adds an authentication tag.
 Seal = Callable[[bytes], bytes]
 
-# Reverses `Seal`; None when the message was not sealed with the same key.
+# Decrypts a sealed message; returns None if it was not sealed with the same key.
 Open = Callable[[bytes], bytes | None]
 
 
-def plain(message: bytes) -> bytes:
-    """Return the message as it is, for channels without a key.
+def identity(message: bytes) -> bytes:
+    """Return the message unchanged, for channels without a key.
 
     Parameters
     ----------
--- a/libs/transport/src/berylwalk/transport/_sync.py
+++ b/libs/transport/src/berylwalk/transport/_sync.py
@@ -1,4 +1,4 @@
-"""Peer sync channel: request and reply over TCP, sealed."""
+"""Peer sync channel: sealed requests and replies over TCP."""
 
 from collections.abc import Awaitable, Callable
 from contextlib import suppress
@@ -11,9 +11,9 @@
 import pynng
 from anyio.abc import TaskGroup
 
-from berylwalk.transport._sealing import Open, Seal, plain
+from berylwalk.transport._sealing import Open, Seal, identity
 
-DEFAULT_CONTEXTS = 8
+DEFAULT_CONTEXT_COUNT = 8
 MAX_MESSAGE_BYTES = 4 << 20
 ASYNC_BACKEND = "asyncio"
 
@@ -22,9 +22,10 @@
 
 
 class SyncFailure(StrEnum):
-    """Why a sync request got no reply.
+    """Reason why a sync request failed.
 
-    ``REJECTED``: a reply came that was not sealed with the same key.
+    ``REJECTED``: the server could not process the request, or its reply was not
+    sealed with the same key.
     """
 
     UNREACHABLE = "unreachable"
@@ -34,14 +35,14 @@
 
 @dataclass(frozen=True, slots=True)
 class SyncFailed:
-    """A sync request without a reply.
+    """Failure of a sync request.
 
     Parameters
     ----------
     failure : SyncFailure
         Kind of failure.
     reason : str
-        The error, for the logs.
+        Description of the error, for the logs.
     """
 
     failure: SyncFailure
@@ -49,29 +50,32 @@
 
 
 class SyncServer:
-    """Answer sync requests, several at once.
+    """Server that handles sync requests concurrently.
 
-    Requests that cannot be opened get an empty reply, which no client accepts.
+    The reply to a request that cannot be opened, or whose handler fails, is empty;
+    clients reject it.
 
     Parameters
     ----------
     host : str
-        Local IP number.
+        Local IP address.
     port : int
         Local port.
     handler : callable
-        Coroutine function from request bytes to reply bytes.
+        Coroutine function that takes the bytes of a request and returns those of
+        the reply.
     seal, open_ : callable, optional
-        Applied to each reply and request.
+        Applied to each reply and each request.
     contexts : int, optional
-        Requests handled at once.
+        Maximum number of requests handled concurrently.
 
     Attributes
     ----------
     rejected : int
-        Requests that could not be opened.
+        Number of requests that could not be opened.
     failed : int
-        Requests whose handler raised an error.
+        Number of requests whose handler raised an error or whose connection
+        failed.
     """
 
     def __init__(
@@ -80,9 +84,9 @@
         port: int,
         handler: Handler,
         *,
-        seal: Seal = plain,
-        open_: Open = plain,
-        contexts: int = DEFAULT_CONTEXTS,
+        seal: Seal = identity,
+        open_: Open = identity,
+        contexts: int = DEFAULT_CONTEXT_COUNT,
     ) -> None:
         self._url = f"tcp://{host}:{port}"
         self._handler = handler
@@ -100,14 +104,14 @@
         port: int,
         handler: Handler,
         *,
-        seal: Seal = plain,
-        open_: Open = plain,
+        seal: Seal = identity,
+        open_: Open = identity,
     ) -> Self:
-        """Construct from the configured address; see the class for parameters."""
+        """Construct from settings; see the class for parameters."""
         return cls(host, port, handler, seal=seal, open_=open_)
 
     async def start(self, task_group: TaskGroup) -> None:
-        """Listen and serve in the task group until `close`.
+        """Listen, and serve in the task group until `close` is called.
 
         Parameters
         ----------
@@ -131,7 +135,7 @@
             task_group.start_soon(self._serve_context, self._socket.new_context())
 
     async def close(self) -> None:
-        """Stop serving; the tasks end."""
+        """Close the socket, which ends the serving tasks."""
         socket = self._socket
         self._socket = None
         if socket is not None:
@@ -155,7 +159,7 @@
         except pynng.Closed:
             raise
         except pynng.NNGException:
-            # The client is gone; the next request starts afresh.
+            # The connection failed; the context can serve the next request.
             self.failed += 1
 
     async def _reply(self, sealed: bytes) -> bytes:
@@ -166,25 +170,25 @@
         try:
             reply = await self._handler(request)
         except Exception:
-            # One bad request must not end the service of the others.
+            # A failing request must not stop the server.
             self.failed += 1
             return b""
         return self._seal(reply)
 
 
 class SyncClient:
-    """One-shot sync requests to any peer.
+    """Client that sends each sync request on a new connection.
 
     Parameters
     ----------
     timeout_s : float
-        Limit for each step, sending and receiving, in seconds.
+        Timeout for sending, and for receiving, in seconds.
     seal, open_ : callable, optional
-        Applied to each request and reply.
+        Applied to each request and each reply.
     """
 
     def __init__(
-        self, *, timeout_s: float = 2.0, seal: Seal = plain, open_: Open = plain
+        self, *, timeout_s: float = 2.0, seal: Seal = identity, open_: Open = identity
     ) -> None:
         self._timeout_ms = int(timeout_s * 1000)
         self._seal = seal
@@ -192,7 +196,7 @@
 
     @classmethod
     def from_config(
-        cls, *, timeout_s: float = 2.0, seal: Seal = plain, open_: Open = plain
+        cls, *, timeout_s: float = 2.0, seal: Seal = identity, open_: Open = identity
     ) -> Self:
         """Construct from settings; see the class for parameters."""
         return cls(timeout_s=timeout_s, seal=seal, open_=open_)
@@ -203,7 +207,7 @@
         Parameters
         ----------
         host : str
-            IP number of the peer.
+            IP address of the peer.
         port : int
             Port of the peer.
         request : bytes
@@ -212,14 +216,14 @@
         Returns
         -------
         bytes or SyncFailed
-            The opened reply, or why there is none.
+            The opened reply, or the failure.
         """
         try:
             sealed = await self._exchange(f"tcp://{host}:{port}", request)
         except pynng.Timeout as error:
-            return SyncFailed(SyncFailure.TIMED_OUT, _describe(error))
+            return SyncFailed(SyncFailure.TIMED_OUT, _format_error(error))
         except pynng.NNGException as error:
-            return SyncFailed(SyncFailure.UNREACHABLE, _describe(error))
+            return SyncFailed(SyncFailure.UNREACHABLE, _format_error(error))
         reply = self._open(sealed)
         if reply is None or not sealed:
             return SyncFailed(SyncFailure.REJECTED, "the reply could not be opened")
@@ -241,11 +245,11 @@
     try:
         return await operation
     except anyio.get_cancelled_exc_class():
-        # pynng raises a cancellation of its own; a scope recognises only the
-        # one that it delivers itself.
+        # pynng raises its own cancellation error; a cancel scope recognises only
+        # the one that it delivered.
         await anyio.lowlevel.checkpoint_if_cancelled()
         raise
 
 
-def _describe(error: pynng.NNGException) -> str:
+def _format_error(error: pynng.NNGException) -> str:
     return f"{type(error).__name__}: {error}"
--- a/libs/transport/tests/test_transport_http.py
+++ b/libs/transport/tests/test_transport_http.py
@@ -1,4 +1,4 @@
-"""HTTP server and client against each other and against raw sockets."""
+"""HTTP server and client, with each other and with raw sockets."""
 
 from contextlib import asynccontextmanager
 
@@ -29,24 +29,26 @@
 MAX_BODY_BYTES = 1000
 NUMBERS = b"".join(b"%d," % number for number in range(300))
 CHUNKS = 400
-BOUND_S = 20.0
+TEST_TIMEOUT_S = 20.0
 
 pytestmark = pytest.mark.parametrize("use_uvloop", [True, False])
 
 
 def run(main, use_uvloop):
-    """Run a coroutine function on the loop that the daemons use."""
+    """Run a coroutine function with a timeout, on uvloop or the asyncio loop."""
 
-    async def bounded():
-        with anyio.fail_after(BOUND_S):
+    async def with_timeout():
+        with anyio.fail_after(TEST_TIMEOUT_S):
             await main()
 
-    anyio.run(bounded, backend="asyncio", backend_options={"use_uvloop": use_uvloop})
+    anyio.run(
+        with_timeout, backend="asyncio", backend_options={"use_uvloop": use_uvloop}
+    )
 
 
 @asynccontextmanager
 async def serving(application, **limits):
-    """A started server and client, and the server's URL."""
+    """Start a server and a client; yield them and the URL of the server."""
     server = HttpServer.from_config(application, HOST, 0, limits=HttpLimits(**limits))
     client = HttpClient.from_config(connect_timeout_s=5.0)
     await server.start()
@@ -60,7 +62,7 @@
 
 @asynccontextmanager
 async def raw_peer(reply):
-    """A TCP server that reads once, sends fixed bytes and closes."""
+    """Start a TCP server that reads once, sends a reply and closes; yield its URL."""
 
     async def handle(stream):
         async with stream:
@@ -76,7 +78,7 @@
 
 
 async def read_to_end(stream):
-    """Everything that the peer sends until it closes."""
+    """Return all data that the peer sends until it closes the connection."""
     received = b""
     try:
         while True:
@@ -85,8 +87,8 @@
         return received
 
 
-async def drip(stream, data, pause_s):
-    """Send data again and again until the peer closes."""
+async def send_repeatedly(stream, data, pause_s):
+    """Send data repeatedly until the peer closes the connection."""
     try:
         while True:
             await stream.send(data)
@@ -96,7 +98,7 @@
 
 
 async def collect(opened):
-    """Body parts, and whether the body was broken."""
+    """Return the body, and whether it is incomplete."""
     parts = []
     try:
         async for part in opened:
@@ -107,7 +109,7 @@
 
 
 async def echo(scope, receive, send):
-    """Send the body back in two chunks, or say why there is none."""
+    """Return the request body in two chunks, or the reason why it was not read."""
     body = await read_body(receive, MAX_BODY_BYTES, 5.0)
     if isinstance(body, BodyFailure):
         await send_json(send, 413, {"failure": body})
@@ -118,7 +120,7 @@
 
 
 async def numbers(scope, receive, send):
-    """Send many small chunks."""
+    """Send a body of many small chunks."""
     await send_start(send, 200)
     for number in range(300):
         await send_chunk(send, b"%d," % number)
@@ -126,15 +128,15 @@
 
 
 async def abort_after_chunk(scope, receive, send):
-    """Start a response and cut it."""
+    """Start a response and abort it."""
     await send_start(send, 200)
     await send_chunk(send, b"partial")
     raise AbortConnection
 
 
 class TestRoundTrip:
-    def test_body_is_passed_through(self, use_uvloop):
-        """Pooled and streamed requests both deliver the whole body."""
+    def test_body_is_delivered_unchanged(self, use_uvloop):
+        """Pooled and streamed requests both deliver the complete body."""
 
         async def main():
             async with serving(echo) as (_, client, url):
@@ -149,7 +151,7 @@
         run(main, use_uvloop)
 
     def test_coalesced_parts_lose_nothing(self, use_uvloop):
-        """Delaying reads joins chunks and keeps their order."""
+        """Coalescing joins chunks without loss and in order."""
 
         async def main():
             async with (
@@ -163,7 +165,7 @@
         run(main, use_uvloop)
 
     def test_oversize_body_is_refused(self, use_uvloop):
-        """A body over the limit is not collected."""
+        """A body over the limit is rejected."""
 
         async def main():
             async with serving(echo) as (_, client, url):
@@ -176,11 +178,11 @@
 
 
 class TestBrokenResponse:
-    def test_abort_cuts_the_response(self, use_uvloop):
-        """The client gets what was sent, and no clean end."""
+    def test_abort_truncates_the_response(self, use_uvloop):
+        """The client receives data sent before an abort, and sees the truncation."""
 
         async def main():
-            async with serving(abort_after_chunk, linger_s=2 * BOUND_S) as (
+            async with serving(abort_after_chunk, linger_s=2 * TEST_TIMEOUT_S) as (
                 _,
                 client,
                 url,
@@ -192,14 +194,14 @@
 
         run(main, use_uvloop)
 
-    def test_abort_before_the_response_is_lost(self, use_uvloop):
-        """An abort sends nothing at all."""
+    def test_abort_before_response_has_unknown_outcome(self, use_uvloop):
+        """An abort before the response sends nothing, so the outcome is unknown."""
 
         async def abort(scope, receive, send):
             raise AbortConnection
 
         async def main():
-            async with serving(abort, linger_s=2 * BOUND_S) as (_, client, url):
+            async with serving(abort, linger_s=2 * TEST_TIMEOUT_S) as (_, client, url):
                 response = await client.request("GET", url)
                 assert response.state is SendState.OUTCOME_UNKNOWN
 
@@ -214,7 +216,7 @@
         ],
     )
     def test_truncated_body_raises(self, use_uvloop, reply):
-        """A connection that closes within the body is not a clean end."""
+        """A connection closed before the end of the body is reported as an error."""
 
         async def main():
             async with raw_peer(reply) as url:
@@ -229,7 +231,7 @@
         run(main, use_uvloop)
 
     def test_invalid_chunk_raises(self, use_uvloop):
-        """Bytes that are no chunk break the stream."""
+        """An invalid chunk is reported as an error."""
         head = b"HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n"
 
         async def main():
@@ -244,7 +246,7 @@
         run(main, use_uvloop)
 
     def test_informational_head_is_skipped(self, use_uvloop):
-        """A 100 head before the response does not confuse the body."""
+        """A 100 response before the final one is skipped."""
         reply = (
             b"HTTP/1.1 100 Continue\r\n\r\n"
             b"HTTP/1.1 200 OK\r\ncontent-length: 3\r\n\r\nabc"
@@ -264,7 +266,7 @@
 
 class TestSendState:
     def test_refused_connection_was_not_sent(self, use_uvloop):
-        """Nothing listens: nothing was sent."""
+        """A refused connection is reported as not sent."""
 
         async def main():
             async with serving(echo) as (server, client, url):
@@ -276,8 +278,8 @@
 
         run(main, use_uvloop)
 
-    def test_close_without_response_is_lost(self, use_uvloop):
-        """The peer read the request and closed: it may have run."""
+    def test_close_without_response_has_unknown_outcome(self, use_uvloop):
+        """A peer that closes after it read the request may have executed it."""
 
         async def main():
             async with raw_peer(b"") as url:
@@ -290,11 +292,11 @@
 
         run(main, use_uvloop)
 
-    def test_silent_peer_is_lost(self, use_uvloop):
-        """A read timeout comes after the request was sent."""
+    def test_read_timeout_has_unknown_outcome(self, use_uvloop):
+        """A request that times out after it was sent may have been executed."""
 
         async def silent(scope, receive, send):
-            await anyio.sleep(BOUND_S)
+            await anyio.sleep(TEST_TIMEOUT_S)
 
         async def main():
             async with serving(silent) as (_, client, url):
@@ -314,8 +316,8 @@
             b"POST / HTTP/1.1\r\ncontent-length: 9\r\n\r\nx",
         ],
     )
-    def test_slow_request_is_closed(self, use_uvloop, first_bytes):
-        """A request that is not complete in time loses its connection."""
+    def test_slow_request_closes_the_connection(self, use_uvloop, first_bytes):
+        """A request that is not received within the timeout closes its connection."""
 
         async def main():
             limits = {"header_timeout_s": 0.1, "body_timeout_s": 0.1}
@@ -328,41 +330,41 @@
 
         run(main, use_uvloop)
 
-    def test_dripping_headers_do_not_extend_the_deadline(self, use_uvloop):
-        """A byte now and then does not keep a connection open."""
+    def test_slow_headers_do_not_extend_the_deadline(self, use_uvloop):
+        """A client that sends its headers slowly cannot hold a connection open."""
 
         async def main():
             async with serving(echo, header_timeout_s=0.2) as (server, _, _):
                 stream = await anyio.connect_tcp(*server.address)
                 await stream.send(b"GET / HTTP/1.1\r\nx-long: ")
-                await drip(stream, b"x", 0.02)
+                await send_repeatedly(stream, b"x", 0.02)
                 await stream.aclose()
 
         run(main, use_uvloop)
 
-    def test_endless_headers_are_closed(self, use_uvloop):
-        """Headers over the limit end the connection before the deadline."""
+    def test_oversize_headers_close_the_connection(self, use_uvloop):
+        """Headers over the size limit close the connection before the deadline."""
 
         async def main():
-            limits = {"header_timeout_s": 2 * BOUND_S, "max_header_bytes": 2000}
+            limits = {"header_timeout_s": 2 * TEST_TIMEOUT_S, "max_header_bytes": 2000}
             async with serving(echo, **limits) as (server, _, _):
                 stream = await anyio.connect_tcp(*server.address)
                 await stream.send(b"GET / HTTP/1.1\r\nx-long: ")
-                await drip(stream, b"x" * 500, 0.001)
+                await send_repeatedly(stream, b"x" * 500, 0.001)
                 await stream.aclose()
 
         run(main, use_uvloop)
 
     def test_long_response_outlives_the_request_deadlines(self, use_uvloop):
-        """The deadlines are for receiving, not for answering."""
+        """The request deadlines do not apply to the response."""
 
-        async def slow_answer(scope, receive, send):
+        async def slow_response(scope, receive, send):
             await anyio.sleep(0.3)
             await send_json(send, 200, {})
 
         async def main():
             limits = {"header_timeout_s": 0.05, "body_timeout_s": 0.05}
-            async with serving(slow_answer, **limits) as (_, client, url):
+            async with serving(slow_response, **limits) as (_, client, url):
                 response = await client.request("POST", url, body=b"abc")
                 assert response.status == 200
 
@@ -371,7 +373,7 @@
 
 class TestDrain:
     def test_request_in_progress_finishes(self, use_uvloop):
-        """Drain refuses new connections, and lets the response end cleanly."""
+        """Drain refuses new connections, and lets a response in progress finish."""
 
         async def main():
             entered, release = anyio.Event(), anyio.Event()
@@ -395,7 +397,7 @@
         run(main, use_uvloop)
 
     def test_half_received_request_is_still_answered(self, use_uvloop):
-        """A request whose headers are arriving when the drain begins is served."""
+        """A request whose headers are incomplete when the drain begins is served."""
 
         async def main():
             async with serving(echo) as (server, _, _):
@@ -406,19 +408,19 @@
                 await anyio.sleep(0.05)
                 server.begin_drain()
                 await stream.send(REQUEST[-2:])
-                answer = await read_to_end(stream)
-                assert answer.startswith(b"HTTP/1.1 200")
+                response = await read_to_end(stream)
+                assert response.startswith(b"HTTP/1.1 200")
                 await stream.aclose()
 
         run(main, use_uvloop)
 
-    def test_close_cuts_what_does_not_finish(self, use_uvloop):
-        """Close reports that a response was cut, and the client sees it."""
+    def test_close_aborts_unfinished_responses(self, use_uvloop):
+        """Close reports an aborted response, and the client sees the truncation."""
 
         async def endless(scope, receive, send):
             await send_start(send, 200)
             await send_chunk(send, b"x")
-            await anyio.sleep(BOUND_S)
+            await anyio.sleep(TEST_TIMEOUT_S)
 
         async def main():
             async with (
@@ -433,31 +435,31 @@
 
 class TestForward:
     def test_refused_parts_keep_their_order(self, use_uvloop):
-        """What is refused goes to the task, and nothing overtakes it."""
-        taken = []
+        """Parts that ``try_write`` refuses are written by the task, in order."""
+        written = []
 
-        def try_take(part):
-            if len(taken) % 3 == 2:
+        def try_write(part):
+            if len(written) % 3 == 2:
                 return False
-            taken.append(part)
+            written.append(part)
             return True
 
-        async def take(part):
+        async def write(part):
             await anyio.sleep(0.002)
-            taken.append(part)
+            written.append(part)
 
         async def main():
             async with (
                 serving(numbers) as (_, client, url),
                 client.stream("GET", url, coalesce_s=0.001) as stream,
             ):
-                await stream.forward(try_take, take)
-            assert b"".join(taken) == NUMBERS
+                await stream.forward(try_write, write)
+            assert b"".join(written) == NUMBERS
 
         run(main, use_uvloop)
 
-    def test_error_of_the_taker_ends_the_forwarding(self, use_uvloop):
-        """An error raised in the loop's callback reaches the task."""
+    def test_write_error_ends_forwarding(self, use_uvloop):
+        """An error raised by ``try_write`` in a callback is raised by `forward`."""
 
         def fail(part):
             raise ZeroDivisionError
@@ -477,33 +479,33 @@
 
         run(main, use_uvloop)
 
-    @pytest.mark.parametrize("application", ["abort", "silence"])
+    @pytest.mark.parametrize("application", ["abort", "stalled"])
     def test_broken_body_raises(self, use_uvloop, application):
-        """A cut body and one that stops coming are not clean ends."""
+        """An aborted body and a stalled one are both reported as errors."""
         parts = []
 
-        async def take(part):
+        async def write(part):
             parts.append(part)
 
-        async def silence(scope, receive, send):
+        async def stalled(scope, receive, send):
             await send_start(send, 200)
             await send_chunk(send, b"partial")
-            await anyio.sleep(BOUND_S)
+            await anyio.sleep(TEST_TIMEOUT_S)
 
         async def main():
-            answer = silence if application == "silence" else abort_after_chunk
+            handler = stalled if application == "stalled" else abort_after_chunk
             async with (
-                serving(answer) as (_, client, url),
+                serving(handler) as (_, client, url),
                 client.stream("GET", url, read_timeout_s=0.1) as stream,
             ):
                 with pytest.raises(StreamBrokenError):
-                    await stream.forward(lambda part: not parts.append(part), take)
+                    await stream.forward(lambda part: not parts.append(part), write)
             assert b"".join(parts) == b"partial"
 
         run(main, use_uvloop)
 
-    def test_unread_body_is_held_back(self, use_uvloop):
-        """A reader that stands still stops the sender, and loses nothing."""
+    def test_slow_reader_pauses_the_sender(self, use_uvloop):
+        """A slow reader causes backpressure on the sender, without loss of data."""
         sent = []
         chunk = b"x" * 65536
 
@@ -515,30 +517,30 @@
             await send_end(send)
 
         async def main():
-            taken = []
+            written = []
 
-            async def take(part):
-                if not taken:
+            async def write(part):
+                if not written:
                     before = -1
                     while before != len(sent):
                         before = len(sent)
                         await anyio.sleep(0.1)
                     assert before < CHUNKS
-                taken.append(len(part))
+                written.append(len(part))
 
             async with (
                 serving(endless) as (_, client, url),
                 client.stream("GET", url) as stream,
             ):
-                await stream.forward(lambda part: False, take)
-            assert sum(taken) == CHUNKS * len(chunk)
+                await stream.forward(lambda part: False, write)
+            assert sum(written) == CHUNKS * len(chunk)
 
         run(main, use_uvloop)
 
 
 class TestChunkSender:
-    def test_chunks_sent_at_once_are_a_proper_body(self, use_uvloop):
-        """Written chunks, an empty one among them, and awaited ones join."""
+    def test_direct_writes_form_a_valid_chunked_body(self, use_uvloop):
+        """Direct writes, also of an empty chunk, and awaited sends form one body."""
 
         async def mixed(scope, receive, send):
             sender = chunk_sender(send)
@@ -558,8 +560,8 @@
 
         run(main, use_uvloop)
 
-    def test_unread_chunks_make_it_unready(self, use_uvloop):
-        """A client that doesn't read gets no unbounded buffer here."""
+    def test_full_send_buffer_is_not_ready(self, use_uvloop):
+        """The send buffer of a client that does not read stays bounded."""
         stopped = anyio.Event()
 
         async def flood(scope, receive, send):
@@ -585,8 +587,8 @@
         "header",
         [(b"x", b"a\r\nb: c"), (b"x y", b"a"), (b"", b"a"), (b"x", b"\0")],
     )
-    def test_header_that_reads_as_more_is_not_sent(self, use_uvloop, header):
-        """Such a request fails before anything is connected."""
+    def test_header_injection_is_rejected(self, use_uvloop, header):
+        """An invalid header fails the request before a connection is opened."""
 
         async def main():
             async with serving(echo) as (server, client, url):
@@ -597,8 +599,8 @@
         run(main, use_uvloop)
 
     @pytest.mark.parametrize("target", ["a b", "a\r\nx: y"])
-    def test_target_that_reads_as_more_is_not_sent(self, use_uvloop, target):
-        """Such a request fails before anything is connected."""
+    def test_target_injection_is_rejected(self, use_uvloop, target):
+        """An invalid request target fails before a connection is opened."""
 
         async def main():
             async with serving(echo) as (server, client, url):
@@ -608,8 +610,8 @@
 
         run(main, use_uvloop)
 
-    def test_endless_response_head_is_lost(self, use_uvloop):
-        """A head without an end does not fill the memory."""
+    def test_oversize_response_head_fails(self, use_uvloop):
+        """A response head over the size limit fails the request."""
         reply = b"HTTP/1.1 200 OK\r\n" + b"x: %s\r\n" % (b"y" * 70_000)
 
         async def main():
--- a/libs/transport/tests/test_transport_messages.py
+++ b/libs/transport/tests/test_transport_messages.py
@@ -1,4 +1,4 @@
-"""Datagrams and the peer sync channel, sealed."""
+"""Datagrams and the peer sync channel, with sealed messages."""
 
 from functools import partial
 
@@ -16,58 +16,58 @@
 
 HOST = "127.78.2.1"
 SYNC_PORT = 17002
-BOUND_S = 20.0
+TEST_TIMEOUT_S = 20.0
 
 
 def run(main):
-    """Run a coroutine function on the loop that the daemons use."""
+    """Run a coroutine function with a timeout on the event loop of the daemons."""
 
-    async def bounded():
-        with anyio.fail_after(BOUND_S):
+    async def with_timeout():
+        with anyio.fail_after(TEST_TIMEOUT_S):
             await main()
 
-    anyio.run(bounded, backend="asyncio", backend_options={"use_uvloop": True})
+    anyio.run(with_timeout, backend="asyncio", backend_options={"use_uvloop": True})
 
 
 def seal(key, message):
-    """Stand-in for sealing: prefix with the key."""
+    """Seal a message in a fake way: prefix it with the key."""
     return key + message
 
 
 def open_(key, sealed):
-    """Stand-in for opening: None unless the prefix fits."""
+    """Open a message sealed by `seal`; None if the prefix is not the key."""
     return sealed[len(key) :] if sealed.startswith(key) else None
 
 
-def keyed(key):
-    """Keyword arguments for a stand-in key."""
+def with_key(key):
+    """Return keyword arguments that seal and open with a key."""
     return {"seal": partial(seal, key), "open_": partial(open_, key)}
 
 
 class TestDatagramEndpoint:
     def test_opened_datagrams_arrive_and_others_are_rejected(self):
-        """A datagram sealed with another key is counted, not delivered."""
+        """A datagram sealed with another key is counted but not delivered."""
 
         async def main():
-            receiver = DatagramEndpoint.from_config(HOST, 0, **keyed(b"one"))
-            sender = DatagramEndpoint.from_config(HOST, 0, **keyed(b"one"))
-            stranger = DatagramEndpoint.from_config(HOST, 0, **keyed(b"two"))
-            for endpoint in (receiver, sender, stranger):
+            receiver = DatagramEndpoint.from_config(HOST, 0, **with_key(b"one"))
+            sender = DatagramEndpoint.from_config(HOST, 0, **with_key(b"one"))
+            other_key_sender = DatagramEndpoint.from_config(HOST, 0, **with_key(b"two"))
+            for endpoint in (receiver, sender, other_key_sender):
                 await endpoint.start()
-            assert stranger.send(b"forged", receiver.address)
+            assert other_key_sender.send(b"forged", receiver.address)
             assert sender.send(b"hello", receiver.address)
             async for payload, address in receiver:
                 assert (payload, address) == (b"hello", sender.address)
                 break
             assert receiver.counts.rejected == 1
             assert receiver.counts.received == 1
-            for endpoint in (receiver, sender, stranger):
+            for endpoint in (receiver, sender, other_key_sender):
                 await endpoint.close()
 
         run(main)
 
     def test_oversize_send_is_dropped_and_counted(self):
-        """A send that the kernel refuses raises nothing."""
+        """A send that the kernel refuses is counted and raises no error."""
 
         async def main():
             sender = DatagramEndpoint.from_config(HOST, 0)
@@ -80,7 +80,7 @@
         run(main)
 
     def test_close_ends_the_iteration(self):
-        """A task that waits for datagrams ends when the endpoint closes."""
+        """A task that waits for datagrams finishes when the endpoint is closed."""
 
         async def main():
             endpoint = DatagramEndpoint.from_config(HOST, 0)
@@ -99,8 +99,8 @@
 
 
 class TestSync:
-    def test_round_trips_run_at_once(self):
-        """Each request gets its own reply though all wait for one another."""
+    def test_requests_are_handled_concurrently(self):
+        """Requests that wait for one another all get their own replies."""
 
         async def main():
             all_arrived = anyio.Event()
@@ -113,25 +113,25 @@
                 await all_arrived.wait()
                 return b"reply to " + request
 
-            server = SyncServer.from_config(HOST, SYNC_PORT, handler, **keyed(b"k"))
-            client = SyncClient.from_config(timeout_s=5.0, **keyed(b"k"))
+            server = SyncServer.from_config(HOST, SYNC_PORT, handler, **with_key(b"k"))
+            client = SyncClient.from_config(timeout_s=5.0, **with_key(b"k"))
             replies = {}
 
-            async def ask(request):
+            async def send_request(request):
                 replies[request] = await client.request(HOST, SYNC_PORT, request)
 
             async with anyio.create_task_group() as tasks:
                 await server.start(tasks)
-                async with anyio.create_task_group() as asks:
+                async with anyio.create_task_group() as request_tasks:
                     for request in (b"a", b"b", b"c"):
-                        asks.start_soon(ask, request)
+                        request_tasks.start_soon(send_request, request)
                 await server.close()
             assert replies == {r: b"reply to " + r for r in (b"a", b"b", b"c")}
 
         run(main)
 
-    def test_wrong_key_is_rejected_and_service_goes_on(self):
-        """Neither a wrong key nor a failing handler ends the service."""
+    def test_wrong_key_and_failing_handler_do_not_stop_the_server(self):
+        """The server serves further requests after a wrong key or a handler error."""
 
         async def handler(request):
             if request == b"fail":
@@ -139,9 +139,11 @@
             return b"x" * 2_000_000
 
         async def main():
-            server = SyncServer(HOST, SYNC_PORT, handler, **keyed(b"one"), contexts=1)
-            right = SyncClient(timeout_s=5.0, **keyed(b"one"))
-            wrong = SyncClient(timeout_s=5.0, **keyed(b"two"))
+            server = SyncServer(
+                HOST, SYNC_PORT, handler, **with_key(b"one"), contexts=1
+            )
+            right = SyncClient(timeout_s=5.0, **with_key(b"one"))
+            wrong = SyncClient(timeout_s=5.0, **with_key(b"two"))
             async with anyio.create_task_group() as tasks:
                 await server.start(tasks)
                 for client, request in ((wrong, b"q"), (right, b"fail")):
@@ -155,22 +157,22 @@
 
         run(main)
 
-    def test_silent_or_missing_peer_times_out(self):
-        """No listener, and a cancelled wait, both end without a reply."""
+    def test_unreachable_peer_times_out(self):
+        """A request without a listener fails in time, and can be cancelled."""
 
         async def main():
             client = SyncClient(timeout_s=0.1)
             failed = await client.request(HOST, SYNC_PORT + 1, b"q")
             assert failed.failure in (SyncFailure.TIMED_OUT, SyncFailure.UNREACHABLE)
-            patient = SyncClient(timeout_s=60.0)
+            long_timeout_client = SyncClient(timeout_s=60.0)
             with anyio.move_on_after(0.05) as scope:
-                await patient.request(HOST, SYNC_PORT + 1, b"q")
+                await long_timeout_client.request(HOST, SYNC_PORT + 1, b"q")
             assert scope.cancelled_caught
 
         run(main)
 
     def test_address_in_use_is_an_error(self):
-        """Start reports that the address cannot be bound."""
+        """Starting a server on an address in use raises an error."""
 
         async def handler(request):
             return request
--- a/tests/fuzz/faults.py
+++ b/tests/fuzz/faults.py
@@ -334,7 +334,7 @@
         (
             Edit(
                 "transport/_response_connection",
-                'self._fail("the connection ended before the body")',
+                'self._fail("connection closed before the end of the body")',
                 "self.complete = True",
             ),
         ),
