--- a/libs/admin/tests/conftest.py
+++ b/libs/admin/tests/conftest.py
@@ -68,7 +68,9 @@
         if outcome != "lost":
             self.value = value
             self.revision += 1
-        return SwapResult.SWAPPED if outcome == "answered" else SwapResult.OUTCOME_UNKNOWN
+        return (
+            SwapResult.SWAPPED if outcome == "answered" else SwapResult.OUTCOME_UNKNOWN
+        )
 
 
 class MemorySettings:
