--- a/libs/cli/src/berylwalk/cli/_deployment.py
+++ b/libs/cli/src/berylwalk/cli/_deployment.py
@@ -58,7 +58,9 @@
     for name, role in roles.items():
         place = f"{file}: [roles.{name}]"
         findings += [
-            Finding(place, f"no {key!r}") for key in REQUIRED_KEYS if key not in role
+            Finding(place, f"missing {key!r}")
+            for key in REQUIRED_KEYS
+            if key not in role
         ]
         findings += [
             Finding(place, f"unknown {key!r}")
--- a/libs/cli/tests/test_cli_explaining.py
+++ b/libs/cli/tests/test_cli_explaining.py
@@ -151,7 +151,7 @@
             ("a.json", "{", "truncated"),
             ("a.toml", "x = ", "a.toml"),
             ("a.toml", "build = 'b'\n[roles.r]\nrun = 'x'\nonn = 'edge'", "'onn'"),
-            ("a.toml", "build = 'b'\n[roles.r]\nrun = 'x'", "no 'on'"),
+            ("a.toml", "build = 'b'\n[roles.r]\nrun = 'x'", "missing 'on'"),
         ],
     )
     def test_errors_have_location(self, tmp_path, capsys, name, text, expected):
--- a/libs/standins/src/berylwalk/standins/__init__.py
+++ b/libs/standins/src/berylwalk/standins/__init__.py
@@ -1,7 +1,7 @@
-"""Small stand-ins of outside systems, for the demo, tests and benchmarks.
+"""Fakes of external systems for the demo, tests and benchmarks.
 
-The processes are ``python -m berylwalk.standins.platform``, ``.engine`` and
-``.service``; ``berylwalk.standins.memory`` is a key-value store in memory.
+Run as processes: ``python -m berylwalk.standins.platform``, ``.engine`` and
+``.service``. `berylwalk.standins.memory` has an in-memory key-value store.
 """
 
 from berylwalk.standins._completions import expected_text
--- a/libs/standins/src/berylwalk/standins/_batching.py
+++ b/libs/standins/src/berylwalk/standins/_batching.py
@@ -1,6 +1,6 @@
-"""A model engine's continuous batching.
+"""Continuous batching of a model engine.
 
-Without I/O: a caller runs one step after the other and sleeps between them.
+Does no I/O: the caller runs the steps and sleeps for their durations.
 """
 
 from collections import deque
@@ -20,16 +20,16 @@
 
 @dataclass(frozen=True, slots=True)
 class Speed:
-    """How fast an engine is.
+    """Speed of an engine.
 
     Parameters
     ----------
     step_s : float
-        Time of a step with an empty batch, in seconds.
+        Duration of a step with an empty batch, in seconds.
     batch_slope : float
-        Growth of the step's time by each running sequence, as a share.
+        Increase of the step duration per running sequence, as a ratio.
     prefill_tokens_per_s : float
-        Rate at which prompts are read.
+        Prefill rate.
     """
 
     step_s: float = 0.005
@@ -39,14 +39,14 @@
 
 @dataclass(slots=True)
 class PrefillRecord:
-    """What one prefill changed in the prefix cache.
+    """Changes of the prefix cache by one prefill.
 
     Parameters
     ----------
     at : float
         Monotonic time, in seconds; comparable between processes of a machine.
     added, evicted : list of str
-        Hashes of the blocks that were computed, and of those that left.
+        Hexadecimal hashes of the blocks that were added and evicted.
     given_up : bool
         Whether the sequence was cancelled later.
     """
@@ -59,24 +59,24 @@
 
 @dataclass(slots=True, eq=False)
 class Sequence:
-    """One prompt and its answer in progress.
+    """A prompt and its output in progress.
 
     Parameters
     ----------
     prompt : str
         The prompt.
     max_tokens : int
-        Length of the answer, in tokens.
+        Length of the output, in tokens.
     on_progress : callable
-        Called when ``tokens_done`` has grown or the sequence was cancelled.
-    is_gone : callable
-        Whether the client has left.
+        Called when ``tokens_done`` increases, and when the sequence is cancelled.
+    is_disconnected : callable
+        Returns whether the client has disconnected.
     """
 
     prompt: str
     max_tokens: int
     on_progress: Callable[[], None] = lambda: None
-    is_gone: Callable[[], bool] = lambda: False
+    is_disconnected: Callable[[], bool] = lambda: False
     tokens_done: int = 0
     prefill_tokens: int = 0
     cached_tokens: int = 0
@@ -90,29 +90,29 @@
 
     @property
     def finished(self) -> bool:
-        """Whether the whole answer is there."""
+        """Whether the output is complete."""
         return self.tokens_done >= self.max_tokens
 
 
 @dataclass(slots=True)
 class EngineTotals:
-    """What an engine has done since it started.
+    """Totals of an engine since its start.
 
     Parameters
     ----------
     prefill_tokens, wasted_prefill_tokens, cached_prefill_tokens : int
-        Prompt tokens that were computed, computed for cancelled sequences, and
-        found in the prefix cache.
+        Prompt tokens that were computed, computed for sequences that were cancelled,
+        and found in the prefix cache.
     output_tokens : int
-        Tokens of answers.
+        Tokens that were decoded.
     finished, cancelled : int
-        Sequences.
+        Number of sequences.
     max_running : int
-        Largest number of sequences at once.
+        Maximum number of concurrently running sequences.
     steps : int
-        Steps made.
+        Number of steps.
     busy_slot_s : float
-        Running sequences times the time of their steps, in seconds.
+        Sum over the steps of running sequences times step duration, in seconds.
     """
 
     prefill_tokens: int = 0
@@ -127,16 +127,16 @@
 
 
 class BatchingEngine:
-    """Runs admitted sequences one token a step, first come first served.
+    """Engine that decodes one token per step and running sequence, in FIFO order.
 
     Parameters
     ----------
     speed : Speed
-        How fast it is.
+        Speed of the engine.
     max_batch : int
-        Sequences that run at a time.
+        Maximum number of concurrently running sequences.
     cache_blocks : int
-        Capacity of the prefix cache.
+        Capacity of the prefix cache, in blocks.
     """
 
     def __init__(self, speed: Speed, *, max_batch: int, cache_blocks: int) -> None:
@@ -151,7 +151,7 @@
 
     @property
     def idle(self) -> bool:
-        """Whether there is nothing to do."""
+        """Whether no sequence is running or waiting."""
         return not self.running and not self.waiting
 
     @property
@@ -160,12 +160,12 @@
         return len(self.cache) / max(1, self._cache_blocks)
 
     def submit(self, sequence: Sequence) -> None:
-        """Let a sequence wait for its turn."""
+        """Queue a sequence."""
         self.waiting.append(sequence)
 
     def begin_step(self) -> float:
-        """Admit waiting sequences; returns the step's time in seconds."""
-        self._drop_gone()
+        """Admit waiting sequences; return the duration of the step in seconds."""
+        self._cancel_disconnected()
         prefill_tokens = 0
         while self.waiting and len(self.running) < self._max_batch:
             sequence = self.waiting.popleft()
@@ -180,7 +180,7 @@
         return step_s
 
     def end_step(self) -> None:
-        """Give each running sequence one token."""
+        """Decode one token of each running sequence."""
         self.totals.steps += 1
         self.totals.output_tokens += len(self.running)
         for sequence in self.running:
@@ -192,7 +192,7 @@
             self.running = [each for each in self.running if not each.finished]
 
     def cancel(self, sequence: Sequence) -> None:
-        """Give a sequence up; does nothing when it is finished."""
+        """Cancel a sequence; do nothing if it has finished."""
         if sequence in self.running:
             self.running.remove(sequence)
             self._count_cancelled(sequence)
@@ -217,9 +217,11 @@
         sequence.record = PrefillRecord(monotonic(), added, evicted)
         self.prefills.append(sequence.record)
 
-    def _drop_gone(self) -> None:
-        gone = [each for each in (*self.running, *self.waiting) if each.is_gone()]
-        for sequence in gone:
+    def _cancel_disconnected(self) -> None:
+        disconnected = [
+            each for each in (*self.running, *self.waiting) if each.is_disconnected()
+        ]
+        for sequence in disconnected:
             self.cancel(sequence)
 
     def _count_cancelled(self, sequence: Sequence) -> None:
--- a/libs/standins/src/berylwalk/standins/_answers.py
+++ b/libs/standins/src/berylwalk/standins/_completion_responses.py
@@ -1,4 +1,4 @@
-"""Sending an answer while its sequence grows."""
+"""Responses to completion requests."""
 
 from collections.abc import Callable
 
@@ -7,38 +7,39 @@
 from berylwalk.standins._batching import Sequence
 from berylwalk.standins._completions import (
     DONE,
-    AnswerFormat,
     CompletionKind,
     CompletionRequest,
+    ResponseFormat,
     Usage,
-    answer_digest,
-    answer_tokens,
+    response_digest,
+    response_tokens,
 )
 from berylwalk.standins._serving import Exchange
 
-WHOLE_INTERVAL = 8
+WAKE_INTERVAL_TOKENS = 8
+"""Tokens between two checks of a response that is not streamed."""
 
 
-class Answer:
-    """One answer, whole or as a stream of events.
+class CompletionResponse:
+    """A response that is sent as JSON or as a stream of events.
 
     Parameters
     ----------
     kind : CompletionKind
-        Which call was made.
+        API that was called.
     exchange : Exchange
-        Where to send it.
+        HTTP exchange of the call.
     request : CompletionRequest
         Body of the call.
     stream_interval : int
-        Tokens that a stream gathers for one event.
+        Number of tokens per stream event.
     break_after : callable
-        Returns the number of tokens to drop the connection after; 0 for none.
+        Returns the number of tokens after which the connection is dropped, or 0.
 
     Attributes
     ----------
     sequence : Sequence
-        What the engine is to run.
+        Sequence that the engine runs.
     """
 
     def __init__(
@@ -54,35 +55,35 @@
         self._request = request
         self._stream_interval = stream_interval
         self._break_after = break_after
-        self._digest = answer_digest(request)
-        self._format = AnswerFormat(kind, request)
+        self._digest = response_digest(request)
+        self._format = ResponseFormat(kind, request)
         self._progress = Event()
         self._wake_at = 1
         self.sequence = Sequence(
             request.prompt_text(),
             request.output_tokens(),
             on_progress=self._on_progress,
-            is_gone=exchange.is_disconnected,
+            is_disconnected=exchange.is_disconnected,
         )
 
     async def send(self) -> None:
-        """Send the answer; returns early when the client has left."""
+        """Send the response; return early if the client has disconnected."""
         if self._request.stream:
             await self._send_stream()
         else:
-            await self._send_whole()
+            await self._send_complete()
 
     async def _send_stream(self) -> None:
         exchange = self._exchange
         sent = 0
         while not self.sequence.finished:
             await self._wait_for_tokens(sent + self._stream_interval)
-            if await self._broken_off():
+            if await self._is_aborted():
                 return
             if sent == 0:
                 await exchange.start(200, "text/event-stream")
             done = self.sequence.tokens_done
-            text = "".join(answer_tokens(self._digest, sent, done))
+            text = "".join(response_tokens(self._digest, sent, done))
             await exchange.write(
                 self._format.event(text, last=done == self.sequence.max_tokens)
             )
@@ -92,14 +93,16 @@
             await exchange.write(self._format.usage_event(self._usage()))
         await exchange.write(DONE, more=False)
 
-    async def _send_whole(self) -> None:
+    async def _send_complete(self) -> None:
         while not self.sequence.finished:
-            await self._wait_for_tokens(self.sequence.tokens_done + WHOLE_INTERVAL)
-            if await self._broken_off():
+            await self._wait_for_tokens(
+                self.sequence.tokens_done + WAKE_INTERVAL_TOKENS
+            )
+            if await self._is_aborted():
                 return
-        tokens = answer_tokens(self._digest, 0, self.sequence.max_tokens)
-        answer = self._format.whole("".join(tokens), self._usage())
-        await self._exchange.respond_json(200, answer)
+        tokens = response_tokens(self._digest, 0, self.sequence.max_tokens)
+        response = self._format.complete("".join(tokens), self._usage())
+        await self._exchange.respond_json(200, response)
 
     async def _wait_for_tokens(self, count: int) -> None:
         sequence = self.sequence
@@ -108,7 +111,7 @@
             self._progress = Event()
             await self._progress.wait()
 
-    async def _broken_off(self) -> bool:
+    async def _is_aborted(self) -> bool:
         limit = self._break_after()
         if limit and self.sequence.tokens_done >= limit:
             await self._exchange.abort()
--- a/libs/standins/src/berylwalk/standins/_completions.py
+++ b/libs/standins/src/berylwalk/standins/_completions.py
@@ -1,4 +1,4 @@
-"""OpenAI-compatible requests and answers of the engine stand-in."""
+"""OpenAI-compatible requests and responses of the engine stand-in."""
 
 from collections.abc import Iterator
 from dataclasses import dataclass
@@ -11,27 +11,27 @@
 from msgspec.json import encode
 
 DEFAULT_MAX_TOKENS = 16
-SHORT_DIGEST = 6
-CREATED = 0
-TEXT_MARK = "@text-of-the-event@"
+DIGEST_PREFIX_LENGTH = 6
+CREATED_AT = 0
+TEXT_PLACEHOLDER = "@text-of-the-event@"
 DONE = b"data: [DONE]\n\n"
 
 
 class CompletionKind(StrEnum):
-    """Which of the two completion calls was made."""
+    """API of a completion request."""
 
     CHAT = "chat.completion"
     TEXT = "text_completion"
 
 
 class ChatMessage(Struct):
-    """One message of a chat."""
+    """A message of a chat."""
 
     role: str = "user"
     content: str | list[dict[str, Any]] | None = None
 
     def text(self) -> str:
-        """Return the text of the message."""
+        """Return the concatenated text of the message."""
         if isinstance(self.content, list):
             return "".join(str(part.get("text", "")) for part in self.content)
         return self.content or ""
@@ -44,7 +44,7 @@
 
 
 class CompletionRequest(Struct):
-    """Body of either call."""
+    """Body of a chat or text completion request."""
 
     model: str
     messages: list[ChatMessage] | None = None
@@ -66,49 +66,49 @@
         return self.prompt or ""
 
     def output_tokens(self) -> int:
-        """Return the length of the answer, at least 1."""
-        wanted = self.max_completion_tokens or self.max_tokens
-        return max(1, wanted or DEFAULT_MAX_TOKENS)
+        """Return the number of output tokens, at least 1."""
+        limit = self.max_completion_tokens or self.max_tokens
+        return max(1, limit or DEFAULT_MAX_TOKENS)
 
 
 def parse_completion(body: Any) -> CompletionRequest:
-    """Validate the body of a call."""
+    """Validate the body of a request."""
     return convert(body, CompletionRequest)
 
 
-def answer_digest(request: CompletionRequest) -> str:
-    """Return the MD5 of what makes an answer the caller's own."""
+def response_digest(request: CompletionRequest) -> str:
+    """Return the MD5 digest of prompt, user and metadata."""
     identity = [request.prompt_text(), request.user, request.metadata]
     return md5(encode(identity, order="sorted"), usedforsecurity=False).hexdigest()
 
 
-def answer_tokens(digest: str, start: int, stop: int) -> Iterator[str]:
-    """Yield the tokens of an answer from ``start`` up to ``stop``.
+def response_tokens(digest: str, start: int, stop: int) -> Iterator[str]:
+    """Yield the tokens of a response from ``start`` up to ``stop``.
 
-    The first is the digest; each later one carries its number and the start
-    of the digest, so that a missing, doubled or foreign token shows.
+    The first token is the digest. Each later token has its index and a prefix of the
+    digest, so that missing, duplicate and foreign tokens are detected.
     """
     for number in range(start, stop):
-        yield f" w{number}-{digest[:SHORT_DIGEST]}" if number else digest
+        yield f" w{number}-{digest[:DIGEST_PREFIX_LENGTH]}" if number else digest
 
 
 def expected_text(body: dict[str, Any]) -> str:
-    """Return the whole text that the engine answers to a request's body."""
+    """Return the text with which the engine responds to the body of a request."""
     request = parse_completion(body)
-    tokens = answer_tokens(answer_digest(request), 0, request.output_tokens())
+    tokens = response_tokens(response_digest(request), 0, request.output_tokens())
     return "".join(tokens)
 
 
 @dataclass(frozen=True, slots=True)
 class Usage:
-    """Token counts of one answer."""
+    """Token counts of a response."""
 
     prompt_tokens: int
     completion_tokens: int
     cached_tokens: int
 
     def to_json(self) -> dict[str, Any]:
-        """Return the counts as the API shows them."""
+        """Return the counts in the format of the API."""
         return {
             "prompt_tokens": self.prompt_tokens,
             "completion_tokens": self.completion_tokens,
@@ -117,28 +117,28 @@
         }
 
 
-class AnswerFormat:
-    """Shapes the whole answer or the events of one request.
+class ResponseFormat:
+    """Encoder of the response to one request.
 
     Parameters
     ----------
     kind : CompletionKind
-        Which call was made.
+        API of the request.
     request : CompletionRequest
-        Its body.
+        Body of the request.
     """
 
     def __init__(self, kind: CompletionKind, request: CompletionRequest) -> None:
         self._kind = kind
         self._model = request.model
-        self._answer_id = f"cmpl-{uuid4().hex}"
-        # Events differ in their text alone, which needs no escapes: encoding
-        # each of them anew would be most of the engine's work.
-        event = self._encode_event(TEXT_MARK, finish_reason=None)
-        self._before_text, self._after_text = event.split(TEXT_MARK.encode())
-
-    def whole(self, text: str, usage: Usage) -> dict[str, Any]:
-        """Return the whole answer."""
+        self._response_id = f"cmpl-{uuid4().hex}"
+        # Events differ only in their text, which needs no JSON escapes. Encoding
+        # them once saves most of the CPU time.
+        event = self._encode_event(TEXT_PLACEHOLDER, finish_reason=None)
+        self._before_text, self._after_text = event.split(TEXT_PLACEHOLDER.encode())
+
+    def complete(self, text: str, usage: Usage) -> dict[str, Any]:
+        """Return the response for a request without streaming."""
         choice: dict[str, Any] = {"index": 0, "finish_reason": "length"}
         if self._kind is CompletionKind.CHAT:
             choice["message"] = {"role": "assistant", "content": text}
@@ -147,13 +147,13 @@
         return {**self._envelope(), "choices": [choice], "usage": usage.to_json()}
 
     def event(self, text: str, *, last: bool) -> bytes:
-        """Return the event that carries a piece of the text."""
+        """Encode a stream event with a part of the text."""
         if last:
             return self._encode_event(text, finish_reason="length")
         return self._before_text + text.encode() + self._after_text
 
     def usage_event(self, usage: Usage) -> bytes:
-        """Return the event that carries the token counts."""
+        """Encode a stream event with the token counts."""
         envelope = self._envelope(stream=True)
         return _event({**envelope, "choices": [], "usage": usage.to_json()})
 
@@ -170,9 +170,9 @@
         if stream and self._kind is CompletionKind.CHAT:
             name += ".chunk"
         return {
-            "id": self._answer_id,
+            "id": self._response_id,
             "object": name,
-            "created": CREATED,
+            "created": CREATED_AT,
             "model": self._model,
         }
 
--- a/libs/standins/src/berylwalk/standins/_lagging.py
+++ b/libs/standins/src/berylwalk/standins/_delayed_value.py
@@ -1,4 +1,4 @@
-"""Values that are reported late."""
+"""Values that are reported with a delay."""
 
 from collections import deque
 from typing import Generic, TypeVar
@@ -8,15 +8,15 @@
 MIN_INTERVAL_S = 0.02
 
 
-class LaggingValue(Generic[Value]):
-    """A value as it was some time ago.
+class DelayedValue(Generic[Value]):
+    """A value that readers see after a delay.
 
     Parameters
     ----------
     value : object
-        First value; also read while no recorded one is old enough.
+        Initial value.
     lag_s : float
-        Age of what is read, in seconds.
+        Delay, in seconds.
     """
 
     def __init__(self, value: Value, *, lag_s: float) -> None:
@@ -25,7 +25,7 @@
         self._pending: deque[tuple[float, Value]] = deque()
 
     def record(self, now: float, value: Value) -> None:
-        """Set the value; records close to each other are merged."""
+        """Set the value; of values in quick succession, the last one is kept."""
         pending = self._pending
         if len(pending) > 1 and now - pending[-2][0] < MIN_INTERVAL_S:
             pending.pop()
--- a/libs/standins/src/berylwalk/standins/_engine_options.py
+++ b/libs/standins/src/berylwalk/standins/_engine_options.py
@@ -1,9 +1,9 @@
-"""Command line of the stand-in of a model engine."""
+"""Command line of the engine stand-in."""
 
 from argparse import ArgumentParser
 
 from berylwalk.standins._batching import Speed
-from berylwalk.standins._statements import add_options
+from berylwalk.standins._target_signals import add_signal_options
 
 DEFAULT_PORT = 9000
 DEFAULT_MAX_BATCH = 16
@@ -18,7 +18,7 @@
     parser.add_argument("--host", default="127.0.0.1")
     parser.add_argument("--port", type=int, default=DEFAULT_PORT)
     parser.add_argument(
-        "--model", action="append", help="a model it serves; may be given again"
+        "--model", action="append", help="a model that is served; may be repeated"
     )
     speed = Speed()
     parser.add_argument("--step-ms", type=float, default=speed.step_s * 1000)
@@ -26,7 +26,7 @@
         "--batch-slope",
         type=float,
         default=speed.batch_slope,
-        help="growth of a step's time by each running sequence, as a share",
+        help="increase of the step duration per running sequence, as a ratio",
     )
     parser.add_argument(
         "--prefill-tokens-per-s", type=float, default=speed.prefill_tokens_per_s
@@ -40,13 +40,15 @@
     )
     parser.add_argument("--report-lag-s", type=float, default=DEFAULT_REPORT_LAG_S)
     parser.add_argument(
-        "--stream-interval", type=int, default=1, help="tokens in one event"
+        "--stream-interval", type=int, default=1, help="tokens per stream event"
+    )
+    parser.add_argument(
+        "--load-ms", type=float, default=0.0, help="duration of an order"
     )
-    parser.add_argument("--load-ms", type=float, default=0.0, help="time of an order")
     parser.add_argument(
         "--check-fencing",
         action="store_true",
-        help="refuse orders that carry an old fencing token",
+        help="reject orders without a fencing token, or with an outdated one",
     )
-    add_options(parser)
+    add_signal_options(parser)
     return parser
--- a/libs/standins/src/berylwalk/standins/_metadata_store.py
+++ b/libs/standins/src/berylwalk/standins/_metadata_store.py
@@ -1,4 +1,4 @@
-"""The calls of the platform's metadata store over a revision store."""
+"""HTTP API of the metadata store of the platform."""
 
 from base64 import b64encode
 from collections.abc import Callable
@@ -23,14 +23,14 @@
 WATCH_PATH = "/kv-watch"
 TRANSACTION_PATH = "/kv-txn"
 PAGE_ITEMS = 500
-MAX_WAIT_MS = 30_000
-SHORTEST_LEASE_MS = 1000
-WATCH_IDLE_S = 1.0
-"""Time between two looks whether the client of a watch is still there."""
+MAX_WATCH_TIMEOUT_MS = 30_000
+MIN_LEASE_TTL_MS = 1000
+WATCH_POLL_INTERVAL_S = 1.0
+"""Interval at which a watch checks whether its client is connected."""
 
 
 class Expected(Struct):
-    """Condition on the revision of a key; 0 means that it is absent."""
+    """Condition on the revision of a key; 0 if the key must not exist."""
 
     key: str
     revision: int
@@ -45,7 +45,7 @@
 
 
 class Transaction(Struct, rename="kebab"):
-    """Writes and deletions under conditions."""
+    """Writes and deletions that are applied only if all conditions hold."""
 
     expected_rev: list[Expected] = field(default_factory=list)
     writes: list[Write] = field(default_factory=list)
@@ -53,14 +53,14 @@
 
 
 class MetadataStore:
-    """Answers the calls of the store.
+    """Handler of the calls to the metadata store.
 
     Parameters
     ----------
     store : RevisionStore
-        What the calls read and write.
+        Data of the store.
     is_down : callable
-        Whether connections are dropped at present.
+        Returns whether connections are currently dropped.
     clock : callable
         Monotonic time, in seconds.
     """
@@ -78,27 +78,27 @@
         self._changed = Event()
 
     def wake(self) -> None:
-        """Let all watches look for changes, and for faults."""
+        """Wake all watches to check for changes and faults."""
         self._changed.set()
         self._changed = Event()
 
     async def handle(self, exchange: Exchange) -> None:
-        """Answer one call."""
+        """Handle one call."""
         self._store.expire(self._clock())
         try:
-            status, body = await self._answer(exchange)
+            status, body = await self._dispatch(exchange)
         except (DecodeError, ValidationError, KeyError, ValueError) as error:
             status, body = 400, {"message": repr(error)}
         except LeaseNotFoundError:
             status, body = 404, {"message": "no such lease"}
         except CompactedError:
-            status, body = 410, {"message": "history is gone"}
+            status, body = 410, {"message": "requested revisions are compacted"}
         if status is None:
             await exchange.abort()
         else:
             await exchange.respond_json(status, body)
 
-    async def _answer(self, exchange: Exchange) -> tuple[int | None, Json]:
+    async def _dispatch(self, exchange: Exchange) -> tuple[int | None, Json]:
         call, _, number = exchange.path[1:].partition("/")
         match exchange.method, call:
             case "GET", "kv-key":
@@ -111,7 +111,7 @@
                 return self._transact(convert(await exchange.json(), Transaction))
             case "POST", "kv-lease":
                 ttl_ms = int((await exchange.json())["ttl-ms"])
-                ttl_ms = max(ttl_ms, SHORTEST_LEASE_MS)
+                ttl_ms = max(ttl_ms, MIN_LEASE_TTL_MS)
                 lease = self._store.grant(self._clock(), ttl_ms / 1000)
                 return 200, {"lease": lease.lease_id, "ttl-ms": ttl_ms}
             case "POST", "kv-keep":
@@ -122,7 +122,7 @@
             case "DELETE", "kv-lease-end":
                 self._store.revoke(int(number))
                 return 200, {}
-        return 404, {"message": "no such call"}
+        return 404, {"message": "unknown method or path"}
 
     def _read(self, key: str) -> tuple[int, Json]:
         entry = self._store.get(key.encode())
@@ -132,38 +132,40 @@
 
     def _range(self, query: dict[str, str]) -> Json:
         after = query.get("after", "").encode()
-        found = self._store.range(*prefix_range(query["path-prefix"].encode()))
-        found = [entry for entry in found if entry.key > after]
+        matches = self._store.range(*prefix_range(query["path-prefix"].encode()))
+        matches = [entry for entry in matches if entry.key > after]
         return {
-            "entries": [item_json(entry) for entry in found[:PAGE_ITEMS]],
-            "has-more": len(found) > PAGE_ITEMS,
+            "entries": [item_json(entry) for entry in matches[:PAGE_ITEMS]],
+            "has-more": len(matches) > PAGE_ITEMS,
             "store-revision": self._store.revision,
         }
 
     async def _watch(self, exchange: Exchange) -> tuple[int | None, Json]:
         query = exchange.query()
-        ends_at = self._clock() + min(int(query["wait-ms"]), MAX_WAIT_MS) / 1000
+        deadline = (
+            self._clock() + min(int(query["wait-ms"]), MAX_WATCH_TIMEOUT_MS) / 1000
+        )
         bounds = prefix_range(query["path-prefix"].encode())
         after = int(query["after"])
         while not self._is_down():
             changed = self._changed
             changes = self._store.changes_since(after + 1, *bounds)
-            left_s = ends_at - self._clock()
-            if changes or left_s <= 0 or exchange.is_disconnected():
+            remaining_s = deadline - self._clock()
+            if changes or remaining_s <= 0 or exchange.is_disconnected():
                 events = [item_json(entry) for entry in changes]
                 return 200, {"events": events, "store-revision": self._store.revision}
-            with move_on_after(min(left_s, WATCH_IDLE_S)):
+            with move_on_after(min(remaining_s, WATCH_POLL_INTERVAL_S)):
                 await changed.wait()
         return None, {}
 
     def _transact(self, transaction: Transaction) -> tuple[int, Json]:
-        present = [
+        current_entries = [
             (expected, self._store.get(expected.key.encode()))
             for expected in transaction.expected_rev
         ]
-        for expected, entry in present:
+        for expected, entry in current_entries:
             if (entry.mod_revision if entry else 0) != expected.revision:
-                return 412, {"entries": _states(present)}
+                return 412, {"entries": _current_items(current_entries)}
         for write in transaction.writes:
             self._store.check_lease(write.lease)
         for write in transaction.writes:
@@ -173,15 +175,15 @@
         return 200, {"revision": self._store.revision}
 
 
-def _states(present: list[tuple[Expected, Entry | None]]) -> list[Json]:
+def _current_items(current_entries: list[tuple[Expected, Entry | None]]) -> list[Json]:
     return [
         item_json(entry) if entry else {"key": expected.key, "revision": 0}
-        for expected, entry in present
+        for expected, entry in current_entries
     ]
 
 
 def item_json(entry: Entry) -> Json:
-    """Return an entry, or its deletion, as the store shows it."""
+    """Return an entry, or its deletion, in the format of the API."""
     shown: Json = {"key": entry.key.decode(), "revision": entry.mod_revision}
     if entry.deleted:
         return {**shown, "tombstone": True}
--- a/libs/standins/src/berylwalk/standins/_orders.py
+++ b/libs/standins/src/berylwalk/standins/_orders.py
@@ -1,4 +1,4 @@
-"""Orders that change what an engine serves."""
+"""Orders that change the role, models and adapters of an engine."""
 
 from collections.abc import Iterable
 from typing import Any
@@ -17,20 +17,20 @@
         "/v1/unload_lora_adapter",
     }
 )
-NO_TOKEN = -1
+NO_FENCING_TOKEN = -1
 
 
 class ReceivedOrder(Struct):
-    """One order, as it was received.
+    """Log entry of a received order.
 
     Parameters
     ----------
     path : str
-        What was ordered.
+        Path of the request.
     token : int
-        Its fencing token, or -1 if it carried none.
+        Fencing token, or -1 if there was none.
     accepted : bool
-        Whether it was carried out.
+        Whether the fencing token was accepted.
     """
 
     path: str
@@ -39,28 +39,28 @@
 
 
 class Orders:
-    """Takes orders and knows the models, adapters and role.
+    """Handler of orders; holds the role, models and adapters of an engine.
 
     Parameters
     ----------
     models : iterable of str
-        Models that are always served; the first is the base of adapters.
+        Models that are served from the start; the first is the base model of adapters.
     check_fencing : bool
-        Refuse orders without a fencing token or with an old one.
-    load_s : float
-        Time that an order takes, in seconds.
+        Whether to reject orders without a fencing token, or with an outdated one.
+    duration_s : float
+        Duration of an order, in seconds.
     """
 
     def __init__(
-        self, models: Iterable[str], *, check_fencing: bool, load_s: float = 0.0
+        self, models: Iterable[str], *, check_fencing: bool, duration_s: float = 0.0
     ) -> None:
         self.role = "both"
-        self.highest_token = NO_TOKEN
+        self.highest_token = NO_FENCING_TOKEN
         self.received: list[ReceivedOrder] = []
         self._models = list(models)
         self._adapters: list[str] = []
         self._check_fencing = check_fencing
-        self._load_s = load_s
+        self._duration_s = duration_s
 
     @property
     def base_model(self) -> str:
@@ -72,22 +72,22 @@
         return model in self._models or model in self._adapters
 
     def models(self) -> dict[str, Any]:
-        """Return the list of models and adapters as the API shows it."""
+        """Return the models and adapters in the format of the API."""
         listed = [{"id": name, "object": "model"} for name in self._models]
         for name in self._adapters:
             listed.append({"id": name, "object": "model", "parent": self.base_model})
         return {"object": "list", "data": listed}
 
     async def handle(self, exchange: Exchange) -> None:
-        """Carry an order out, or refuse it."""
+        """Execute or reject an order."""
         if exchange.path == "/admin/role" and exchange.method == "GET":
             await exchange.respond_json(200, {"role": self.role})
             return
         if exchange.path not in ORDER_PATHS:
-            await exchange.respond_json(404, {"error": {"message": "no such path"}})
+            await exchange.respond_json(404, {"error": {"message": "unknown path"}})
             return
         try:
-            token = int(exchange.headers.get(FENCING_HEADER, NO_TOKEN))
+            token = int(exchange.headers.get(FENCING_HEADER, NO_FENCING_TOKEN))
             body = await exchange.json()
         except (DecodeError, ValueError) as error:
             await exchange.respond_json(400, {"error": {"message": str(error)}})
@@ -98,8 +98,8 @@
             message = f"fencing token {token} is older than {self.highest_token}"
             await exchange.respond_json(409, {"error": {"message": message}})
             return
-        await sleep(self._load_s)
-        status = self._carry_out(exchange.path, body)
+        await sleep(self._duration_s)
+        status = self._execute(exchange.path, body)
         await exchange.respond_json(status, {"role": self.role})
 
     def _accept(self, token: int) -> bool:
@@ -108,7 +108,7 @@
         self.highest_token = max(self.highest_token, token)
         return True
 
-    def _carry_out(self, path: str, body: dict[str, Any]) -> int:
+    def _execute(self, path: str, body: dict[str, Any]) -> int:
         if path == "/admin/role":
             self.role = str(body.get("role", self.role))
             return 200
--- a/libs/standins/src/berylwalk/standins/_platform_options.py
+++ b/libs/standins/src/berylwalk/standins/_platform_options.py
@@ -1,4 +1,4 @@
-"""Command line of the stand-in of the platform."""
+"""Command line of the platform stand-in."""
 
 from argparse import ArgumentParser
 from pathlib import Path
@@ -11,7 +11,7 @@
 
 
 class VmMessage(Struct):
-    """One VM of the list."""
+    """An entry of the VM list."""
 
     vm_id: str
     address: str
@@ -38,7 +38,7 @@
         action="append",
         default=[],
         metavar="ID,ADDRESS,FAILURE_DOMAIN,ROLE",
-        help="one VM of the list; may be given again",
+        help="an entry of the VM list; may be repeated",
     )
     parser.add_argument("--vm-file", type=Path, help='JSON file, {"vms": [...]}')
     parser.add_argument("--vm-list-lag-s", type=float, default=0.0)
@@ -46,7 +46,7 @@
         "--weight-rate",
         type=float,
         default=DEFAULT_WEIGHT_RATE,
-        help="answers of the weight store per second",
+        help="maximum number of downloads from the weight store per second",
     )
     parser.add_argument("--weight-bytes", type=int, default=DEFAULT_WEIGHT_BYTES)
     return parser
--- a/libs/standins/src/berylwalk/standins/_prefix_cache.py
+++ b/libs/standins/src/berylwalk/standins/_prefix_cache.py
@@ -1,4 +1,4 @@
-"""A model engine's prefix cache."""
+"""Prefix cache of a model engine."""
 
 from collections import OrderedDict
 from dataclasses import dataclass, field
@@ -12,14 +12,14 @@
 
 @dataclass(frozen=True, slots=True)
 class CacheUse:
-    """What a prompt found in the cache, and what it changed.
+    """Result of a lookup of a prompt.
 
     Parameters
     ----------
     hits : int
-        Leading blocks that were held.
+        Number of leading blocks that were cached.
     added, evicted : list of bytes
-        Hashes of the blocks that came in and of those that left.
+        Hashes of the blocks that were added and evicted.
     """
 
     hits: int
@@ -28,12 +28,12 @@
 
 
 class PrefixCache:
-    """Hashes of leading prompt blocks; the least recently used leave first.
+    """LRU cache of the hashes of prompt blocks.
 
     Parameters
     ----------
     blocks : int
-        Capacity.
+        Capacity, in blocks.
     """
 
     def __init__(self, blocks: int) -> None:
@@ -41,19 +41,18 @@
         self._hashes: OrderedDict[bytes, None] = OrderedDict()
 
     def __len__(self) -> int:
-        """Return the number of blocks held."""
+        """Return the number of cached blocks."""
         return len(self._hashes)
 
     def use(self, prompt: str) -> CacheUse:
-        """Hold all blocks of a prompt; tell which leading ones were held."""
+        """Look up a prompt and add all its blocks."""
         hashes = block_hashes(prompt)
         hits = 0
         for each in hashes:
             if each not in self._hashes:
                 break
             hits += 1
-        # Later blocks are touched first, so that a prefix outlives what
-        # follows it.
+        # In reverse, so that a block is evicted after those that follow it.
         for each in reversed(hashes):
             self._hashes[each] = None
             self._hashes.move_to_end(each)
@@ -64,11 +63,11 @@
 
 
 def block_hashes(prompt: str) -> list[bytes]:
-    """Return the chained hashes of a prompt's whole blocks."""
+    """Return the chained hashes of the full blocks of a prompt."""
     hashes = []
     previous = b""
-    whole = len(prompt) - len(prompt) % BLOCK_CHARACTERS
-    for start in range(0, whole, BLOCK_CHARACTERS):
+    aligned_length = len(prompt) - len(prompt) % BLOCK_CHARACTERS
+    for start in range(0, aligned_length, BLOCK_CHARACTERS):
         block = prompt[start : start + BLOCK_CHARACTERS].encode()
         previous = blake2b(previous + block, digest_size=BLOCK_HASH_BYTES).digest()
         hashes.append(previous)
--- a/libs/standins/src/berylwalk/standins/_revisions.py
+++ b/libs/standins/src/berylwalk/standins/_revisions.py
@@ -1,6 +1,6 @@
-"""A store of keys with one global revision, leases and a history.
+"""Key-value store with a global revision, leases and a change history.
 
-Without I/O: time is passed in, in seconds.
+Does no I/O and reads no clock: times are arguments, in seconds.
 """
 
 from collections import deque
@@ -17,12 +17,12 @@
 
 
 class CompactedError(LookupError):
-    """Revisions that were asked for are no longer kept.
+    """The requested revisions were compacted.
 
     Parameters
     ----------
     compact_revision : int
-        Newest revision that was discarded.
+        Newest compacted revision.
     """
 
     def __init__(self, compact_revision: int) -> None:
@@ -32,7 +32,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Entry:
-    """State of one key; a deleted one has version 0."""
+    """State of a key; a deletion has version 0."""
 
     key: bytes
     value: bytes
@@ -43,24 +43,24 @@
 
     @property
     def deleted(self) -> bool:
-        """Whether the entry stands for a deletion."""
+        """Whether the entry is a deletion."""
         return self.version == 0
 
 
 @dataclass(slots=True)
 class LeaseState:
-    """One lease.
+    """A lease.
 
     Parameters
     ----------
     lease_id : int
-        Its identifier.
+        Identifier.
     ttl_s : float
-        Granted time to live, in seconds.
+        Time to live, in seconds.
     expires_at : float
-        Monotonic time of its end, in seconds.
+        Time of expiry, in seconds.
     keys : set of bytes
-        Keys that are deleted with it.
+        Keys that are deleted when the lease ends.
     """
 
     lease_id: int
@@ -70,14 +70,14 @@
 
 
 class RevisionStore:
-    """Keys, leases and the recent changes.
+    """Keys, leases and recent changes.
 
     Parameters
     ----------
     history : int
-        Number of changes kept for watches.
+        Number of changes that are retained for watches.
     on_change : callable
-        Called after each revision.
+        Called after each new revision.
     """
 
     def __init__(
@@ -100,32 +100,32 @@
         return self._entries_by_key.get(key)
 
     def range(self, key: bytes, range_end: bytes = b"") -> list[Entry]:
-        """Return the entries from ``key`` up to ``range_end``, in order."""
+        """Return the entries from ``key`` up to ``range_end``, sorted by key."""
         if not range_end:
             entry = self.get(key)
             return [entry] if entry else []
-        found = [
+        matches = [
             entry
             for each, entry in self._entries_by_key.items()
             if in_range(each, key, range_end)
         ]
-        return sorted(found, key=lambda entry: entry.key)
+        return sorted(matches, key=lambda entry: entry.key)
 
     def put(self, key: bytes, value: bytes, lease_id: int = 0) -> Entry:
         """Write a key at a new revision."""
         self.check_lease(lease_id)
-        before = self.get(key)
-        if before is not None and before.lease_id:
-            self.leases_by_id[before.lease_id].keys.discard(key)
+        previous = self.get(key)
+        if previous is not None and previous.lease_id:
+            self.leases_by_id[previous.lease_id].keys.discard(key)
         if lease_id:
             self.leases_by_id[lease_id].keys.add(key)
         self.revision += 1
         entry = Entry(
             key=key,
             value=value,
-            create_revision=before.create_revision if before else self.revision,
+            create_revision=previous.create_revision if previous else self.revision,
             mod_revision=self.revision,
-            version=before.version + 1 if before else 1,
+            version=previous.version + 1 if previous else 1,
             lease_id=lease_id,
         )
         self._entries_by_key[key] = entry
@@ -133,11 +133,11 @@
         return entry
 
     def delete(self, key: bytes, range_end: bytes = b"") -> list[Entry]:
-        """Delete keys at one new revision; returns the entries before it."""
+        """Delete keys at one new revision; return the deleted entries."""
         return self._delete_entries(self.range(key, range_end))
 
     def check_lease(self, lease_id: int) -> None:
-        """Raise :class:`LeaseNotFoundError` if a lease is named and gone."""
+        """Raise `LeaseNotFoundError` if a lease does not exist; 0 means no lease."""
         if lease_id and lease_id not in self.leases_by_id:
             raise LeaseNotFoundError(lease_id)
 
@@ -151,7 +151,7 @@
         return lease
 
     def keep_alive(self, now: float, lease_id: int) -> float:
-        """Renew a lease; returns its time to live, 0 when it is gone."""
+        """Renew a lease; return its time to live in seconds, 0 if it does not exist."""
         lease = self.leases_by_id.get(lease_id)
         if lease is None:
             return 0.0
@@ -165,32 +165,32 @@
         self._delete_entries([self._entries_by_key[key] for key in sorted(lease.keys)])
 
     def expire(self, now: float) -> None:
-        """End the leases whose time has passed."""
-        overdue = [
+        """Revoke the expired leases."""
+        expired = [
             lease.lease_id
             for lease in self.leases_by_id.values()
             if lease.expires_at <= now
         ]
-        for lease_id in overdue:
+        for lease_id in expired:
             self.revoke(lease_id)
 
     def changes_since(
         self, revision: int, key: bytes, range_end: bytes = b""
     ) -> list[Entry]:
-        """Return the changes of a range from a revision on, oldest first."""
+        """Return the changes of a range since a revision, oldest first."""
         if revision <= self._compact_revision:
             raise CompactedError(self._compact_revision)
-        found = []
+        matches = []
         for entry in reversed(self._changes):
             if entry.mod_revision < revision:
                 break
             if in_range(entry.key, key, range_end):
-                found.append(entry)
-        found.reverse()
-        return found
+                matches.append(entry)
+        matches.reverse()
+        return matches
 
     def compact(self) -> None:
-        """Discard all changes made so far."""
+        """Discard the change history."""
         self._changes.clear()
         self._compact_revision = self.revision
 
@@ -224,14 +224,14 @@
 
 
 def in_range(key: bytes, start: bytes, range_end: bytes) -> bool:
-    """Return whether a key is ``start``, or in the range that begins there."""
+    """Return whether a key is in a range; without an end, whether it is ``start``."""
     if not range_end:
         return key == start
     return key >= start and (range_end == NO_UPPER_BOUND or key < range_end)
 
 
 def prefix_range(prefix: bytes) -> tuple[bytes, bytes]:
-    """Return the first key with a prefix and the first one after all of them."""
+    """Return the range of all keys with a prefix, as start and exclusive end."""
     trimmed = prefix.rstrip(b"\xff")
     if not trimmed:
         return prefix, NO_UPPER_BOUND
--- a/libs/standins/src/berylwalk/standins/_serving.py
+++ b/libs/standins/src/berylwalk/standins/_serving.py
@@ -1,4 +1,4 @@
-"""A small layer over ASGI and uvicorn that the stand-ins share."""
+"""HTTP server of the stand-ins, based on ASGI and uvicorn."""
 
 from asyncio import Transport
 from collections.abc import AsyncIterator, Awaitable, Callable, Mapping
@@ -24,24 +24,24 @@
 
 
 class TransportProtocol(HttpToolsProtocol):
-    """HTTP protocol that shows an application its connection."""
+    """HTTP protocol that gives the application access to the transport."""
 
     def on_message_begin(self) -> None:
-        """Put the transport among the scope's extensions."""
+        """Add the transport to the extensions of the scope."""
         super().on_message_begin()
         self.scope["extensions"] = {TRANSPORT_EXTENSION: self.transport}
 
 
 @dataclass(slots=True)
 class Exchange:
-    """One HTTP request and its answer."""
+    """An HTTP request and its response."""
 
     scope: dict[str, Any]
     receive: Receive
     send: Send
     headers: dict[str, str] = field(default_factory=dict)
-    drop_answer: bool = False
-    stated_headers: Mapping[str, str] = field(default_factory=dict)
+    drop_response: bool = False
+    signal_headers: Mapping[str, str] = field(default_factory=dict)
 
     def __post_init__(self) -> None:
         """Decode the headers."""
@@ -50,7 +50,7 @@
 
     @property
     def method(self) -> str:
-        """Method, in upper case."""
+        """HTTP method, in upper case."""
         return self.scope["method"]
 
     @property
@@ -59,11 +59,11 @@
         return self.scope["path"]
 
     def query(self) -> dict[str, str]:
-        """Return the query's parameters by name."""
+        """Return the query parameters by name."""
         return dict(parse_qsl(self.scope["query_string"].decode("latin-1")))
 
     async def body(self) -> bytes:
-        """Read the whole body."""
+        """Read the complete body."""
         parts = []
         while True:
             message = await self.receive()
@@ -75,16 +75,16 @@
         return b"".join(parts)
 
     async def json(self) -> Any:
-        """Read the whole body as JSON; an empty body is an empty object."""
+        """Read and decode a JSON body; an empty body counts as an empty object."""
         return decode(await self.body() or b"{}")
 
     async def start(
         self, status: int, content_type: str, headers: Mapping[str, str] | None = None
     ) -> None:
-        """Send the status line and headers."""
+        """Send the status and headers."""
         fields = {
             "content-type": content_type,
-            **self.stated_headers,
+            **self.signal_headers,
             **(headers or {}),
         }
         encoded = [
@@ -106,8 +106,8 @@
         content_type: str,
         headers: Mapping[str, str] | None = None,
     ) -> None:
-        """Send a whole answer, or drop the connection where that is asked for."""
-        if self.drop_answer:
+        """Send a complete response; with ``drop_response``, abort the connection."""
+        if self.drop_response:
             await self.abort()
             return
         length = {"content-length": str(len(body))}
@@ -117,7 +117,7 @@
     async def respond_json(
         self, status: int, value: object, headers: Mapping[str, str] | None = None
     ) -> None:
-        """Send a whole answer in JSON."""
+        """Send a complete response in JSON."""
         await self.respond(status, encode(value), "application/json", headers)
 
     def is_disconnected(self) -> bool:
@@ -125,7 +125,7 @@
         return self._transport().is_closing()
 
     async def abort(self) -> None:
-        """Drop the connection without an answer, or in the middle of one."""
+        """Drop the connection, before or during the response."""
         self._transport().abort()
         while (await self.receive())["type"] != "http.disconnect":
             pass
@@ -147,8 +147,8 @@
         try:
             await handle(exchange)
         except get_cancelled_exc_class():
-            # Cancelled by ``serving`` with its connection: nothing is left to
-            # be told, and uvicorn would log it as an error.
+            # `serving` aborted the connection and cancelled this task; uvicorn would
+            # log the exception as an error.
             if not exchange.is_disconnected():
                 raise
 
@@ -159,18 +159,18 @@
 async def serving(
     handle: Handler, host: str, port: int, *tasks: Task
 ) -> AsyncIterator[Server]:
-    """Serve a handler while the context is open.
+    """Serve a handler within an ``async with`` block.
 
-    On leaving, open connections are aborted, as if the process had died.
+    On exit, open connections are aborted as by a crash of the process.
 
     Parameters
     ----------
     handle : callable
-        Handles one exchange.
+        Handler of an exchange.
     host, port : str, int
-        Where to listen.
+        Address to listen on.
     *tasks : callable
-        Background tasks to run besides.
+        Background tasks.
     """
     server = _server(handle, host, port)
     async with create_task_group() as group:
@@ -187,7 +187,7 @@
 
 
 def serve_forever(handle: Handler, host: str, port: int, *tasks: Task) -> None:
-    """Serve a handler until the process gets SIGINT or SIGTERM."""
+    """Serve a handler until the process receives SIGINT or SIGTERM."""
 
     async def main() -> None:
         server = _server(handle, host, port)
@@ -209,7 +209,7 @@
         ws="none",
         lifespan="off",
         access_log=False,
-        # Logging is the process's own: setting it up anew closes its handlers.
+        # The default configuration would close the log handlers of the process.
         log_config=None,
         log_level="warning",
         backlog=BACKLOG,
@@ -221,7 +221,7 @@
 async def _stop(server: Server) -> None:
     server.should_exit = True
     server.force_exit = True
-    # Listeners go first: a client that reconnects at once must not get in.
+    # Close the listeners first, so that clients cannot reconnect.
     for listener in server.servers:
         listener.close()
     await sleep(0)
--- a/libs/standins/src/berylwalk/standins/_weights.py
+++ b/libs/standins/src/berylwalk/standins/_weights.py
@@ -1,4 +1,4 @@
-"""A rate-limited weight store."""
+"""Rate-limited weight store."""
 
 from math import ceil
 from time import monotonic
@@ -11,14 +11,14 @@
 
 
 class WeightStore:
-    """Answers so many calls a second and refuses the others.
+    """Store that serves generated files up to a rate limit.
 
     Parameters
     ----------
     rate : float
-        Files per second.
+        Maximum number of files per second.
     size : int
-        Size of a file, in bytes.
+        Size of each file, in bytes.
     """
 
     def __init__(self, *, rate: float, size: int) -> None:
@@ -27,7 +27,7 @@
         self._next_at = 0.0
 
     async def handle(self, exchange: Exchange) -> None:
-        """Answer one exchange; a file repeats its name."""
+        """Handle an exchange; the content of a file is its repeated name."""
         now = monotonic()
         wait_s = self._next_at - now
         if wait_s > 0:
--- a/libs/standins/src/berylwalk/standins/engine.py
+++ b/libs/standins/src/berylwalk/standins/engine.py
@@ -12,14 +12,14 @@
 from anyio import Event, sleep
 from msgspec import DecodeError, Struct, ValidationError, convert
 
-from berylwalk.standins._answers import Answer
 from berylwalk.standins._batching import BatchingEngine, Speed
+from berylwalk.standins._completion_responses import CompletionResponse
 from berylwalk.standins._completions import CompletionKind, parse_completion
+from berylwalk.standins._delayed_value import DelayedValue
 from berylwalk.standins._engine_options import DEFAULT_REPORT_LAG_S, build_parser
-from berylwalk.standins._lagging import LaggingValue
 from berylwalk.standins._orders import Orders
 from berylwalk.standins._serving import REQUEST_ID_HEADER, Exchange, serve_forever
-from berylwalk.standins._statements import Statements, stating
+from berylwalk.standins._target_signals import TargetSignals, with_signals
 
 DEFAULT_MODEL = "stand-in"
 KIND_BY_PATH = {
@@ -29,16 +29,16 @@
 
 
 class EngineFaults(Struct):
-    """Faults of an engine.
+    """Injected faults of an engine.
 
     Parameters
     ----------
     slow_factor : float
-        Steps take so many times their time.
+        Factor by which step durations are multiplied.
     hang : bool
-        No step is made, and a client that leaves is not noticed.
+        Whether the engine runs no steps and does not notice disconnected clients.
     break_after_tokens : int
-        Connections are dropped after so many tokens; 0 for never.
+        Number of output tokens after which connections are dropped; 0 for never.
     """
 
     slow_factor: float = 1.0
@@ -48,12 +48,12 @@
 
 @dataclass(frozen=True, slots=True)
 class LoadReport:
-    """What the metrics show.
+    """Load as reported by the metrics.
 
     Parameters
     ----------
     running, waiting : int
-        Sequences.
+        Number of sequences.
     cache_usage : float
         Share of the prefix cache in use, from 0 to 1.
     """
@@ -64,18 +64,18 @@
 
 
 class EngineStandin:
-    """A model engine as one handler of HTTP exchanges and one step loop.
+    """A model engine: handler of HTTP exchanges, and step loop.
 
     Parameters
     ----------
     batching : BatchingEngine
-        Runs the sequences.
+        Engine that runs the sequences.
     orders : Orders
-        Takes orders that change models, adapters or the role.
+        Handler of orders that change models, adapters or the role.
     report_lag_s : float
-        Age of the load that the metrics show, in seconds.
+        Delay of the load in the metrics, in seconds.
     stream_interval : int
-        Tokens that a stream gathers for one event.
+        Number of tokens per stream event.
     """
 
     def __init__(
@@ -90,13 +90,13 @@
         self.batching = batching
         self.orders = orders
         self.seen_by_request_id: Counter[str] = Counter()
-        self._report = LaggingValue(LoadReport(), lag_s=report_lag_s)
+        self._report = DelayedValue(LoadReport(), lag_s=report_lag_s)
         self._stream_interval = stream_interval
-        self._work = Event()
+        self._wake_event = Event()
 
     @classmethod
     def from_args(cls, args: Namespace) -> Self:
-        """Build it from parsed arguments."""
+        """Construct from parsed arguments."""
         speed = Speed(args.step_ms / 1000, args.batch_slope, args.prefill_tokens_per_s)
         return cls(
             BatchingEngine(
@@ -105,31 +105,31 @@
             Orders(
                 args.model or [DEFAULT_MODEL],
                 check_fencing=args.check_fencing,
-                load_s=args.load_ms / 1000,
+                duration_s=args.load_ms / 1000,
             ),
             report_lag_s=args.report_lag_s,
             stream_interval=args.stream_interval,
         )
 
     async def run(self) -> None:
-        """Make one step after the other, for ever."""
+        """Run steps until cancelled."""
         due = monotonic()
         while True:
             if self.batching.idle or self.faults.hang:
                 self._record_load()
-                await self._work.wait()
+                await self._wake_event.wait()
                 due = monotonic()
                 continue
             step_s = self.batching.begin_step() * self.faults.slow_factor
             self._record_load()
-            # Steps are due at fixed times, so that late wake-ups of a busy
-            # machine don't slow the engine down; long delays aren't made up.
+            # Steps have fixed due times, so that late wake-ups do not slow the engine
+            # down. Delays longer than a step are not made up for.
             due = max(due, monotonic() - step_s) + step_s
             await sleep(max(0.0, due - monotonic()))
             self.batching.end_step()
 
     async def handle(self, exchange: Exchange) -> None:
-        """Answer one exchange."""
+        """Handle one exchange."""
         match exchange.path:
             case "/v1/chat/completions" | "/v1/completions":
                 await self._complete(exchange)
@@ -149,7 +149,7 @@
                 await self.orders.handle(exchange)
 
     def seen(self) -> dict[str, Any]:
-        """Return what was received and done so far."""
+        """Return counts of requests, orders and work since the start."""
         return {
             "requests": dict(self.seen_by_request_id),
             "totals": self.batching.totals,
@@ -172,24 +172,24 @@
         try:
             request = parse_completion(await exchange.json())
         except (DecodeError, ValidationError) as error:
-            await _answer_error(exchange, 400, str(error))
+            await _respond_error(exchange, 400, str(error))
             return
         if not self.orders.serves(request.model):
-            await _answer_error(exchange, 404, f"no model {request.model!r}")
+            await _respond_error(exchange, 404, f"no model {request.model!r}")
             return
-        answer = Answer(
+        response = CompletionResponse(
             KIND_BY_PATH[exchange.path],
             exchange,
             request,
             stream_interval=self._stream_interval,
             break_after=lambda: self.faults.break_after_tokens,
         )
-        self.batching.submit(answer.sequence)
+        self.batching.submit(response.sequence)
         self._wake()
         try:
-            await answer.send()
+            await response.send()
         finally:
-            self.batching.cancel(answer.sequence)
+            self.batching.cancel(response.sequence)
 
     async def _metrics(self, exchange: Exchange) -> None:
         report = self._report.read(monotonic())
@@ -214,11 +214,11 @@
         self._report.record(monotonic(), report)
 
     def _wake(self) -> None:
-        self._work.set()
-        self._work = Event()
+        self._wake_event.set()
+        self._wake_event = Event()
 
 
-async def _answer_error(exchange: Exchange, status: int, message: str) -> None:
+async def _respond_error(exchange: Exchange, status: int, message: str) -> None:
     error = {"message": message, "type": "invalid_request_error", "code": status}
     await exchange.respond_json(status, {"error": error})
 
@@ -227,7 +227,7 @@
     """Run the stand-in."""
     args = build_parser().parse_args()
     standin = EngineStandin.from_args(args)
-    handle = stating(standin.handle, Statements.from_args(args))
+    handle = with_signals(standin.handle, TargetSignals.from_args(args))
     serve_forever(handle, args.host, args.port, standin.run)
 
 
--- a/libs/standins/src/berylwalk/standins/memory.py
+++ b/libs/standins/src/berylwalk/standins/memory.py
@@ -1,4 +1,4 @@
-"""An in-memory key-value store with faults, for tests."""
+"""In-memory key-value store with fault injection, for tests."""
 
 from collections.abc import AsyncIterator, Callable
 from time import monotonic
@@ -29,25 +29,25 @@
 
 
 class InMemoryKeyValue:
-    """A :class:`berylwalk.platform.KeyValueStore` in memory.
+    """In-memory implementation of `berylwalk.platform.KeyValueStore`.
 
     Parameters
     ----------
     clock : callable
-        Clock that leases are counted by, in seconds.
+        Monotonic clock for leases, in seconds.
 
     Attributes
     ----------
     down : bool
-        Fault: no call is sent, and watches are silent.
+        Fault: calls fail without being sent, and watches yield nothing.
     delay_s : float
-        Fault: time that each call takes, in seconds.
+        Fault: latency of each call, in seconds.
     lose_answers : int
-        Fault: so many next writes take effect and their answer is lost.
+        Fault: number of next writes that take effect, but whose response is lost.
     lose_writes : int
-        Fault: so many next writes are lost before they take effect.
+        Fault: number of next writes that are lost before they take effect.
     calls : int
-        Number of calls received, a watch as one.
+        Number of received calls; a watch counts as one.
     """
 
     def __init__(self, *, clock: Callable[[], float] = monotonic) -> None:
@@ -66,14 +66,14 @@
         return self._store.revision
 
     async def get(self, key: bytes) -> KeyValue | Unavailable | None:
-        """Read one key; None when it is absent."""
-        if not await self._enter():
+        """Read a key; return None if it does not exist."""
+        if not await self._begin_call():
             return DOWN
         return _to_key_value(self._store.get(key))
 
     async def get_prefix(self, prefix: bytes) -> tuple[KeyValue, ...] | Unavailable:
-        """Read all keys that start with a prefix, in order of their keys."""
-        if not await self._enter():
+        """Read all keys with a prefix, sorted by key."""
+        if not await self._begin_call():
             return DOWN
         entries = self._store.range(b"", b"\0")
         return tuple(
@@ -88,7 +88,7 @@
         *,
         lease_id: int | None = None,
     ) -> SwapResult:
-        """Write a key if it is at the expected revision; 0 means absent."""
+        """Write a key if it is at the expected revision; 0 if it must not exist."""
 
         def write() -> int:
             return self._store.put(key, value, lease_id or 0).mod_revision
@@ -107,7 +107,7 @@
     async def watch(
         self, key: bytes, start_revision: int = 0, *, prefix: bool = False
     ) -> AsyncIterator[WatchEvent]:
-        """Yield changes from a revision on; 0 means from now."""
+        """Yield changes since a revision; 0 means from now on."""
         self.calls += 1
         next_revision = start_revision or self._store.revision + 1
         while True:
@@ -124,20 +124,20 @@
 
     async def grant_lease(self, ttl_s: float) -> Lease | Unavailable:
         """Create a lease."""
-        if not await self._enter():
+        if not await self._begin_call():
             return DOWN
         lease = self._store.grant(self._clock(), ttl_s)
         return Lease(lease.lease_id, lease.ttl_s)
 
     async def keep_alive(self, lease_id: int) -> float | Unavailable:
-        """Renew a lease; returns its time to live in seconds, 0 when gone."""
-        if not await self._enter():
+        """Renew a lease; return its time to live in seconds, 0 if it does not exist."""
+        if not await self._begin_call():
             return DOWN
         return self._store.keep_alive(self._clock(), lease_id)
 
     async def revoke(self, lease_id: int) -> bool | Unavailable:
-        """End a lease and delete its keys; False when it was gone."""
-        if not await self._enter():
+        """Revoke a lease and delete its keys; return False if it did not exist."""
+        if not await self._begin_call():
             return DOWN
         try:
             self._store.revoke(lease_id)
@@ -145,7 +145,7 @@
             return False
         return True
 
-    async def _enter(self) -> bool:
+    async def _begin_call(self) -> bool:
         self.calls += 1
         await sleep(self.delay_s)
         self._store.expire(self._clock())
@@ -154,7 +154,7 @@
     async def _swap(
         self, key: bytes, expected_mod_revision: int, apply: Callable[[], int]
     ) -> SwapResult:
-        if not await self._enter():
+        if not await self._begin_call():
             return DOWN
         if self.lose_writes > 0:
             self.lose_writes -= 1
@@ -162,7 +162,7 @@
         result = self._apply_if(key, expected_mod_revision, apply)
         if self.lose_answers > 0:
             self.lose_answers -= 1
-            return OutcomeUnknown("the answer was lost")
+            return OutcomeUnknown("the response was lost")
         return result
 
     def _apply_if(
--- a/libs/standins/src/berylwalk/standins/platform.py
+++ b/libs/standins/src/berylwalk/standins/platform.py
@@ -1,4 +1,4 @@
-"""Stand-in of the platform: metadata store, VM list and weight store.
+"""Stand-in of the platform with metadata store, VM list and weight store.
 
 Run it with ``python -m berylwalk.standins.platform``.
 """
@@ -13,7 +13,7 @@
 from msgspec import Struct, convert
 from msgspec.json import decode
 
-from berylwalk.standins._lagging import LaggingValue
+from berylwalk.standins._delayed_value import DelayedValue
 from berylwalk.standins._metadata_store import (
     PATH_PREFIX,
     TRANSACTION_PATH,
@@ -30,25 +30,25 @@
     WeightStore,
 )
 
-EXPIRY_INTERVAL_S = 0.1
+LEASE_EXPIRY_INTERVAL_S = 0.1
 CONTROL_PREFIX = "/control/"
 
 
 class PlatformFaults(Struct):
-    """Faults of the platform.
+    """Injected faults of the platform.
 
     Parameters
     ----------
     down : bool
-        Connections are dropped without an answer, watches included.
+        Whether all connections, including watches, are dropped without a response.
     key_value_down : bool
-        The same for the key-value service alone; the VM list answers.
+        Whether connections to the metadata store are dropped without a response.
     delay_ms : float
-        Time that each call waits before it is taken up, in milliseconds.
+        Delay before a call is handled, in milliseconds.
     lose_answers : int
-        So many next writes of keys take effect and get no answer.
+        Number of next transactions that are applied, but get no response.
     lose_writes : int
-        So many next writes of keys have no effect and get no answer.
+        Number of next transactions that are not applied and get no response.
     """
 
     down: bool = False
@@ -58,24 +58,24 @@
     lose_writes: int = 0
 
     def drops(self, path: str) -> bool:
-        """Return whether connections of calls to a path are dropped."""
+        """Return whether connections of calls to this path are dropped."""
         is_key_value = path.startswith(PATH_PREFIX)
         return self.down or (is_key_value and self.key_value_down)
 
 
 class PlatformStandin:
-    """The platform as one handler of HTTP exchanges.
+    """The platform: handler of HTTP exchanges, and expiry of leases.
 
     Parameters
     ----------
     vms : iterable of VmMessage
-        First VM list.
+        Initial VM list.
     vm_list_lag_s : float
-        Age of the list that is shown, in seconds.
+        Delay of changes to the VM list, in seconds.
     weight_rate : float
-        Answers of the weight store per second.
+        Maximum number of downloads from the weight store per second.
     weight_bytes : int
-        Size of a weight file.
+        Size of a weight file, in bytes.
     """
 
     def __init__(
@@ -92,12 +92,12 @@
         self._metadata = MetadataStore(
             self.store, is_down=lambda: self.faults.drops(WATCH_PATH)
         )
-        self._vms = LaggingValue(tuple(vms), lag_s=vm_list_lag_s)
+        self._vms = DelayedValue(tuple(vms), lag_s=vm_list_lag_s)
         self._weights = WeightStore(rate=weight_rate, size=weight_bytes)
 
     @classmethod
     def from_args(cls, args: Namespace) -> Self:
-        """Build it from parsed arguments."""
+        """Construct from parsed arguments."""
         vms = list(args.vm)
         if args.vm_file is not None:
             document = decode(args.vm_file.read_bytes())
@@ -110,13 +110,13 @@
         )
 
     async def run(self) -> None:
-        """End overdue leases, for ever."""
+        """Expire leases until cancelled."""
         while True:
-            await sleep(EXPIRY_INTERVAL_S)
+            await sleep(LEASE_EXPIRY_INTERVAL_S)
             self.store.expire(monotonic())
 
     async def handle(self, exchange: Exchange) -> None:
-        """Answer one exchange."""
+        """Handle one exchange."""
         if exchange.path.startswith(CONTROL_PREFIX):
             await self._control(exchange)
             return
@@ -134,7 +134,7 @@
         elif exchange.path.startswith(PATH_PREFIX):
             await self._metadata.handle(exchange)
         else:
-            await exchange.respond_json(404, {"message": "no such path"})
+            await exchange.respond_json(404, {"message": "unknown path"})
 
     async def _control(self, exchange: Exchange) -> None:
         body = await exchange.json()
@@ -152,7 +152,7 @@
             case "/control/counts":
                 await exchange.respond_json(200, dict(self.counts))
             case _:
-                await exchange.respond_json(404, {"message": "no such path"})
+                await exchange.respond_json(404, {"message": "unknown path"})
 
     def _set_vms(self, body: dict[str, Any]) -> None:
         if "vm_list_lag_s" in body:
@@ -167,7 +167,7 @@
             await exchange.abort()
         elif self.faults.lose_answers > 0:
             self.faults.lose_answers -= 1
-            exchange.drop_answer = True
+            exchange.drop_response = True
             await self._metadata.handle(exchange)
         else:
             await self._metadata.handle(exchange)
--- a/libs/standins/src/berylwalk/standins/service.py
+++ b/libs/standins/src/berylwalk/standins/service.py
@@ -11,7 +11,11 @@
 from anyio import sleep
 
 from berylwalk.standins._serving import REQUEST_ID_HEADER, Exchange, serve_forever
-from berylwalk.standins._statements import Statements, add_options, stating
+from berylwalk.standins._target_signals import (
+    TargetSignals,
+    add_signal_options,
+    with_signals,
+)
 
 IDEMPOTENCY_KEY_HEADER = "idempotency-key"
 DEFAULT_PORT = 9000
@@ -20,12 +24,12 @@
 
 
 class ServiceStandin:
-    """A service that answers any call with what it received.
+    """Service that echoes properties of each request.
 
     Parameters
     ----------
     delay_s : float
-        Time that each call takes, in seconds.
+        Duration of each call, in seconds.
     """
 
     def __init__(self, *, delay_s: float = 0.0) -> None:
@@ -37,13 +41,13 @@
 
     @classmethod
     def from_args(cls, args: Namespace) -> Self:
-        """Build it from parsed arguments."""
+        """Construct from parsed arguments."""
         return cls(delay_s=args.delay_ms / 1000)
 
     async def handle(self, exchange: Exchange) -> None:
-        """Answer one exchange."""
+        """Handle one exchange."""
         if exchange.path == SEEN_PATH:
-            await self._answer_seen(exchange)
+            await self._respond_seen(exchange)
             return
         self.count += 1
         count = self.count
@@ -54,18 +58,18 @@
         if key:
             self.started_by_idempotency_key[key] += 1
         body = await exchange.body()
-        await sleep(self._delay_s + _slow_s(exchange))
+        await sleep(self._delay_s + _extra_delay_s(exchange))
         self.completed += 1
-        answer = {
+        response = {
             "method": exchange.method,
             "path": exchange.path,
             "body_md5": md5(body, usedforsecurity=False).hexdigest(),
             "request_id": request_id,
             "count": count,
         }
-        await exchange.respond_json(200, answer)
+        await exchange.respond_json(200, response)
 
-    async def _answer_seen(self, exchange: Exchange) -> None:
+    async def _respond_seen(self, exchange: Exchange) -> None:
         seen = {
             "requests": dict(self.started_by_request_id),
             "idempotency_keys": dict(self.started_by_idempotency_key),
@@ -75,7 +79,7 @@
         await exchange.respond_json(200, seen)
 
 
-def _slow_s(exchange: Exchange) -> float:
+def _extra_delay_s(exchange: Exchange) -> float:
     if exchange.path != SLOW_PATH:
         return 0.0
     return float(exchange.query().get("ms", "0")) / 1000
@@ -88,7 +92,7 @@
     parser.add_argument("--host", default="127.0.0.1")
     parser.add_argument("--port", type=int, default=DEFAULT_PORT)
     parser.add_argument("--delay-ms", type=float, default=0.0)
-    add_options(parser)
+    add_signal_options(parser)
     return parser
 
 
@@ -96,7 +100,7 @@
     """Run the stand-in."""
     args = build_parser().parse_args()
     standin = ServiceStandin.from_args(args)
-    handle = stating(standin.handle, Statements.from_args(args))
+    handle = with_signals(standin.handle, TargetSignals.from_args(args))
     serve_forever(handle, args.host, args.port)
 
 
--- a/libs/standins/tests/test_standins_engine.py
+++ b/libs/standins/tests/test_standins_engine.py
@@ -1,4 +1,4 @@
-"""The engine stand-in, by its decisions and over HTTP."""
+"""Tests of the engine stand-in: batching, and HTTP API."""
 
 from contextlib import asynccontextmanager
 from functools import partial
@@ -15,19 +15,19 @@
 HOST = "127.77.1.1"
 PORT = 9000
 BASE = f"http://{HOST}:{PORT}"
-GENEROUS_S = 20.0
+TIMEOUT_S = 20.0
 BLOCK = "x" * 256
 SPEED = Speed(step_s=0.01, batch_slope=0.1, prefill_tokens_per_s=1000.0)
 
 
 def batching_engine(**options):
-    """Return an engine without I/O."""
+    """Return a batching engine with test options."""
     return BatchingEngine(SPEED, **{"max_batch": 2, "cache_blocks": 4, **options})
 
 
 @asynccontextmanager
 async def running_engine(*flags):
-    """Serve an engine stand-in and yield it with a client."""
+    """Serve an engine stand-in; yield it and an HTTP client."""
     standin = EngineStandin.from_args(
         build_parser().parse_args(["--step-ms", "1", *flags])
     )
@@ -39,7 +39,7 @@
 
 
 async def post(client, path, body, **headers):
-    """Make one call; returns the status and the body."""
+    """Send a POST request; return the status and the body."""
     fields = [(name.replace("_", "-"), value) for name, value in headers.items()]
     response = await client.request(
         "POST", BASE + path, headers=fields, content=encode(body)
@@ -48,19 +48,19 @@
 
 
 async def until(condition):
-    """Wait for a condition with a generous bound."""
-    with fail_after(GENEROUS_S):
+    """Wait for a condition; fail after a timeout."""
+    with fail_after(TIMEOUT_S):
         while not condition():
             await sleep(0.005)
 
 
 def completion(prompt, tokens=8, **fields):
-    """Return the body of a completion."""
+    """Return the body of a completion request."""
     return {"model": "stand-in", "prompt": prompt, "max_tokens": tokens, **fields}
 
 
 def streamed_text(content):
-    """Return the text of a whole stream of events."""
+    """Return the text of a complete stream of events."""
     events = content.decode().split("\n\n")
     assert events[-2:] == ["data: [DONE]", ""]
     parsed = [decode(event.removeprefix("data: ")) for event in events[:-2]]
@@ -68,18 +68,18 @@
 
 
 class TestBatching:
-    """The step loop's decisions."""
+    """Steps of the engine."""
 
     def test_step_time_counts_batch_and_prefill(self):
-        """A step costs its batch and the prompts that it admits."""
+        """The duration of a step depends on the batch size and on new prompts."""
         engine = batching_engine()
         engine.submit(Sequence("y" * 400, 5))
         assert engine.begin_step() == pytest.approx(0.01 * 1.1 + 0.1)
         engine.end_step()
         assert engine.begin_step() == pytest.approx(0.01 * 1.1)
 
-    def test_batch_is_bounded_and_first_come_first_served(self):
-        """A third sequence waits until one of two has finished."""
+    def test_batch_is_bounded_and_fifo(self):
+        """A sequence beyond the maximum batch size waits for a free slot."""
         engine = batching_engine()
         first, second, third = (Sequence(name, 2) for name in "abc")
         for sequence in (first, second, third):
@@ -94,7 +94,7 @@
         assert engine.totals.max_running == 2
 
     def test_cached_prefix_skips_prefill(self):
-        """A repeated prefix costs only what follows it."""
+        """With a cached prefix, only the rest of the prompt is prefilled."""
         engine = batching_engine()
         first = Sequence(BLOCK * 2 + "a" * 80, 1)
         second = Sequence(BLOCK * 2 + "b" * 80, 1)
@@ -104,8 +104,8 @@
         assert first.prefill_tokens == 148
         assert (second.cached_tokens, second.prefill_tokens) == (128, 20)
 
-    def test_cache_forgets_the_least_recently_used(self):
-        """A prompt that was pushed out of the cache is read again."""
+    def test_least_recently_used_blocks_are_evicted(self):
+        """A prompt that was evicted from the cache is prefilled again."""
         engine = batching_engine(cache_blocks=2)
         for prompt in ("p", "q", "p"):
             engine.submit(Sequence(prompt * 512, 1))
@@ -114,7 +114,7 @@
         assert engine.totals.cached_prefill_tokens == 0
 
     def test_cancel_counts_waste_only_for_prefill_done(self):
-        """A sequence that was cancelled while waiting wastes nothing."""
+        """A sequence that is cancelled while it waits counts no wasted tokens."""
         engine = batching_engine(max_batch=1)
         running, waiting = Sequence("y" * 400, 9), Sequence("z" * 400, 9)
         engine.submit(running)
@@ -125,8 +125,8 @@
         engine.cancel(running)
         assert engine.totals.wasted_prefill_tokens == 100
 
-    def test_prefills_tell_what_the_cache_gained_and_lost(self):
-        """Records name the new and evicted blocks, and calls given up later."""
+    def test_prefill_records_have_cache_changes(self):
+        """Records have the added and evicted blocks, and later cancellation."""
         engine = batching_engine(cache_blocks=2)
         for prompt in (BLOCK * 2, BLOCK * 2, "y" * 256):
             sequence = Sequence(prompt, 2)
@@ -143,11 +143,11 @@
 
 
 @pytest.mark.anyio
-class TestAnswers:
-    """Answers over HTTP."""
+class TestResponses:
+    """Responses over HTTP."""
 
-    async def test_each_caller_gets_its_own_whole_answer(self):
-        """Two hundred streams at once are neither mixed nor cut."""
+    async def test_concurrent_streams_are_complete_and_separate(self):
+        """Tokens of 200 concurrent streams are neither mixed up nor lost."""
         bodies = [
             completion(f"prompt {n % 7}", user=f"user {n}", stream=True)
             for n in range(200)
@@ -159,7 +159,7 @@
             texts[number] = streamed_text(content)
 
         async with running_engine("--max-batch", "64") as (standin, client):
-            with fail_after(GENEROUS_S):
+            with fail_after(TIMEOUT_S):
                 async with create_task_group() as group:
                     for number in range(len(bodies)):
                         group.start_soon(ask, number)
@@ -167,19 +167,19 @@
         assert len(set(texts.values())) == len(bodies)
         assert standin.batching.totals.max_running == 64
 
-    async def test_whole_chat_answer_and_request_ids(self):
-        """A whole chat answer carries the text; the request id is counted."""
+    async def test_chat_without_streaming(self):
+        """The response has the complete text, and the request id is counted."""
         messages = [{"role": "user", "content": "hello"}]
         body = {"model": "stand-in", "messages": messages, "max_tokens": 3}
         async with running_engine() as (standin, client):
             path = "/v1/chat/completions"
             _, content = await post(client, path, body, berylwalk_request_id="r.1.1")
-        answer = decode(content)
-        assert answer["choices"][0]["message"]["content"] == expected_text(body)
+        response = decode(content)
+        assert response["choices"][0]["message"]["content"] == expected_text(body)
         assert standin.seen_by_request_id == {"r.1.1": 1}
 
-    async def test_client_that_leaves_frees_its_place(self):
-        """A running and a waiting sequence end when their clients leave."""
+    async def test_disconnected_client_frees_its_slot(self):
+        """Running and waiting sequences are cancelled when the client disconnects."""
         async with running_engine("--max-batch", "1") as (standin, client):
             call = partial(post, client, "/v1/completions")
             async with create_task_group() as group:
@@ -191,8 +191,8 @@
             assert standin.batching.totals.cancelled == 2
             assert standin.batching.totals.wasted_prefill_tokens == 100
 
-    async def test_broken_stream_has_no_clean_end(self):
-        """A connection that breaks in a stream is seen to be broken."""
+    async def test_aborted_stream_is_a_protocol_error(self):
+        """An aborted stream must not look like a complete response."""
         async with running_engine() as (standin, client):
             await post(client, "/control/faults", {"break_after_tokens": 3})
             with pytest.raises(RemoteProtocolError):
@@ -200,7 +200,7 @@
             await until(lambda: standin.batching.idle)
 
     async def test_hung_engine_resumes(self):
-        """A request that was sent to a hung engine is answered later."""
+        """A request that was sent during a hang is answered after it."""
         body = completion("a")
         contents = []
 
@@ -221,8 +221,8 @@
 class TestOrders:
     """Orders with fencing tokens."""
 
-    async def test_old_fencing_token_is_refused_if_checked(self):
-        """An engine that checks refuses a lower number than it has seen."""
+    async def test_outdated_fencing_token_is_rejected_if_checked(self):
+        """With fencing checks, a token lower than the highest one is rejected."""
         async with running_engine("--check-fencing") as (standin, client):
             order = partial(post, client, "/admin/role")
             statuses = [
@@ -232,8 +232,8 @@
         assert statuses == [200, 409, 200]
         assert standin.orders.role == "both"
 
-    async def test_old_fencing_token_passes_if_not_checked(self):
-        """An engine that does not check carries an old order out."""
+    async def test_outdated_fencing_token_is_accepted_if_not_checked(self):
+        """Without fencing checks, an outdated order is executed."""
         async with running_engine() as (standin, client):
             order = partial(post, client, "/admin/role")
             await order({"role": "prefill"}, fencing_token="7")
@@ -242,7 +242,7 @@
         assert standin.orders.role == "decode"
 
     async def test_adapter_is_served_once_loaded(self):
-        """A request for an adapter is refused before it is loaded."""
+        """Requests for an adapter are rejected until it is loaded."""
         body = {**completion("a"), "model": "tuned"}
         async with running_engine() as (_, client):
             before, _ = await post(client, "/v1/completions", body)
--- a/libs/standins/tests/test_standins_platform.py
+++ b/libs/standins/tests/test_standins_platform.py
@@ -1,4 +1,4 @@
-"""The platform and service stand-ins, by their raw protocols."""
+"""Tests of the platform and service stand-ins over HTTP."""
 
 from base64 import b64encode
 from contextlib import asynccontextmanager
@@ -8,8 +8,8 @@
 from msgspec.json import decode, encode
 
 from berylwalk.standins import serving
-from berylwalk.standins._lagging import LaggingValue
-from berylwalk.standins._statements import Statements, stating
+from berylwalk.standins._delayed_value import DelayedValue
+from berylwalk.standins._target_signals import TargetSignals, with_signals
 from berylwalk.standins.platform import PlatformStandin
 from berylwalk.standins.service import ServiceStandin, build_parser
 
@@ -20,7 +20,7 @@
 
 @asynccontextmanager
 async def running(standin):
-    """Serve a stand-in and yield a client."""
+    """Serve a stand-in; yield an HTTP client."""
     async with (
         serving(standin.handle, HOST, PORT),
         AsyncConnectionPool() as client,
@@ -29,7 +29,7 @@
 
 
 async def call(client, method, path, body=None, **headers):
-    """Make one call; returns the response and its JSON."""
+    """Send a request; return the response and its decoded body."""
     fields = [(name.replace("_", "-"), value) for name, value in headers.items()]
     response = await client.request(
         method, BASE + path, headers=fields, content=encode(body or {})
@@ -38,12 +38,12 @@
 
 
 def base64(text):
-    """Return a text as the store carries it."""
+    """Return a text in Base64."""
     return b64encode(text.encode()).decode()
 
 
 def transaction(revision, text):
-    """Return a write of the key under a condition on its revision."""
+    """Return a transaction that writes ``k`` if it has the given revision."""
     return {
         "expected-rev": [{"key": "k", "revision": revision}],
         "writes": [{"key": "k", "value": base64(text)}],
@@ -52,32 +52,32 @@
 
 
 async def get(client, path):
-    """Make one reading call."""
+    """Send a GET request."""
     return await call(client, "GET", path)
 
 
 @pytest.mark.anyio
 class TestMetadataStore:
-    """The store's calls as the platform publishes them."""
+    """API of the metadata store."""
 
-    async def test_condition_that_fails_shows_the_present_state(self):
-        """Nothing is written, and the caller learns what is there."""
+    async def test_failed_condition_returns_current_entry(self):
+        """Nothing is written, and the response has the current entry."""
         standin = PlatformStandin()
         standin.store.put(b"k", b"a")
         async with running(standin) as client:
             failed, shown = await call(client, "POST", "/kv-txn", transaction(0, "b"))
-            held, answer = await call(client, "POST", "/kv-txn", transaction(2, "b"))
+            held, response = await call(client, "POST", "/kv-txn", transaction(2, "b"))
             _, item = await get(client, "/kv-key?key=k")
         assert failed.status == 412
         assert [(entry["value"], entry["revision"]) for entry in shown["entries"]] == [
             (base64("a"), 2)
         ]
-        assert (held.status, answer) == (200, {"revision": 3})
+        assert (held.status, response) == (200, {"revision": 3})
         assert (item["value"], item["revision"], item["created"]) == (base64("b"), 3, 2)
         assert item["store-revision"] == 3
 
-    async def test_all_conditions_hold_or_nothing_is_written(self):
-        """One condition of several that fails stops all writes."""
+    async def test_transaction_is_atomic(self):
+        """If one of several conditions fails, nothing is written."""
         standin = PlatformStandin()
         body = transaction(0, "b")
         body["expected-rev"].append({"key": "other", "revision": 7})
@@ -88,8 +88,8 @@
         assert {entry["revision"] for entry in shown["entries"]} == {0}
         assert absent.status == 404
 
-    async def test_pages_go_on_after_a_key(self):
-        """A long list comes in pages of 500 items, in order."""
+    async def test_range_is_paginated(self):
+        """A range is returned in pages of 500 entries, sorted by key."""
         standin = PlatformStandin()
         for number in range(501):
             standin.store.put(b"p/%04d" % number, b"x")
@@ -101,25 +101,25 @@
         assert [item["key"] for item in second["entries"]] == ["p/0500"]
         assert second["has-more"] is False
 
-    async def test_watch_tells_writes_and_removals(self):
-        """Events from a revision on; discarded history is told as such."""
+    async def test_watch_returns_writes_and_deletions(self):
+        """Events since a revision are returned; compacted revisions are an error."""
         standin = PlatformStandin()
         standin.store.put(b"k", b"a")
         standin.store.delete(b"k")
         path = "/kv-watch?path-prefix=k&wait-ms=0&after="
         async with running(standin) as client:
-            _, answer = await get(client, path + "1")
+            _, response = await get(client, path + "1")
             _, nothing = await get(client, path + "3")
             standin.store.compact()
             gone, _ = await get(client, path + "1")
         removal = {"key": "k", "revision": 3, "tombstone": True}
-        assert answer["events"][0]["value"] == base64("a")
-        assert answer["events"][1] == removal
+        assert response["events"][0]["value"] == base64("a")
+        assert response["events"][1] == removal
         assert nothing == {"events": [], "store-revision": 3}
         assert gone.status == 410
 
-    async def test_lease_ends_with_its_keys(self):
-        """A key goes with its lease, which then is not known any more."""
+    async def test_end_of_lease_deletes_its_keys(self):
+        """A revoked lease cannot be renewed, and its keys are deleted."""
         async with running(PlatformStandin()) as client:
             _, lease = await call(client, "POST", "/kv-lease", {"ttl-ms": 1})
             body = transaction(0, "a")
@@ -132,8 +132,8 @@
         assert lease["ttl-ms"] == 1000
         assert (kept.status, ended.status, absent.status) == (200, 404, 404)
 
-    async def test_lost_answer_follows_an_applied_write(self):
-        """The connection drops without an answer after the write."""
+    async def test_write_with_lost_response_is_applied(self):
+        """The connection is dropped without a response after the write."""
         standin = PlatformStandin()
         async with running(standin) as client:
             await call(client, "POST", "/control/faults", {"lose_answers": 1})
@@ -150,8 +150,8 @@
 class TestOtherParts:
     """VM list, weight store and plain service."""
 
-    async def test_weight_store_refuses_calls_above_its_rate(self):
-        """The second call in a row is told when to come back."""
+    async def test_weight_store_enforces_rate_limit(self):
+        """A call above the rate limit is rejected with ``Retry-After``."""
         async with running(PlatformStandin(weight_rate=0.01)) as client:
             first = await client.request("GET", BASE + "/weights/m")
             second = await client.request("GET", BASE + "/weights/m")
@@ -159,7 +159,7 @@
         assert int(dict(second.headers)[b"retry-after"]) in range(1, 101)
 
     async def test_vm_list_is_replaced(self):
-        """Control replaces the list that callers read."""
+        """The control API replaces the VM list."""
         vm = {
             "vm_id": "vm-1",
             "address": "127.77.1.9",
@@ -172,57 +172,57 @@
             _, listed = await call(client, "GET", "/v1/vms")
         assert listed == {"vms": [vm]}
 
-    def test_lagging_value_is_read_late(self):
-        """A change shows only after the lag."""
-        value = LaggingValue("old", lag_s=2.0)
+    def test_value_changes_after_delay(self):
+        """A recorded value is not read before the delay has passed."""
+        value = DelayedValue("old", lag_s=2.0)
         value.record(10.0, "new")
         assert value.read(11.9) == "old"
         assert value.read(12.0) == "new"
 
-    async def test_service_counts_each_start(self):
-        """A repeated call is counted by request id and idempotency key."""
+    async def test_service_counts_repeated_calls(self):
+        """Calls are counted by request id and by idempotency key."""
         headers = {"berylwalk_request_id": "r.1.1", "idempotency_key": "k-1"}
         async with running(ServiceStandin()) as client:
             for _ in range(2):
-                _, answer = await call(client, "PUT", "/signs/4", {}, **headers)
+                _, response = await call(client, "PUT", "/signs/4", {}, **headers)
             _, seen = await call(client, "GET", "/control/seen")
-        assert (answer["method"], answer["path"]) == ("PUT", "/signs/4")
-        assert (answer["request_id"], answer["count"]) == ("r.1.1", 2)
+        assert (response["method"], response["path"]) == ("PUT", "/signs/4")
+        assert (response["request_id"], response["count"]) == ("r.1.1", 2)
         assert seen["requests"] == {"r.1.1": 2}
         assert seen["idempotency_keys"] == {"k-1": 2}
 
 
 @pytest.mark.anyio
-class TestStatements:
-    """What the stand-in of a target says that it takes."""
+class TestTargetSignals:
+    """Flow control headers of a target."""
 
-    async def test_limit_and_leaving_are_in_each_answer(self):
-        """Until it says something else."""
-        statements = Statements(limit_per_s=2.5, is_leaving=True)
-        handle = stating(ServiceStandin().handle, statements)
+    async def test_limit_and_leaving_are_in_each_response(self):
+        """A change of the signals applies to the next response."""
+        signals = TargetSignals(limit_per_s=2.5, is_leaving=True)
+        handle = with_signals(ServiceStandin().handle, signals)
         async with serving(handle, HOST, PORT), AsyncConnectionPool() as client:
             first, _ = await call(client, "PUT", "/signs/4")
-            statements.limit_per_s = None
+            signals.limit_per_s = None
             second, _ = await call(client, "PUT", "/signs/4")
         assert dict(first.headers)[b"server-limit"] == b"2.5"
         assert dict(first.headers)[b"server-leaving"] == b"1"
         assert b"server-limit" not in dict(second.headers)
 
-    async def test_rest_is_asked_for_and_nothing_runs(self):
-        """It says so, and for how long."""
+    async def test_backoff_rejects_requests(self):
+        """Requests are rejected as not executed, and do not reach the service."""
         service = ServiceStandin()
-        handle = stating(service.handle, Statements(rest_s=3.0))
+        handle = with_signals(service.handle, TargetSignals(backoff_s=3.0))
         async with serving(handle, HOST, PORT), AsyncConnectionPool() as client:
-            answer, _ = await call(client, "PUT", "/signs/4")
-        headers = dict(answer.headers)
-        assert (answer.status, headers[b"retry-after"]) == (503, b"3")
+            response, _ = await call(client, "PUT", "/signs/4")
+        headers = dict(response.headers)
+        assert (response.status, headers[b"retry-after"]) == (503, b"3")
         assert headers[b"not-executed"] == b"1"
         assert service.count == 0
 
     def test_options(self):
-        """Those of the command line; nothing is stated without."""
-        plain = Statements.from_args(build_parser().parse_args([]))
+        """Signals are set by options; by default there are none."""
+        plain = TargetSignals.from_args(build_parser().parse_args([]))
         words = ["--limit-per-s", "1.3", "--leaving", "--rest-s", "3"]
-        stated = Statements.from_args(build_parser().parse_args(words))
-        assert plain == Statements()
-        assert stated == Statements(1.3, True, 3.0)
+        stated = TargetSignals.from_args(build_parser().parse_args(words))
+        assert plain == TargetSignals()
+        assert stated == TargetSignals(1.3, True, 3.0)
