--- a/libs/localfleet/src/berylwalk/localfleet/__init__.py
+++ b/libs/localfleet/src/berylwalk/localfleet/__init__.py
@@ -1,4 +1,4 @@
-"""A whole fleet as local processes, for the demo, tests and benchmarks."""
+"""Local fleet of processes for the demo, tests and benchmarks."""
 
 from berylwalk.localfleet._addresses import Subnet
 from berylwalk.localfleet._checked_calls import (
@@ -7,7 +7,6 @@
     CheckedAnswer,
     CheckedCaller,
 )
-from berylwalk.localfleet._files import ADMIN_TOKEN, FLEET_KEY
 from berylwalk.localfleet._fleet import (
     PLATFORM,
     FleetStartError,
@@ -17,6 +16,7 @@
 )
 from berylwalk.localfleet._processes import FleetProcess
 from berylwalk.localfleet._requests import admin_request, post_json
+from berylwalk.localfleet._settings_files import ADMIN_TOKEN, FLEET_KEY
 from berylwalk.localfleet._spec import (
     EngineSpec,
     FleetSpec,
--- a/libs/localfleet/src/berylwalk/localfleet/_addresses.py
+++ b/libs/localfleet/src/berylwalk/localfleet/_addresses.py
@@ -1,4 +1,4 @@
-"""Loopback addresses: one VM, one IP number, the standard ports."""
+"""Loopback addresses of a local fleet; each VM has its own, with the default ports."""
 
 import os
 from dataclasses import dataclass
@@ -12,12 +12,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Subnet:
-    """A block of 127.a.b.0/24 for one fleet.
+    """A /24 network of loopback addresses for one fleet.
 
     Parameters
     ----------
     second, third : int
-        Second and third number of the addresses.
+        Second and third octet of the addresses.
     """
 
     second: int
@@ -25,23 +25,23 @@
 
     @classmethod
     def for_process(cls, offset: int = 0) -> "Subnet":
-        """Return a block that differs between processes of this machine."""
+        """Return a network derived from the process id, to avoid collisions."""
         number = os.getpid() + offset * 7919
         return cls(second=100 + number // 250 % 100, third=1 + number % 250)
 
     def address(self, host: int) -> str:
-        """Return the address with the given last number."""
+        """Return the address with the given last octet."""
         return f"127.{self.second}.{self.third}.{host}"
 
     @property
     def platform(self) -> str:
-        """Address of the stand-in platform."""
+        """Address of the platform stand-in."""
         return self.address(1)
 
     def router(self, index: int) -> str:
-        """Address of a router."""
+        """Return the address of a router."""
         return self.address(10 + index)
 
     def target(self, index: int) -> str:
-        """Address of a target and its agent."""
+        """Return the address of a target and its agent."""
         return self.address(100 + index)
--- a/libs/localfleet/src/berylwalk/localfleet/_answer_reading.py
+++ b/libs/localfleet/src/berylwalk/localfleet/_chat_responses.py
@@ -1,4 +1,4 @@
-"""The text of a chat answer, whole or as a stream of events."""
+"""Parsing of chat responses in JSON and as streams of events."""
 
 from collections.abc import Iterator
 from dataclasses import dataclass
@@ -10,13 +10,13 @@
 DONE = b"[DONE]"
 
 
-class _Piece(msgspec.Struct):
+class _Message(msgspec.Struct):
     content: str = ""
 
 
 class _Choice(msgspec.Struct):
-    message: _Piece = msgspec.field(default_factory=_Piece)
-    delta: _Piece = msgspec.field(default_factory=_Piece)
+    message: _Message = msgspec.field(default_factory=_Message)
+    delta: _Message = msgspec.field(default_factory=_Message)
 
 
 class _Error(msgspec.Struct):
@@ -32,17 +32,17 @@
 
 
 @dataclass(frozen=True, slots=True)
-class AnswerText:
-    """What an answer holds.
+class ChatText:
+    """Content of a chat response.
 
     Parameters
     ----------
     text : str
-        Text of the answer, or the part of it that arrived.
+        Text that was received.
     done : bool
-        Whether the answer says that it is whole.
+        Whether the response was received up to its end marker.
     error_code : str
-        ``error.code`` when an error is told, or empty.
+        ``error.code`` of an error event, or empty.
     """
 
     text: str = ""
@@ -51,7 +51,7 @@
 
 
 def error_code(body: bytes) -> str:
-    """Return ``error.code`` of an error answer, or an empty text."""
+    """Return ``error.code`` of an error response, or an empty string."""
     try:
         error = _decode(body).error
     except msgspec.MsgspecError:
@@ -59,24 +59,24 @@
     return error.code if error else ""
 
 
-def read_answer(body: bytes, *, stream: bool) -> AnswerText:
-    """Read the body of a 200 answer; a cut one counts as not done."""
-    return _read_events(body) if stream else _read_whole(body)
+def parse_chat_response(body: bytes, *, stream: bool) -> ChatText:
+    """Parse the body of a response with status 200; it may be truncated."""
+    return _parse_events(body) if stream else _parse_json(body)
 
 
-def _read_whole(body: bytes) -> AnswerText:
+def _parse_json(body: bytes) -> ChatText:
     try:
         document = _decode(body)
     except msgspec.MsgspecError:
-        return AnswerText()
-    return AnswerText(_text(document), done=True)
+        return ChatText()
+    return ChatText(_text(document), done=True)
 
 
-def _read_events(body: bytes) -> AnswerText:
+def _parse_events(body: bytes) -> ChatText:
     text = ""
     done = False
     code = ""
-    for data in _data_of_events(body):
+    for data in _event_data(body):
         if data == DONE:
             done = True
             continue
@@ -84,11 +84,11 @@
         text += _text(document)
         if document.error is not None:
             code = document.error.code
-    return AnswerText(text, done, code)
+    return ChatText(text, done, code)
 
 
-def _data_of_events(body: bytes) -> Iterator[bytes]:
-    # What follows the last event end is an event that was cut.
+def _event_data(body: bytes) -> Iterator[bytes]:
+    # Text after the last separator is a truncated event.
     for event in body.split(EVENT_END)[:-1]:
         for line in event.split(b"\n"):
             if line.startswith(DATA_PREFIX):
--- a/libs/localfleet/src/berylwalk/localfleet/_checked_calls.py
+++ b/libs/localfleet/src/berylwalk/localfleet/_checked_calls.py
@@ -1,4 +1,4 @@
-"""Calls whose answers are compared, byte for byte, with the expected ones."""
+"""Calls whose responses are compared with the expected ones."""
 
 from collections.abc import Mapping
 from concurrent.futures import Future, ThreadPoolExecutor
@@ -8,10 +8,10 @@
 import httpcore
 import msgspec
 
-from berylwalk.localfleet._answer_reading import (
-    AnswerText,
+from berylwalk.localfleet._chat_responses import (
+    ChatText,
     error_code,
-    read_answer,
+    parse_chat_response,
 )
 from berylwalk.standins import expected_text
 
@@ -23,28 +23,28 @@
 
 
 class AnswerEnd(StrEnum):
-    """How a call ended, as its caller could see it."""
+    """Result of a call from the point of view of the caller."""
 
     WHOLE = "whole"
-    """The caller's own answer, whole, with a clean end."""
+    """The complete expected response."""
 
     NOT_RUN = "not-run"
-    """The system said that the request did not run."""
+    """The response states that the request was not executed."""
 
     UNKNOWN = "unknown"
-    """The system said that the result could not be learned."""
+    """The response states that the outcome is unknown."""
 
     BROKEN = "broken"
-    """A correct part of the answer and a visible break."""
+    """A prefix of the expected response, and a connection error."""
 
     INVALID = "invalid"
-    """The system rejected the request."""
+    """The request was rejected as invalid."""
 
     NO_CONNECTION = "no-connection"
-    """The connection failed before any answer."""
+    """The connection failed before the response began."""
 
     WRONG = "wrong"
-    """A clean end without the caller's own whole answer, or foreign bytes."""
+    """Any other response: incomplete without an error, or with unexpected content."""
 
 
 _END_BY_OUTCOME = {
@@ -58,7 +58,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class ChatCall:
-    """One chat completion.
+    """A chat completion request.
 
     Parameters
     ----------
@@ -67,13 +67,14 @@
     service : str
         Service node under the client account, or empty.
     text : str
-        Content of the one message; choose a different one for each call.
+        Content of the message; it should differ between calls, so that mixed-up
+        responses are detected.
     max_tokens : int
-        Length of the answer.
+        Number of tokens of the response.
     stream : bool
-        Whether to ask for a stream of events.
+        Whether to request a stream of events.
     headers : mapping of str to str
-        Further headers.
+        Additional headers.
     """
 
     token: str
@@ -84,7 +85,7 @@
     headers: Mapping[str, str] = field(default_factory=dict)
 
     def body(self) -> dict[str, object]:
-        """Return the body before encoding."""
+        """Return the body as an object for JSON encoding."""
         return {
             "model": DEFAULT_MODEL,
             "messages": [{"role": "user", "content": self.text}],
@@ -95,22 +96,22 @@
 
 @dataclass(frozen=True, slots=True)
 class CheckedAnswer:
-    """What a caller received.
+    """A response and the result of its check.
 
     Parameters
     ----------
     end : AnswerEnd
-        Verdict on it.
+        Result of the call.
     status : int
-        HTTP status, or 0 without one.
+        HTTP status, or 0 if no response was received.
     request_id : str
-        Identifier that the system gave the request, or empty.
+        Id that the router assigned to the request, or empty.
     code : str
-        ``error.code`` of an error answer or error event, or empty.
+        ``error.code`` of an error response or error event, or empty.
     headers : dict of str to str
-        By lower-case name.
+        Response headers by lower-case name.
     body : bytes
-        As received.
+        Received part of the body.
     """
 
     end: AnswerEnd
@@ -122,17 +123,17 @@
 
     @property
     def retry_after(self) -> str:
-        """Value of ``Retry-After``, or empty."""
+        """Value of ``Retry-After``, or an empty string."""
         return self.headers.get("retry-after", "")
 
 
 class CheckedCaller:
-    """Sends calls, many at once, and judges their answers.
+    """Client that sends concurrent calls and checks their responses.
 
     Parameters
     ----------
     max_calls : int
-        Calls under way at once; each has a thread.
+        Maximum number of concurrent calls; each uses a thread.
     """
 
     def __init__(self, *, max_calls: int = MAX_CALLS) -> None:
@@ -140,11 +141,11 @@
         self._timeout = dict.fromkeys(("connect", "read", "write", "pool"), TIMEOUT_S)
 
     def close(self) -> None:
-        """Wait for all calls."""
+        """Wait for all calls to end."""
         self._threads.shutdown()
 
     def start_chat(self, url: str, call: ChatCall) -> "Future[CheckedAnswer]":
-        """Send a chat completion to a router's caller API."""
+        """Send a chat completion request to the caller API of a router."""
         return self._threads.submit(self._chat, url, call)
 
     def start_request(
@@ -156,7 +157,7 @@
         content: bytes = b"",
         headers: Mapping[str, str] | None = None,
     ) -> "Future[CheckedAnswer]":
-        """Send any request; its body is not compared with anything."""
+        """Send a request without checking the body of its response."""
         fields = {"Authorization": f"Bearer {token}"} | dict(headers or {})
         return self._threads.submit(self._request, method, url, content, fields)
 
@@ -174,8 +175,8 @@
         )
         if answer.status != OK:
             return answer
-        text = read_answer(answer.body, stream=call.stream)
-        end = _chat_end(answer.end, text, expected_text(body))
+        text = parse_chat_response(answer.body, stream=call.stream)
+        end = _classify_chat_end(answer.end, text, expected_text(body))
         return replace(answer, end=end, code=text.error_code)
 
     def _request(
@@ -200,7 +201,7 @@
         except (httpcore.NetworkError, httpcore.RemoteProtocolError):
             clean = False
         return CheckedAnswer(
-            end=_end(status, fields, clean=clean),
+            end=_classify_end(status, fields, clean=clean),
             status=status,
             request_id=fields.get("berylwalk-request-id", ""),
             code=error_code(bytes(received)) if status != OK else "",
@@ -216,7 +217,7 @@
     }
 
 
-def _end(status: int, headers: Mapping[str, str], *, clean: bool) -> AnswerEnd:
+def _classify_end(status: int, headers: Mapping[str, str], *, clean: bool) -> AnswerEnd:
     if not status:
         return AnswerEnd.NO_CONNECTION
     if not clean:
@@ -225,11 +226,11 @@
     return _END_BY_OUTCOME.get(outcome, AnswerEnd.WRONG)
 
 
-def _chat_end(end: AnswerEnd, text: AnswerText, expected: str) -> AnswerEnd:
+def _classify_chat_end(end: AnswerEnd, text: ChatText, expected: str) -> AnswerEnd:
     if end is AnswerEnd.WHOLE:
-        whole = text.done and not text.error_code and text.text == expected
-        return AnswerEnd.WHOLE if whole else AnswerEnd.WRONG
-    # A break must show, and what arrived before it must be the caller's own.
+        complete = text.done and not text.error_code and text.text == expected
+        return AnswerEnd.WHOLE if complete else AnswerEnd.WRONG
+    # A broken response must not look complete, and must begin as expected.
     if end is AnswerEnd.BROKEN and not text.done and expected.startswith(text.text):
         return AnswerEnd.BROKEN
     return AnswerEnd.WRONG
--- a/libs/localfleet/src/berylwalk/localfleet/_demo_calls.py
+++ b/libs/localfleet/src/berylwalk/localfleet/_demo_calls.py
@@ -1,4 +1,4 @@
-"""The calls of the demo and how they are measured."""
+"""Calls of the demo."""
 
 import os
 import time
@@ -13,18 +13,18 @@
 
 @dataclass(frozen=True, slots=True)
 class Call:
-    """One kind of call of the demo.
+    """A call of the demo.
 
     Parameters
     ----------
     client_account, service : str
-        Whose call it is.
+        Client account and service node of the call.
     method, path : str
-        Of the caller API.
+        HTTP method, and path of the caller API.
     body : bytes
-        JSON, or empty.
+        JSON body, or empty.
     stream : bool
-        Whether the answer is a server-sent event stream.
+        Whether the response is a stream of server-sent events.
     """
 
     client_account: str
@@ -37,24 +37,24 @@
 
 @dataclass(frozen=True, slots=True)
 class CallResult:
-    """What came back for one call.
+    """Result of a call.
 
     Parameters
     ----------
     router : str
-        URL of the router.
+        Host and port of the router.
     service : str
         Name of the service node.
     status : int
         HTTP status.
     outcome, agent : str
-        As the answer's headers tell them.
+        Outcome, and name of the agent, from the response headers.
     first_byte_ms, whole_ms : float
-        Time to the first byte of the body and to its end, in milliseconds.
+        Time to the first byte and to the end of the body, in milliseconds.
     complete : bool
-        Whether the whole answer came.
+        Whether the response is complete.
     trace_id : str
-        Trace of the call.
+        Trace id of the call.
     """
 
     router: str
@@ -68,7 +68,7 @@
     trace_id: str
 
     def line(self) -> str:
-        """Return a line for the terminal."""
+        """Return a line of text for the terminal."""
         return (
             f"{self.service:<18} via {self.router:<28} at {self.agent or '-':<10} "
             f"{self.status} {self.outcome:<9} first {self.first_byte_ms:7.1f} ms  "
@@ -120,7 +120,7 @@
 async def run_call(
     pool: httpcore.AsyncConnectionPool, url: str, call: Call, token: str
 ) -> CallResult:
-    """Send a call through a router and measure the answer."""
+    """Send a call to a router and measure the response times."""
     trace_id = os.urandom(16).hex()
     headers = {
         "Authorization": f"Bearer {token}",
@@ -143,7 +143,7 @@
             first = first or time.perf_counter()
             body += chunk
     ended = time.perf_counter()
-    whole = response.status == 200 and (not call.stream or STREAM_END in body[-32:])
+    complete = response.status == 200 and (not call.stream or STREAM_END in body[-32:])
     received = {name.lower(): value.decode() for name, value in response.headers}
     return CallResult(
         router=url.removeprefix("http://"),
@@ -153,6 +153,6 @@
         agent=received.get(b"berylwalk-agent", ""),
         first_byte_ms=1000 * ((first or ended) - started),
         whole_ms=1000 * (ended - started),
-        complete=whole,
+        complete=complete,
         trace_id=trace_id,
     )
--- a/libs/localfleet/src/berylwalk/localfleet/_demo_traces.py
+++ b/libs/localfleet/src/berylwalk/localfleet/_demo_traces.py
@@ -1,4 +1,4 @@
-"""Hops of traces, read from the span files of a local fleet."""
+"""Reader of the span files of a local fleet."""
 
 from datetime import datetime
 from pathlib import Path
@@ -19,7 +19,7 @@
 
 
 class Span(msgspec.Struct):
-    """The part of a span line that the demo prints."""
+    """Fields of a span that the demo prints."""
 
     name: str
     context: SpanContext
@@ -29,14 +29,14 @@
 
     @property
     def hop(self) -> str:
-        """Name, node and duration of the hop."""
+        """Name, node and duration of the span as text."""
         node = self.resource.attributes["service.instance.id"]
         duration_ms = 1000 * (self.end_time - self.start_time).total_seconds()
         return f"{self.name}@{node} {duration_ms:.1f} ms"
 
 
 def hops_by_trace(directory: Path) -> dict[str, list[str]]:
-    """Return the hops of each trace in the order in which they started."""
+    """Return the hops of each trace by trace id, in order of their start."""
     decoder = msgspec.json.Decoder(Span)
     spans_by_trace: dict[str, list[Span]] = {}
     for path in sorted(directory.glob("*.spans.jsonl")):
--- a/libs/localfleet/src/berylwalk/localfleet/_fleet.py
+++ b/libs/localfleet/src/berylwalk/localfleet/_fleet.py
@@ -1,4 +1,4 @@
-"""Start and stop of a whole local fleet."""
+"""Start and stop of a local fleet."""
 
 import tempfile
 import time
@@ -15,12 +15,12 @@
     TARGET_PORT,
     Subnet,
 )
-from berylwalk.localfleet._files import (
+from berylwalk.localfleet._processes import FleetProcess
+from berylwalk.localfleet._requests import admin_request
+from berylwalk.localfleet._settings_files import (
     write_agent_file,
     write_router_file,
 )
-from berylwalk.localfleet._processes import FleetProcess
-from berylwalk.localfleet._requests import admin_request
 from berylwalk.localfleet._spec import FleetSpec, TargetSpec
 from berylwalk.localfleet._target_arguments import target_arguments
 
@@ -33,24 +33,24 @@
     httpcore.TimeoutException,
     httpcore.RemoteProtocolError,
 )
-"""What a request meets while a process is starting."""
+"""Errors of requests to a process that is starting."""
 
 
 class FleetStartError(RuntimeError):
-    """A process of the fleet did not become ready in time."""
+    """A process of the fleet failed to start."""
 
 
 class LocalFleet:
-    """A platform stand-in, target stand-ins, agents and routers as processes.
+    """Processes of a platform stand-in, target stand-ins, agents and routers.
 
     Parameters
     ----------
     spec : FleetSpec
-        What to start.
+        Nodes and settings of the fleet.
     subnet : Subnet
         Loopback addresses to use.
     directory : Path
-        Where settings files and output go.
+        Directory of settings files and process output.
     traces : bool
         Whether each node writes its spans to a file.
     """
@@ -68,18 +68,18 @@
     def from_spec(
         cls, spec: FleetSpec, *, subnet_offset: int = 0, traces: bool = False
     ) -> Self:
-        """Create a fleet with fresh addresses and a temporary directory."""
+        """Create a fleet with its own addresses and a temporary directory."""
         directory = Path(tempfile.mkdtemp(prefix="berylwalk-"))
         return cls(spec, Subnet.for_process(subnet_offset), directory, traces=traces)
 
     def start(self) -> None:
-        """Start every process, import the settings tree, wait until ready.
+        """Start all processes, import the settings tree, and wait until all are ready.
 
         Raises
         ------
         FleetStartError
-            If a process ended or wasn't ready in time; the message holds the
-            end of its output.
+            If a process exits or is not ready in time, with the end of its output; or
+            if the settings are rejected.
         """
         self._start_platform()
         for target in self.spec.targets:
@@ -87,12 +87,12 @@
             self.start_agent(target)
         for router in self.spec.routers:
             self.start_router(router.vm_id)
-        self._wait_settings()
+        self._wait_for_settings()
         self._import_tree()
         self.wait_ready()
 
     def close(self) -> dict[str, int]:
-        """Stop every process, callers' side first, and return the exit codes."""
+        """Stop all processes, routers first, and return the exit codes by name."""
         order = self.daemon_names()
         order += [target_name(target.vm_id) for target in self.spec.targets]
         order.append(PLATFORM)
@@ -109,17 +109,17 @@
         return names
 
     def wait_ready(self) -> None:
-        """Wait until each router and agent says that it is ready."""
+        """Wait until all routers and agents report that they are ready."""
         for index, router in enumerate(self.spec.routers):
             address = self.subnet.router(index)
-            self._wait(f"http://{address}:{OPS_PORT}/readyz", router.vm_id)
+            self._wait_for_url(f"http://{address}:{OPS_PORT}/readyz", router.vm_id)
         for index, target in enumerate(self.spec.targets):
             address = self.subnet.target(index)
             url = f"http://{address}:{OPS_PORT}/readyz"
-            self._wait(url, agent_name(target.vm_id))
+            self._wait_for_url(url, agent_name(target.vm_id))
 
     def start_router(self, vm_id: str) -> None:
-        """Start a router, or start it again after it ended."""
+        """Start a router, or restart it after it exited."""
         if vm_id in self.processes_by_name:
             self.processes_by_name[vm_id].start()
             return
@@ -131,7 +131,7 @@
         self._start(vm_id, arguments)
 
     def start_agent(self, target: TargetSpec) -> None:
-        """Start the agent of a target, or start it again after it ended."""
+        """Start the agent of a target, or restart it after it exited."""
         name = agent_name(target.vm_id)
         if name in self.processes_by_name:
             self.processes_by_name[name].start()
@@ -143,7 +143,7 @@
         self._start(name, arguments)
 
     def start_target(self, target: TargetSpec) -> None:
-        """Start a stand-in target, or start it again after it ended."""
+        """Start a target stand-in, or restart it after it exited."""
         name = target_name(target.vm_id)
         if name in self.processes_by_name:
             self.processes_by_name[name].start()
@@ -152,16 +152,16 @@
         self._start(name, target_arguments(target, address))
 
     def caller_urls(self) -> tuple[str, ...]:
-        """Return the caller API's URL of each router."""
+        """Return the URL of the caller API of each router."""
         addresses = (self.subnet.router(i) for i in range(len(self.spec.routers)))
         return tuple(f"http://{address}:{CALLER_PORT}" for address in addresses)
 
     def platform_url(self) -> str:
-        """Return the URL of the stand-in platform."""
+        """Return the URL of the platform stand-in."""
         return f"http://{self.subnet.platform}:{PLATFORM_PORT}"
 
     def target_url(self, vm_id: str) -> str:
-        """Return the URL of a stand-in target."""
+        """Return the URL of a target stand-in."""
         ids = [target.vm_id for target in self.spec.targets]
         return f"http://{self.subnet.target(ids.index(vm_id))}:{TARGET_PORT}"
 
@@ -188,12 +188,12 @@
         for vm in vms:
             arguments += ["--vm", vm]
         self._start(PLATFORM, tuple(arguments))
-        self._wait(self.platform_url() + "/v1/vms", PLATFORM)
+        self._wait_for_url(self.platform_url() + "/v1/vms", PLATFORM)
 
-    def _wait_settings(self) -> None:
-        # The admin API listens before the router has read the settings.
+    def _wait_for_settings(self) -> None:
+        # The administration API listens before the router has loaded the settings.
         url = self._admin_url(0) + "/admin/v1/settings/export"
-        self._wait(url, self.spec.routers[0].vm_id)
+        self._wait_for_url(url, self.spec.routers[0].vm_id)
 
     def _import_tree(self) -> None:
         response = admin_request(
@@ -204,12 +204,12 @@
         )
         if response.status != 200:
             text = response.content.decode(errors="replace")
-            raise FleetStartError(f"settings import: {response.status} {text}")
+            raise FleetStartError(f"settings import failed: {response.status} {text}")
 
-    def _wait(self, url: str, name: str) -> None:
+    def _wait_for_url(self, url: str, name: str) -> None:
         process = self.processes_by_name[name]
-        end = time.monotonic() + START_TIMEOUT_S
-        while time.monotonic() < end:
+        deadline = time.monotonic() + START_TIMEOUT_S
+        while time.monotonic() < deadline:
             if process.returncode is not None:
                 break
             try:
@@ -223,10 +223,10 @@
 
 
 def agent_name(vm_id: str) -> str:
-    """Return the process name of a target VM's agent."""
+    """Return the process name of the agent on a VM."""
     return f"{vm_id}-agent"
 
 
 def target_name(vm_id: str) -> str:
-    """Return the process name of a target VM's stand-in target."""
+    """Return the process name of the target stand-in on a VM."""
     return f"{vm_id}-target"
--- a/libs/localfleet/src/berylwalk/localfleet/_processes.py
+++ b/libs/localfleet/src/berylwalk/localfleet/_processes.py
@@ -1,4 +1,4 @@
-"""One process of a local fleet."""
+"""Processes of a local fleet."""
 
 import signal
 import subprocess
@@ -10,16 +10,16 @@
 
 
 class FleetProcess:
-    """A started process whose output goes to a file.
+    """A Python process whose output is appended to a file.
 
     Parameters
     ----------
     name : str
-        Name of the process, also of its output file.
+        Name of the process.
     arguments : tuple of str
         Arguments of the Python interpreter.
     output : Path
-        File for standard output and error.
+        File for standard output and standard error.
     """
 
     def __init__(self, name: str, arguments: tuple[str, ...], output: Path) -> None:
@@ -36,55 +36,55 @@
         return process
 
     def start(self) -> None:
-        """Start the process, or start it again after it ended."""
+        """Start the process, or restart it after it exited."""
         with self.output.open("ab") as file:
             self._process = subprocess.Popen(
                 [sys.executable, *self._arguments],
                 stdin=subprocess.DEVNULL,
                 stdout=file,
                 stderr=subprocess.STDOUT,
-                # The terminal's Ctrl-C is for the launcher, which then ends
-                # its processes in order.
+                # Ctrl-C in the terminal must reach only the parent, which stops the
+                # processes in order.
                 start_new_session=True,
             )
 
     @property
     def pid(self) -> int:
-        """Process identifier of the last start."""
+        """Process id of the last start."""
         return self._process.pid
 
     @property
     def returncode(self) -> int | None:
-        """Exit code, or None while it runs."""
+        """Exit code, or None while the process runs."""
         return self._process.poll()
 
     def terminate(self) -> None:
-        """Ask the process to end gracefully."""
+        """Send SIGTERM."""
         self._signal(signal.SIGTERM)
 
     def kill(self) -> None:
-        """End the process at once and collect it."""
+        """Send SIGKILL and wait for the exit."""
         self._signal(signal.SIGKILL)
         self._process.wait()
 
     def freeze(self) -> None:
-        """Stop the process until `thaw`."""
+        """Suspend the process with SIGSTOP."""
         self._signal(signal.SIGSTOP)
 
     def thaw(self) -> None:
-        """Let a frozen process go on."""
+        """Resume the process with SIGCONT."""
         self._signal(signal.SIGCONT)
 
     def close(self) -> int:
-        """End the process, gracefully at first, and return its exit code."""
+        """Terminate the process and return its exit code."""
         self.thaw()
         self.terminate()
         return self.wait_for_exit()
 
     def wait_for_exit(self) -> int:
-        """Wait for the end after `terminate`; return the exit code.
+        """Wait for the exit after `terminate`; return the exit code.
 
-        A process that has not ended within `STOP_TIMEOUT_S` is killed.
+        A process that does not exit within `STOP_TIMEOUT_S` is killed.
         """
         try:
             return self._process.wait(STOP_TIMEOUT_S)
--- a/libs/localfleet/src/berylwalk/localfleet/_requests.py
+++ b/libs/localfleet/src/berylwalk/localfleet/_requests.py
@@ -1,9 +1,9 @@
-"""Single requests to the processes of a local fleet."""
+"""HTTP requests to the processes of a local fleet."""
 
 import httpcore
 import msgspec
 
-from berylwalk.localfleet._files import ADMIN_TOKEN
+from berylwalk.localfleet._settings_files import ADMIN_TOKEN
 
 
 def admin_request(
@@ -12,7 +12,7 @@
     content: bytes = b"",
     headers: dict[str, str] | None = None,
 ) -> httpcore.Response:
-    """Send one request with the operators' credential of a local fleet."""
+    """Send a request with the administration token of a local fleet."""
     headers = {"Authorization": f"Bearer {ADMIN_TOKEN}"} | (headers or {})
     timeout = {"connect": 2.0, "read": 10.0, "write": 2.0, "pool": 2.0}
     return httpcore.request(
@@ -25,5 +25,5 @@
 
 
 def post_json(url: str, value: object) -> httpcore.Response:
-    """Send a value as JSON, for the stand-ins' controls."""
+    """Send a value as JSON, for example to the control API of a stand-in."""
     return admin_request("POST", url, msgspec.json.encode(value))
--- a/libs/localfleet/src/berylwalk/localfleet/_files.py
+++ b/libs/localfleet/src/berylwalk/localfleet/_settings_files.py
@@ -1,4 +1,4 @@
-"""Settings files of the nodes of a local fleet."""
+"""Settings files of the routers and agents of a local fleet."""
 
 from configparser import ConfigParser
 from hashlib import sha256
@@ -19,7 +19,7 @@
 Sections = dict[str, dict[str, str]]
 
 
-def _common(
+def _common_sections(
     spec: FleetSpec, subnet: Subnet, vm_id: str, address: str, domain: str
 ) -> Sections:
     peers = ", ".join(subnet.router(index) for index in range(len(spec.routers)))
@@ -42,7 +42,7 @@
     }
 
 
-def _write(sections: Sections, overrides: Sections, path: Path) -> Path:
+def _write_sections(sections: Sections, overrides: Sections, path: Path) -> Path:
     for section, keys in overrides.items():
         if section in sections:
             sections[section] |= keys
@@ -53,7 +53,7 @@
     return path
 
 
-def _with_traces(sections: Sections, directory: Path, vm_id: str) -> None:
+def _enable_traces(sections: Sections, directory: Path, vm_id: str) -> None:
     sections["telemetry"] |= {
         "trace_exporter": "file",
         "trace_path": str(directory / f"{vm_id}.spans.jsonl"),
@@ -70,15 +70,17 @@
 ) -> Path:
     """Write the settings file of a router and return its path."""
     address = subnet.router(spec.routers.index(router))
-    sections = _common(spec, subnet, router.vm_id, address, router.failure_domain)
+    sections = _common_sections(
+        spec, subnet, router.vm_id, address, router.failure_domain
+    )
     sections["admin"] = {
         "credential_sha256": sha256(ADMIN_TOKEN.encode()).hexdigest(),
     }
     sections["routing"] = {}
     sections["caller"] = {}
     if traces:
-        _with_traces(sections, directory, router.vm_id)
-    return _write(sections, spec.overrides, directory / f"{router.vm_id}.ini")
+        _enable_traces(sections, directory, router.vm_id)
+    return _write_sections(sections, spec.overrides, directory / f"{router.vm_id}.ini")
 
 
 def write_agent_file(
@@ -91,7 +93,9 @@
 ) -> Path:
     """Write the settings file of an agent and return its path."""
     address = subnet.target(spec.targets.index(target))
-    sections = _common(spec, subnet, target.vm_id, address, target.failure_domain)
+    sections = _common_sections(
+        spec, subnet, target.vm_id, address, target.failure_domain
+    )
     sections["target"] = {"url": f"http://{address}:{TARGET_PORT}"}
     sections["admission"] = {}
     if isinstance(target, EngineSpec):
@@ -101,5 +105,5 @@
     else:
         sections["target"]["services"] = ", ".join(target.services)
     if traces:
-        _with_traces(sections, directory, target.vm_id)
-    return _write(sections, spec.overrides, directory / f"{target.vm_id}.ini")
+        _enable_traces(sections, directory, target.vm_id)
+    return _write_sections(sections, spec.overrides, directory / f"{target.vm_id}.ini")
--- a/libs/localfleet/src/berylwalk/localfleet/_spec.py
+++ b/libs/localfleet/src/berylwalk/localfleet/_spec.py
@@ -1,18 +1,18 @@
-"""What a local fleet consists of."""
+"""Specification of a local fleet."""
 
 from dataclasses import dataclass, field
 
 
 @dataclass(frozen=True, slots=True)
 class RouterSpec:
-    """One router on its entry VM.
+    """A VM with a router.
 
     Parameters
     ----------
     vm_id : str
         Name of the VM and of the router.
     failure_domain : str
-        Where the VM is.
+        Failure domain of the VM.
     """
 
     vm_id: str
@@ -21,22 +21,22 @@
 
 @dataclass(frozen=True, slots=True)
 class EngineSpec:
-    """One target VM with a stand-in model engine and its agent.
+    """A VM with an engine stand-in and its agent.
 
     Parameters
     ----------
     vm_id, failure_domain : str
-        As for routers.
+        Name and failure domain of the VM.
     models : tuple of str
         Models that the engine serves.
     step_ms : float
-        Time of one engine step with an empty batch, in milliseconds.
+        Duration of an engine step with an empty batch, in milliseconds.
     batch_slope : float
-        Growth of a step's time per running request, as a ratio.
+        Increase of the step duration per running request, as a ratio.
     prefill_tokens_per_s : float
         Prefill rate.
     max_batch : int
-        Requests that the engine runs at once; more wait inside it.
+        Maximum number of running requests; the engine queues further ones.
     cache_blocks : int
         Capacity of the prefix cache, in blocks.
     """
@@ -53,16 +53,16 @@
 
 @dataclass(frozen=True, slots=True)
 class ServiceSpec:
-    """One target VM with a stand-in plain service and its agent.
+    """A VM with a service stand-in and its agent.
 
     Parameters
     ----------
     vm_id, failure_domain : str
-        As for routers.
+        Name and failure domain of the VM.
     services : tuple of str
         Services that the target serves.
     delay_ms : float
-        Time of one answer, in milliseconds.
+        Duration of a call, in milliseconds.
     """
 
     vm_id: str
@@ -76,7 +76,7 @@
 
 @dataclass(frozen=True, slots=True)
 class FleetSpec:
-    """A whole local fleet.
+    """A local fleet.
 
     Parameters
     ----------
@@ -85,10 +85,10 @@
     targets : tuple of EngineSpec or ServiceSpec
         At least one.
     settings_tree : str
-        The operators' settings tree as INI text, imported at start.
+        Settings tree as INI text, imported at start.
     overrides : dict of str to dict of str to str
-        Settings file keys to replace in every node's file, by section; a
-        section that a role doesn't have is left out for it.
+        Keys to set in the settings files of all nodes, by section. Sections that a
+        file does not have are ignored.
     """
 
     routers: tuple[RouterSpec, ...]
--- a/libs/localfleet/src/berylwalk/localfleet/_target_arguments.py
+++ b/libs/localfleet/src/berylwalk/localfleet/_target_arguments.py
@@ -1,16 +1,16 @@
-"""Command lines of the stand-in targets."""
+"""Command lines of the target stand-ins."""
 
 from berylwalk.localfleet._addresses import TARGET_PORT
 from berylwalk.localfleet._spec import EngineSpec, TargetSpec
 
 
 def target_arguments(target: TargetSpec, address: str) -> tuple[str, ...]:
-    """Return the arguments of Python that start a stand-in target."""
-    place = ("--host", address, "--port", str(TARGET_PORT))
+    """Return the arguments of the Python interpreter for a target stand-in."""
+    address_arguments = ("--host", address, "--port", str(TARGET_PORT))
     if not isinstance(target, EngineSpec):
         delay = ("--delay-ms", str(target.delay_ms))
-        return ("-m", "berylwalk.standins.service", *place, *delay)
-    arguments = ["-m", "berylwalk.standins.engine", *place]
+        return ("-m", "berylwalk.standins.service", *address_arguments, *delay)
+    arguments = ["-m", "berylwalk.standins.engine", *address_arguments]
     for model in target.models:
         arguments += ["--model", model]
     arguments += ["--step-ms", str(target.step_ms)]
--- a/libs/localfleet/src/berylwalk/localfleet/demo.py
+++ b/libs/localfleet/src/berylwalk/localfleet/demo.py
@@ -1,7 +1,7 @@
-"""Demo: a small fleet serves requests of each tier through both routers.
+"""Demo: a small fleet serves requests of each tier through two routers.
 
-Prints who was served where, how long the first token and the whole answer
-took, and the hops of each trace. Runs until Ctrl-C, or for ``DEMO_SECONDS``.
+Prints for each call the router, the agent and the response times, and the hops of one
+trace per service. Runs until Ctrl-C, or for ``DEMO_SECONDS``.
 """
 
 import os
@@ -33,7 +33,7 @@
 
 
 def demo_spec() -> FleetSpec:
-    """Return 2 routers, 3 engines of different speeds and a plain service."""
+    """Return a fleet of 2 routers, 3 engines of different speeds, and a service."""
     return FleetSpec(
         routers=(
             RouterSpec("entry-1", "kosice-a"),
@@ -50,7 +50,7 @@
 
 
 def demo_tree() -> str:
-    """Return the settings tree of the demo as INI text."""
+    """Return the settings tree as INI text."""
     digests = {
         account: sha256(token.encode()).hexdigest()
         for account, token in TOKENS_BY_ACCOUNT.items()
@@ -98,7 +98,7 @@
 
 
 async def run_rounds(fleet: LocalFleet, until: float) -> list[CallResult]:
-    """Send rounds of calls to every router until a time, and print each."""
+    """Send rounds of calls to all routers until a time; print each result."""
     results: list[CallResult] = []
     async with httpcore.AsyncConnectionPool() as pool:
         while True:
@@ -144,7 +144,7 @@
     Returns
     -------
     int
-        0 when every call was answered whole and every process ended with 0.
+        0 if all responses are complete and all routers and agents exit with 0.
     """
     signal.signal(signal.SIGTERM, _stop)
     seconds = os.environ.get(SECONDS_VARIABLE)
@@ -163,18 +163,18 @@
         codes = fleet.close()
     if results:
         _print_traces(fleet, results)
-    return _verdict(fleet, results, codes)
+    return _print_summary(fleet, results, codes)
 
 
-def _verdict(
+def _print_summary(
     fleet: LocalFleet, results: list[CallResult], codes: dict[str, int]
 ) -> int:
     incomplete = [result for result in results if not result.complete]
-    # The stand-ins end by the signal itself; routers and agents must drain.
+    # Stand-ins are terminated by the signal. Routers and agents must exit cleanly.
     daemons = fleet.daemon_names()
     failed = [name for name in daemons if codes.get(name)]
-    whole = len(results) - len(incomplete)
-    print(f"{whole} of {len(results)} answers whole")
+    complete = len(results) - len(incomplete)
+    print(f"{complete} of {len(results)} answers whole")
     print(f"routers and agents that did not end with 0: {failed or 'none'}")
     return 1 if incomplete or failed else 0
 
