--- a/libs/cli/src/berylwalk/cli/_request_timeline.py
+++ b/libs/cli/src/berylwalk/cli/_request_timeline.py
@@ -210,8 +210,8 @@
     from urllib.request import urlopen
 
     try:
-        with urlopen(arguments.url, timeout=arguments.timeout_s) as answer:
-            text = answer.read().decode()
+        with urlopen(arguments.url, timeout=arguments.timeout_s) as response:
+            text = response.read().decode()
     except (URLError, OSError, ValueError) as error:
         raise CommandError(ExitCode.UNDECIDED, [f"{arguments.url}: {error}"]) from error
     for line in text.splitlines():
--- a/libs/replay/src/berylwalk/replay/_simulation.py
+++ b/libs/replay/src/berylwalk/replay/_simulation.py
@@ -19,7 +19,7 @@
 """Upper bound of the delay of a retry, as a share of the time left until the caller's
 timeout."""
 DRAIN_TIMEOUT_S = 15.0
-"""Time that the simulation goes on after the last arrival."""
+"""Simulated time after the last arrival, in which pending requests end."""
 
 
 def run(scenario: Scenario, *, seed: int) -> list[Outcome]:
--- a/libs/replay/src/berylwalk/replay/_virtual_router.py
+++ b/libs/replay/src/berylwalk/replay/_virtual_router.py
@@ -161,7 +161,7 @@
         self.on_refused(retry_after_s(remaining_s, draw=self.router._random.uniform))
 
     def send(self, target: Target) -> None:
-        """Send the request to an engine and record what it answers."""
+        """Send the request to an engine and record the progress of the response."""
         work, sent_at = self.outcome.work, self.now
         estimate = estimate_first_event(target, work)
         target.note_sent(work, sent_at)
--- a/libs/standins/tests/test_standins_platform.py
+++ b/libs/standins/tests/test_standins_platform.py
@@ -65,14 +65,18 @@
         standin = PlatformStandin()
         standin.store.put(b"k", b"a")
         async with running(standin) as client:
-            failed, shown = await call(client, "POST", "/kv-txn", transaction(0, "b"))
-            held, response = await call(client, "POST", "/kv-txn", transaction(2, "b"))
+            failed, failure_body = await call(
+                client, "POST", "/kv-txn", transaction(0, "b")
+            )
+            succeeded, response = await call(
+                client, "POST", "/kv-txn", transaction(2, "b")
+            )
             _, item = await get(client, "/kv-key?key=k")
         assert failed.status == 412
-        assert [(entry["value"], entry["revision"]) for entry in shown["entries"]] == [
-            (base64("a"), 2)
-        ]
-        assert (held.status, response) == (200, {"revision": 3})
+        assert [
+            (entry["value"], entry["revision"]) for entry in failure_body["entries"]
+        ] == [(base64("a"), 2)]
+        assert (succeeded.status, response) == (200, {"revision": 3})
         assert (item["value"], item["revision"], item["created"]) == (base64("b"), 3, 2)
         assert item["store-revision"] == 3
 
@@ -82,11 +86,11 @@
         body = transaction(0, "b")
         body["expected-rev"].append({"key": "other", "revision": 7})
         async with running(standin) as client:
-            failed, shown = await call(client, "POST", "/kv-txn", body)
-            absent, _ = await get(client, "/kv-key?key=k")
+            failed, failure_body = await call(client, "POST", "/kv-txn", body)
+            missing, _ = await get(client, "/kv-key?key=k")
         assert failed.status == 412
-        assert {entry["revision"] for entry in shown["entries"]} == {0}
-        assert absent.status == 404
+        assert {entry["revision"] for entry in failure_body["entries"]} == {0}
+        assert missing.status == 404
 
     async def test_range_is_paginated(self):
         """A range is returned in pages of 500 entries, sorted by key."""
@@ -109,14 +113,14 @@
         path = "/kv-watch?path-prefix=k&wait-ms=0&after="
         async with running(standin) as client:
             _, response = await get(client, path + "1")
-            _, nothing = await get(client, path + "3")
+            _, no_changes = await get(client, path + "3")
             standin.store.compact()
-            gone, _ = await get(client, path + "1")
+            compacted, _ = await get(client, path + "1")
         removal = {"key": "k", "revision": 3, "tombstone": True}
         assert response["events"][0]["value"] == base64("a")
         assert response["events"][1] == removal
-        assert nothing == {"events": [], "store-revision": 3}
-        assert gone.status == 410
+        assert no_changes == {"events": [], "store-revision": 3}
+        assert compacted.status == 410
 
     async def test_end_of_lease_deletes_its_keys(self):
         """A revoked lease cannot be renewed, and its keys are deleted."""
@@ -128,9 +132,9 @@
             kept, _ = await call(client, "POST", f"/kv-keep/{lease['lease']}")
             await call(client, "DELETE", f"/kv-lease-end/{lease['lease']}")
             ended, _ = await call(client, "POST", f"/kv-keep/{lease['lease']}")
-            absent, _ = await get(client, "/kv-key?key=k")
+            missing, _ = await get(client, "/kv-key?key=k")
         assert lease["ttl-ms"] == 1000
-        assert (kept.status, ended.status, absent.status) == (200, 404, 404)
+        assert (kept.status, ended.status, missing.status) == (200, 404, 404)
 
     async def test_write_with_lost_response_is_applied(self):
         """The connection is dropped without a response after the write."""
@@ -222,7 +226,7 @@
     def test_options(self):
         """Signals are set by options; by default there are none."""
         plain = TargetSignals.from_args(build_parser().parse_args([]))
-        words = ["--limit-per-s", "1.3", "--leaving", "--rest-s", "3"]
-        stated = TargetSignals.from_args(build_parser().parse_args(words))
+        options = ["--limit-per-s", "1.3", "--leaving", "--rest-s", "3"]
+        stated = TargetSignals.from_args(build_parser().parse_args(options))
         assert plain == TargetSignals()
         assert stated == TargetSignals(1.3, True, 3.0)
