--- a/libs/process/src/berylwalk/process/_connections.py
+++ b/libs/process/src/berylwalk/process/_connections.py
@@ -62,20 +62,20 @@
             ),
         )
 
-    def sync_server(self, settings: NodeSettings, answer: SyncHandler) -> SyncServer:
+    def sync_server(self, settings: NodeSettings, handler: SyncHandler) -> SyncServer:
         """Return a server, not started, for the sync requests of other nodes.
 
         Parameters
         ----------
         settings : NodeSettings
             Settings of the node.
-        answer : callable
+        handler : callable
             Handles one request.
         """
         return SyncServer.from_config(
             settings.node.address,
             settings.ports.sync,
-            answer,
+            handler,
             seal=self.key.seal,
             open_=self.key.open,
         )
--- a/libs/transport/src/berylwalk/transport/_asgi.py
+++ b/libs/transport/src/berylwalk/transport/_asgi.py
@@ -60,7 +60,7 @@
 async def read_body(
     receive: Receive, max_bytes: int, timeout_s: float
 ) -> bytes | BodyFailure:
-    """Read a whole request body.
+    """Read a complete request body.
 
     Parameters
     ----------
@@ -69,7 +69,7 @@
     max_bytes : int
         Largest body accepted, in bytes.
     timeout_s : float
-        Timeout for the whole body, in seconds.
+        Timeout for the complete body, in seconds.
 
     Returns
     -------
