--- a/bench/loadbench/capacity.py
+++ b/bench/loadbench/capacity.py
@@ -8,10 +8,10 @@
 """
 
 from berylwalk.localfleet import EngineSpec
-from loadbench.shapes import ModelKind, Shape
+from loadbench.shapes import ModelCallKind, Shape
 
 
-def engine_s(engine: EngineSpec, kind: ModelKind) -> float:
+def engine_time_s(engine: EngineSpec, kind: ModelCallKind) -> float:
     """Return the time of an engine with a full batch that a call takes."""
     batch = engine.max_batch
     step_s = engine.step_ms / 1000 * (1 + engine.batch_slope * batch)
@@ -20,16 +20,16 @@
     return kind.output_tokens / batch * step_s + prefill_s
 
 
-def full_rates(shape: Shape, engines: tuple[EngineSpec, ...]) -> dict[str, float]:
+def saturating_rates(shape: Shape, engines: tuple[EngineSpec, ...]) -> dict[str, float]:
     """Return the calls a second of each model kind that fill all engines."""
     reference = engines[0]
     count_by_service = {
-        kind.service: kind.work_share / engine_s(reference, kind)
+        kind.service: kind.work_share / engine_time_s(reference, kind)
         for kind in shape.model_kinds
     }
     mixes = [
         sum(
-            count_by_service[kind.service] * engine_s(engine, kind)
+            count_by_service[kind.service] * engine_time_s(engine, kind)
             for kind in shape.model_kinds
         )
         for engine in engines
--- a/bench/loadbench/engines.py
+++ b/bench/loadbench/engines.py
@@ -9,7 +9,7 @@
 from berylwalk.standins import BLOCK_TOKENS
 
 
-class Totals(msgspec.Struct):
+class EngineTotals(msgspec.Struct):
     """Counters of an engine; see the stand-in."""
 
     prefill_tokens: int = 0
@@ -21,10 +21,10 @@
     busy_slot_s: float = 0.0
 
 
-class Seen(msgspec.Struct):
+class EngineStatus(msgspec.Struct):
     """The part of an engine's answer that is used."""
 
-    totals: Totals
+    totals: EngineTotals
     running_prefill_tokens: int = 0
 
 
@@ -63,13 +63,13 @@
 
 @dataclass(slots=True)
 class _Engine:
-    before: Totals = field(default_factory=Totals)
+    initial_totals: EngineTotals = field(default_factory=EngineTotals)
     # Of processes that were killed in the scenario.
-    lost: list[tuple[Totals, list[Prefill]]] = field(default_factory=list)
-    dead: bool = False
+    killed_runs: list[tuple[EngineTotals, list[Prefill]]] = field(default_factory=list)
+    is_killed: bool = False
 
 
-class EngineWatch:
+class EngineMonitor:
     """Reads the engines' counters before and after a scenario.
 
     Parameters
@@ -89,23 +89,24 @@
     def start(self) -> None:
         """Note the counters at the start."""
         for vm_id, engine in self._engines_by_id.items():
-            engine.before = self._seen(vm_id).totals
+            engine.initial_totals = self._read_status(vm_id).totals
 
     def busy_slot_s(self) -> float:
         """Return the slot time in use since the start."""
         return sum(
-            self._seen(vm_id).totals.busy_slot_s - engine.before.busy_slot_s
+            self._read_status(vm_id).totals.busy_slot_s
+            - engine.initial_totals.busy_slot_s
             for vm_id, engine in self._engines_by_id.items()
-            if not engine.dead
+            if not engine.is_killed
         )
 
-    def before_kill(self, vm_id: str) -> None:
+    def record_before_kill(self, vm_id: str) -> None:
         """Save the counters of an engine that is about to be killed."""
-        seen = self._seen(vm_id)
-        seen.totals.wasted_prefill_tokens += seen.running_prefill_tokens
+        status = self._read_status(vm_id)
+        status.totals.wasted_prefill_tokens += status.running_prefill_tokens
         engine = self._engines_by_id[vm_id]
-        engine.lost.append((seen.totals, self._prefills(vm_id)))
-        engine.dead = True
+        engine.killed_runs.append((status.totals, self._prefills(vm_id)))
+        engine.is_killed = True
 
     def stop(self, started_at: float) -> EngineWork:
         """Return the work since the start.
@@ -118,18 +119,18 @@
         work = EngineWork()
         prefills_by_id: dict[str, list[Prefill]] = {}
         for vm_id, engine in self._engines_by_id.items():
-            if engine.dead:
-                after, prefills = engine.lost[-1]
+            if engine.is_killed:
+                after, prefills = engine.killed_runs[-1]
             else:
-                after, prefills = self._seen(vm_id).totals, self._prefills(vm_id)
-            _add(work, after, engine.before)
+                after, prefills = self._read_status(vm_id).totals, self._prefills(vm_id)
+            _add(work, after, engine.initial_totals)
             prefills_by_id[vm_id] = prefills
-            engine.dead = False
+            engine.is_killed = False
         work.repeated_tokens = repeated_tokens(prefills_by_id, started_at)
         return work
 
-    def _seen(self, vm_id: str) -> Seen:
-        return self._get(vm_id, "/control/seen", Seen)
+    def _read_status(self, vm_id: str) -> EngineStatus:
+        return self._get(vm_id, "/control/seen", EngineStatus)
 
     def _prefills(self, vm_id: str) -> list[Prefill]:
         return self._get(vm_id, "/control/prefills", list[Prefill])
@@ -143,12 +144,16 @@
         return msgspec.json.decode(answer.content, type=kind)
 
 
-def _add(work: EngineWork, after: Totals, before: Totals) -> None:
-    work.prefill_tokens += after.prefill_tokens - before.prefill_tokens
-    work.cached_tokens += after.cached_prefill_tokens - before.cached_prefill_tokens
-    work.output_tokens += after.output_tokens - before.output_tokens
-    work.given_up_tokens += after.wasted_prefill_tokens - before.wasted_prefill_tokens
-    work.busy_slot_s += after.busy_slot_s - before.busy_slot_s
+def _add(work: EngineWork, after: EngineTotals, initial_totals: EngineTotals) -> None:
+    work.prefill_tokens += after.prefill_tokens - initial_totals.prefill_tokens
+    work.cached_tokens += (
+        after.cached_prefill_tokens - initial_totals.cached_prefill_tokens
+    )
+    work.output_tokens += after.output_tokens - initial_totals.output_tokens
+    work.given_up_tokens += (
+        after.wasted_prefill_tokens - initial_totals.wasted_prefill_tokens
+    )
+    work.busy_slot_s += after.busy_slot_s - initial_totals.busy_slot_s
 
 
 def repeated_tokens(prefills_by_id: dict[str, list[Prefill]], started_at: float) -> int:
--- a/bench/loadbench/fleets.py
+++ b/bench/loadbench/fleets.py
@@ -3,7 +3,7 @@
 from hashlib import sha256
 
 from berylwalk.localfleet import EngineSpec, FleetSpec, RouterSpec, ServiceSpec
-from loadbench.shapes import TIERS, ModelKind, Shape
+from loadbench.shapes import TIERS, ModelCallKind, Shape
 
 MODEL = "m1"
 MAX_BATCH = 8
@@ -73,7 +73,7 @@
     )
 
 
-def token_of(account: str) -> str:
+def bearer_token(account: str) -> str:
     """Return the bearer token of a client account."""
     return f"{account}-bench-token"
 
@@ -85,16 +85,16 @@
         lines += [f"[tier {tier.name}]", f"rank = {tier.rank}"]
         lines += [f"deadline_s = {tier.deadline_s}", f"headroom = {tier.headroom}"]
     for account, share in shape.share_by_account.items():
-        digest = sha256(token_of(account).encode()).hexdigest()
+        digest = sha256(bearer_token(account).encode()).hexdigest()
         lines += [f"[/{account}]", f"credential_sha256 = {digest}"]
         lines += [f"weight = {share * 20:g}", "max_running = 100000"]
         lines += ["max_waiting = 100000"]
         for kind in shape.kinds:
             lines += [f"[/{account}/{kind.service}]"]
             lines += [f"tier = {TIERS[kind.tier].name}"]
-            if isinstance(kind, ModelKind):
+            if isinstance(kind, ModelCallKind):
                 continue
             lines += [f"target_service = {kind.target_service}"]
-            if kind.keyed:
+            if kind.has_idempotency_key:
                 lines += ["idempotent = false"]
     return "\n".join(lines) + "\n"
--- a/bench/loadbench/measures.py
+++ b/bench/loadbench/measures.py
@@ -7,14 +7,14 @@
 from hdrh.histogram import HdrHistogram
 
 from loadbench.engines import EngineWork
-from loadbench.results import End, Result
-from loadbench.schedule import Call
-from loadbench.shapes import TIERS, ModelKind, Shape
+from loadbench.results import CallOutcome, Result
+from loadbench.schedule import ScheduledCall
+from loadbench.shapes import TIERS, ModelCallKind, Shape
 
 US_PER_S = 1_000_000
-HIGHEST_US = 120 * US_PER_S
-DIGITS = 3
-BUSIEST = 6
+MAX_LATENCY_US = 120 * US_PER_S
+SIGNIFICANT_DIGITS = 3
+BUSIEST_COUNT = 6
 """Processes whose use of the processor is told."""
 
 PERCENTILES = (50.0, 95.0, 99.0)
@@ -103,7 +103,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class RunFacts:
+class RunInfo:
     """What is known about a run besides its calls."""
 
     treatment: str
@@ -116,12 +116,12 @@
     cpu_by_process: dict[str, float]
 
 
-def figures(
+def compute_figures(
     shape: Shape,
-    calls: list[Call],
+    calls: list[ScheduledCall],
     results: list[Result],
     work: EngineWork,
-    facts: RunFacts,
+    run_info: RunInfo,
 ) -> ScenarioFigures:
     """Compute the figures of a scenario."""
     result_by_number = {result.number: result for result in results}
@@ -129,26 +129,27 @@
     late_tokens = sum(
         result.uncached_tokens
         for call, result in pairs
-        if result.end is End.WHOLE and not _is_good(shape, call, result)
+        if result.outcome is CallOutcome.COMPLETE and not _is_good(shape, call, result)
     )
     good = [call for call, result in pairs if _is_good(shape, call, result)]
     good_by_account = dict.fromkeys(shape.share_by_account, 0)
     for call in good:
         good_by_account[call.account] += 1
     by_account = {
-        account: _share(shape, pairs, account) for account in shape.share_by_account
+        account: _account_goodput(shape, pairs, account)
+        for account in shape.share_by_account
     }
     wasted = work.given_up_tokens + late_tokens + work.repeated_tokens
     return ScenarioFigures(
         shape=shape.name,
-        treatment=facts.treatment,
-        scenario=facts.scenario,
-        seconds=facts.seconds,
-        seed=facts.seed,
+        treatment=run_info.treatment,
+        scenario=run_info.scenario,
+        seconds=run_info.seconds,
+        seed=run_info.seed,
         offered=len(calls),
         good=len(good),
         good_tokens=sum(_tokens(shape, call) for call in good),
-        tiers={tier.name: _tier(shape, pairs, tier.rank) for tier in TIERS},
+        tiers={tier.name: _tier_figures(shape, pairs, tier.rank) for tier in TIERS},
         prefill_tokens=work.prefill_tokens,
         cached_tokens=work.cached_tokens,
         given_up_tokens=work.given_up_tokens,
@@ -156,76 +157,80 @@
         repeated_tokens=work.repeated_tokens,
         wasted_tokens=wasted,
         wasted_share=round(wasted / max(work.prefill_tokens, 1), 4),
-        idle_share=round(1 - facts.busy_slot_s / facts.slot_s, 4),
+        idle_share=round(1 - run_info.busy_slot_s / run_info.slot_s, 4),
         goodput_by_account=by_account,
         good_by_account=good_by_account,
-        jain=_jain(by_account.values()),
-        not_run_reasons=_reasons(pairs, End.NOT_RUN),
-        unknown_reasons=_reasons(pairs, End.UNKNOWN),
-        lag_ms_p99=_percentiles_ms(result.lag_s for result in results)[-1],
-        load_average=facts.load_average,
-        cpu_cores=round(sum(facts.cpu_by_process.values()), 2),
-        busiest=_busiest(facts.cpu_by_process),
+        jain=_jain_index(by_account.values()),
+        not_run_reasons=_count_reasons(pairs, CallOutcome.NOT_RUN),
+        unknown_reasons=_count_reasons(pairs, CallOutcome.UNKNOWN),
+        lag_ms_p99=_percentiles_ms(result.send_lag_s for result in results)[-1],
+        load_average=run_info.load_average,
+        cpu_cores=round(sum(run_info.cpu_by_process.values()), 2),
+        busiest=_busiest(run_info.cpu_by_process),
     )
 
 
 def _busiest(cpu_by_process: dict[str, float]) -> dict[str, float]:
     ordered = sorted(cpu_by_process.items(), key=lambda item: -item[1])
-    return {name: round(cores, 2) for name, cores in ordered[:BUSIEST]}
+    return {name: round(cores, 2) for name, cores in ordered[:BUSIEST_COUNT]}
 
 
-def _is_good(shape: Shape, call: Call, result: Result) -> bool:
+def _is_good(shape: Shape, call: ScheduledCall, result: Result) -> bool:
     deadline_s = TIERS[shape.kinds[call.kind].tier].deadline_s
-    return result.end is End.WHOLE and result.whole_s <= deadline_s
+    return result.outcome is CallOutcome.COMPLETE and result.total_s <= deadline_s
 
 
-def _tokens(shape: Shape, call: Call) -> int:
+def _tokens(shape: Shape, call: ScheduledCall) -> int:
     kind = shape.kinds[call.kind]
-    if not isinstance(kind, ModelKind):
+    if not isinstance(kind, ModelCallKind):
         return 0
     return kind.prompt_tokens + kind.output_tokens
 
 
-def _tier(shape: Shape, pairs: list[tuple[Call, Result]], rank: int) -> TierFigures:
-    own = [
+def _tier_figures(
+    shape: Shape, pairs: list[tuple[ScheduledCall, Result]], rank: int
+) -> TierFigures:
+    tier_pairs = [
         (call, result) for call, result in pairs if shape.kinds[call.kind].tier == rank
     ]
-    found = TierFigures(offered=len(own))
+    figures = TierFigures(offered=len(tier_pairs))
     whole = []
     not_run = []
-    for call, result in own:
-        match result.end:
-            case End.WHOLE:
-                whole.append(result.first_s)
+    for call, result in tier_pairs:
+        match result.outcome:
+            case CallOutcome.COMPLETE:
+                whole.append(result.first_token_s)
                 if _is_good(shape, call, result):
-                    found.good += 1
+                    figures.good += 1
                 else:
-                    found.late += 1
-            case End.NOT_RUN:
-                found.not_run += 1
-                not_run.append(result.whole_s)
-            case End.WRONG:
-                found.wrong += 1
-            case End.GIVEN_UP:
-                found.given_up += 1
+                    figures.late += 1
+            case CallOutcome.NOT_RUN:
+                figures.not_run += 1
+                not_run.append(result.total_s)
+            case CallOutcome.WRONG:
+                figures.wrong += 1
+            case CallOutcome.GIVEN_UP:
+                figures.given_up += 1
             case _:
-                found.unknown += 1
-    found.goodput = round(found.good / max(found.offered, 1), 4)
-    found.first_token_ms = _percentiles_ms(whole)
-    found.not_run_ms = _percentiles_ms(not_run)
-    return found
+                figures.unknown += 1
+    figures.goodput = round(figures.good / max(figures.offered, 1), 4)
+    figures.first_token_ms = _percentiles_ms(whole)
+    figures.not_run_ms = _percentiles_ms(not_run)
+    return figures
 
 
-def _share(shape: Shape, pairs: list[tuple[Call, Result]], account: str) -> float:
-    own = [
+def _account_goodput(
+    shape: Shape, pairs: list[tuple[ScheduledCall, Result]], account: str
+) -> float:
+    is_good = [
         _is_good(shape, call, result)
         for call, result in pairs
         if call.account == account
     ]
-    return round(sum(own) / max(len(own), 1), 4)
+    return round(sum(is_good) / max(len(is_good), 1), 4)
 
 
-def _jain(values: Iterable[float]) -> float:
+def _jain_index(values: Iterable[float]) -> float:
     values = list(values)
     squares = sum(value * value for value in values)
     if not squares:
@@ -233,16 +238,18 @@
     return round(sum(values) ** 2 / (len(values) * squares), 4)
 
 
-def _reasons(pairs: list[tuple[Call, Result]], end: End) -> dict[str, int]:
+def _count_reasons(
+    pairs: list[tuple[ScheduledCall, Result]], outcome: CallOutcome
+) -> dict[str, int]:
     counts: dict[str, int] = {}
     for _, result in pairs:
-        if result.end is end:
+        if result.outcome is outcome:
             counts[result.reason] = counts.get(result.reason, 0) + 1
     return counts
 
 
 def _percentiles_ms(seconds: Iterable[float]) -> list[float]:
-    histogram = HdrHistogram(1, HIGHEST_US, DIGITS)
+    histogram = HdrHistogram(1, MAX_LATENCY_US, SIGNIFICANT_DIGITS)
     for each in seconds:
         histogram.record_value(max(1, int(each * US_PER_S)))
     return [
--- a/bench/loadbench/report.py
+++ b/bench/loadbench/report.py
@@ -20,19 +20,19 @@
 )
 
 
-def table_line(found: ScenarioFigures) -> str:
+def table_line(figures: ScenarioFigures) -> str:
     """Return one line of the table; first token and not-run time of the top tier."""
-    top = found.tiers[TIERS[0].name]
-    tiers = " ".join(f"{found.tiers[tier.name].goodput:6.3f}" for tier in TIERS)
+    top = figures.tiers[TIERS[0].name]
+    tiers = " ".join(f"{figures.tiers[tier.name].goodput:6.3f}" for tier in TIERS)
     first = "/".join(f"{each:.0f}" for each in top.first_token_ms)
-    not_run = max((tier.not_run_ms[-1] for tier in found.tiers.values()), default=0.0)
-    unknown = sum(tier.unknown for tier in found.tiers.values())
+    not_run = max((tier.not_run_ms[-1] for tier in figures.tiers.values()), default=0.0)
+    unknown = sum(tier.unknown for tier in figures.tiers.values())
     return (
-        f"{found.scenario:<24} {found.treatment:<10} {found.offered:>7} "
-        f"{found.good:>6} {tiers} {found.good_tokens / found.seconds:>7.0f} "
-        f"{found.wasted_tokens:>8} {found.idle_share:5.2f} {found.jain:5.2f} "
+        f"{figures.scenario:<24} {figures.treatment:<10} {figures.offered:>7} "
+        f"{figures.good:>6} {tiers} {figures.good_tokens / figures.seconds:>7.0f} "
+        f"{figures.wasted_tokens:>8} {figures.idle_share:5.2f} {figures.jain:5.2f} "
         f"{first:>20} {not_run:>11.0f} {unknown:>5} "
-        f"{found.lag_ms_p99:5.0f} {found.cpu_cores:5.1f} {found.load_average:5.1f}"
+        f"{figures.lag_ms_p99:5.0f} {figures.cpu_cores:5.1f} {figures.load_average:5.1f}"
     )
 
 
@@ -67,13 +67,13 @@
     figure.savefig(path)
 
 
-def _key(found: ScenarioFigures) -> tuple[str, str, str]:
-    return found.shape, found.scenario, found.treatment
+def _key(figures: ScenarioFigures) -> tuple[str, str, str]:
+    return figures.shape, figures.scenario, figures.treatment
 
 
 def _bars(axis, names, treatments, value_by_key) -> None:
     width = 0.8 / len(treatments)
     for number, treatment in enumerate(treatments):
-        places = [place + number * width - 0.4 for place in range(len(names))]
+        positions = [index + number * width - 0.4 for index in range(len(names))]
         heights = [value_by_key.get((*name, treatment), 0.0) for name in names]
-        axis.bar(places, heights, width, align="edge", label=treatment)
+        axis.bar(positions, heights, width, align="edge", label=treatment)
--- a/bench/loadbench/bodies.py
+++ b/bench/loadbench/request_bodies.py
@@ -6,14 +6,14 @@
 import msgspec
 
 from loadbench.fleets import MODEL
-from loadbench.shapes import ModelKind
+from loadbench.shapes import ModelCallKind
 
 CHARACTERS_PER_TOKEN = 4
 ROLE_PREFIX = "user: \n"
 
 
 @lru_cache(maxsize=512)
-def filler(name: str, tokens: int) -> str:
+def filler_text(name: str, tokens: int) -> str:
     """Return text of a number of tokens that differs in each block by name."""
     words = []
     length = 0
@@ -26,17 +26,17 @@
     return "".join(words)[: tokens * CHARACTERS_PER_TOKEN]
 
 
-def prompt(kind: ModelKind, document: int, unique: str) -> str:
+def prompt(kind: ModelCallKind, document: int, unique: str) -> str:
     """Return the prompt of a call."""
     own_tokens = kind.prompt_tokens - kind.shared_tokens
     # The calls of a document share it whatever their service.
-    shared = filler(f"document-{document}", kind.shared_tokens)
-    own = filler("text", own_tokens)
+    shared = filler_text(f"document-{document}", kind.shared_tokens)
+    own = filler_text("text", own_tokens)
     own = (unique + own)[: own_tokens * CHARACTERS_PER_TOKEN - len(ROLE_PREFIX)]
     return shared + own
 
 
-def model_body(kind: ModelKind, document: int, unique: str) -> bytes:
+def model_body(kind: ModelCallKind, document: int, unique: str) -> bytes:
     """Return the body of a streamed call."""
     body = {
         "model": MODEL,
@@ -48,7 +48,7 @@
     return msgspec.json.encode(body)
 
 
-def answer_digest(kind: ModelKind, document: int, unique: str) -> bytes:
+def response_digest(kind: ModelCallKind, document: int, unique: str) -> bytes:
     """Return the digest that the stand-in engine puts first in its answer."""
     text = f"user: {prompt(kind, document, unique)}\n"
     identity = msgspec.json.encode([text, None, None], order="sorted")
--- a/bench/loadbench/results.py
+++ b/bench/loadbench/results.py
@@ -5,10 +5,10 @@
 import msgspec
 
 
-class End(StrEnum):
+class CallOutcome(StrEnum):
     """How a call ended, as its caller sees it."""
 
-    WHOLE = "whole"
+    COMPLETE = "whole"
     """The whole, right answer arrived."""
 
     WRONG = "wrong"
@@ -47,9 +47,9 @@
     """
 
     number: int
-    end: End
-    first_s: float
-    whole_s: float
-    lag_s: float
+    outcome: CallOutcome
+    first_token_s: float
+    total_s: float
+    send_lag_s: float
     reason: str = ""
     uncached_tokens: int = 0
--- a/bench/loadbench/scenarios.py
+++ b/bench/loadbench/scenarios.py
@@ -11,7 +11,7 @@
     post_json,
     target_name,
 )
-from loadbench.engines import EngineWatch
+from loadbench.engines import EngineMonitor
 from loadbench.schedule import Phase
 from loadbench.shapes import Shape
 
@@ -27,15 +27,15 @@
 QUIET_LOAD = 0.25
 BURST_SHARE = 1.0 / 12
 
-HALF = "half-load"
-TWICE = "twice-capacity"
+HALF_LOAD = "half-load"
+TWICE_CAPACITY = "twice-capacity"
 BURST = "burst-x10"
-FLOOD = "one-account-floods"
+ACCOUNT_FLOOD = "one-account-floods"
 STRAGGLER = "straggler-x4"
-OUTAGE = "platform-out"
+PLATFORM_OUTAGE = "platform-out"
 ENGINE_KILLED = "engine-killed"
 AGENT_ROUTER_KILLED = "agent-and-router-killed"
-DOMAIN_GONE = "failure-domain-gone"
+DOMAIN_KILLED = "failure-domain-gone"
 
 
 @dataclass(frozen=True, slots=True)
@@ -51,7 +51,7 @@
     """
 
     at: float
-    apply: Callable[[LocalFleet, EngineWatch], None]
+    apply: Callable[[LocalFleet, EngineMonitor], None]
 
 
 @dataclass(frozen=True, slots=True)
@@ -88,82 +88,82 @@
     flooding = next(iter(shape.share_by_account))
     flood = (Phase(0.0, 1.0, QUIET_LOAD, {flooding: FLOOD_LOAD}),)
     return (
-        Scenario(HALF, steady),
-        Scenario(TWICE, (Phase(0.0, 1.0, OVERLOAD),), length=2.5),
+        Scenario(HALF_LOAD, steady),
+        Scenario(TWICE_CAPACITY, (Phase(0.0, 1.0, OVERLOAD),), length=2.5),
         Scenario(BURST, burst),
-        Scenario(FLOOD, flood),
+        Scenario(ACCOUNT_FLOOD, flood),
         Scenario(
             STRAGGLER,
             steady,
-            (Injection(0.25, _slow_engine), Injection(1.0, _normal_engine)),
+            (Injection(0.25, _slow_down_engine), Injection(1.0, _restore_engine)),
         ),
         Scenario(
-            OUTAGE,
+            PLATFORM_OUTAGE,
             steady,
-            (Injection(0.25, _platform_down), Injection(0.85, _platform_up)),
+            (Injection(0.25, _stop_platform), Injection(0.85, _restore_platform)),
         ),
         Scenario(ENGINE_KILLED, steady, (Injection(0.33, _kill_engine),)),
         Scenario(AGENT_ROUTER_KILLED, steady, (Injection(0.33, _kill_agent_router),)),
-        Scenario(DOMAIN_GONE, steady, (Injection(0.33, _kill_domain),)),
+        Scenario(DOMAIN_KILLED, steady, (Injection(0.33, _kill_domain),)),
     )
 
 
-def _slow_engine(fleet: LocalFleet, watch: EngineWatch) -> None:
+def _slow_down_engine(fleet: LocalFleet, monitor: EngineMonitor) -> None:
     url = fleet.target_url(FAST_ENGINE) + "/control/faults"
     post_json(url, {"slow_factor": STRAGGLER_FACTOR})
 
 
-def _normal_engine(fleet: LocalFleet, watch: EngineWatch) -> None:
+def _restore_engine(fleet: LocalFleet, monitor: EngineMonitor) -> None:
     post_json(fleet.target_url(FAST_ENGINE) + "/control/faults", {})
 
 
-def _platform_down(fleet: LocalFleet, watch: EngineWatch) -> None:
+def _stop_platform(fleet: LocalFleet, monitor: EngineMonitor) -> None:
     post_json(fleet.platform_url() + "/control/faults", {"down": True})
 
 
-def _platform_up(fleet: LocalFleet, watch: EngineWatch) -> None:
+def _restore_platform(fleet: LocalFleet, monitor: EngineMonitor) -> None:
     post_json(fleet.platform_url() + "/control/faults", {})
 
 
-def _kill_engine(fleet: LocalFleet, watch: EngineWatch) -> None:
-    watch.before_kill(FAST_ENGINE)
+def _kill_engine(fleet: LocalFleet, monitor: EngineMonitor) -> None:
+    monitor.record_before_kill(FAST_ENGINE)
     fleet.processes_by_name[target_name(FAST_ENGINE)].kill()
 
 
-def _kill_agent_router(fleet: LocalFleet, watch: EngineWatch) -> None:
+def _kill_agent_router(fleet: LocalFleet, monitor: EngineMonitor) -> None:
     fleet.processes_by_name[agent_name(OTHER_FAST_ENGINE)].kill()
     fleet.processes_by_name[fleet.spec.routers[-1].vm_id].kill()
 
 
-def _kill_domain(fleet: LocalFleet, watch: EngineWatch) -> None:
+def _kill_domain(fleet: LocalFleet, monitor: EngineMonitor) -> None:
     domain = fleet.spec.routers[0].failure_domain
     names = [fleet.spec.routers[0].vm_id]
     for target in fleet.spec.targets:
         if target.failure_domain != domain:
             continue
         if isinstance(target, EngineSpec):
-            watch.before_kill(target.vm_id)
+            monitor.record_before_kill(target.vm_id)
         names += [agent_name(target.vm_id), target_name(target.vm_id)]
     for name in names:
         fleet.processes_by_name[name].kill()
 
 
-def restart_dead(fleet: LocalFleet) -> bool:
+def restart_ended_processes(fleet: LocalFleet) -> bool:
     """Start every process that has ended; return whether there was one."""
-    dead = {
+    ended = {
         name
         for name, process in fleet.processes_by_name.items()
         if process.returncode is not None
     }
-    if PLATFORM in dead:
+    if PLATFORM in ended:
         raise RuntimeError("the platform stand-in has ended")
     for target in fleet.spec.targets:
-        if target_name(target.vm_id) in dead:
+        if target_name(target.vm_id) in ended:
             fleet.start_target(target)
-        if agent_name(target.vm_id) in dead:
+        if agent_name(target.vm_id) in ended:
             fleet.start_agent(target)
     for router in fleet.spec.routers:
-        if router.vm_id in dead:
+        if router.vm_id in ended:
             fleet.start_router(router.vm_id)
     fleet.wait_ready()
-    return bool(dead)
+    return bool(ended)
--- a/bench/loadbench/schedule.py
+++ b/bench/loadbench/schedule.py
@@ -5,12 +5,12 @@
 import msgspec
 import numpy as np
 
-from loadbench.shapes import Kind, ModelKind, Shape
+from loadbench.shapes import CallKind, ModelCallKind, Shape
 
 ZIPF_EXPONENT = 1.0
 
 
-class Call(msgspec.Struct, array_like=True):
+class ScheduledCall(msgspec.Struct, array_like=True):
     """One call to send.
 
     Parameters
@@ -65,7 +65,7 @@
     seconds: float,
     routers: int,
     rng: np.random.Generator,
-) -> list[Call]:
+) -> list[ScheduledCall]:
     """Return the calls of a scenario, in order of time."""
     calls = []
     for phase in phases:
@@ -83,15 +83,17 @@
 def _rate(
     shape: Shape,
     phase: Phase,
-    kind: Kind,
+    kind: CallKind,
     account: str,
     rate_by_service: dict[str, float],
 ) -> float:
-    full = rate_by_service[kind.service] if isinstance(kind, ModelKind) else kind.rate
-    own = phase.load_by_account.get(account)
-    if own is None:
-        own = phase.load * shape.share_by_account[account]
-    return full * own
+    full_rate = (
+        rate_by_service[kind.service] if isinstance(kind, ModelCallKind) else kind.rate
+    )
+    account_load = phase.load_by_account.get(account)
+    if account_load is None:
+        account_load = phase.load * shape.share_by_account[account]
+    return full_rate * account_load
 
 
 def _arrivals(
@@ -105,15 +107,17 @@
 def _call(
     at: float,
     index: int,
-    kind: Kind,
+    kind: CallKind,
     account: str,
     routers: int,
     rng: np.random.Generator,
-) -> Call:
+) -> ScheduledCall:
     document = 0
-    if isinstance(kind, ModelKind) and kind.documents > 1:
+    if isinstance(kind, ModelCallKind) and kind.documents > 1:
         document = _zipf(kind.documents, rng)
-    return Call(float(at), index, account, document, 0, int(rng.integers(routers)))
+    return ScheduledCall(
+        float(at), index, account, document, 0, int(rng.integers(routers))
+    )
 
 
 def _zipf(count: int, rng: np.random.Generator) -> int:
--- a/bench/loadbench/sender.py
+++ b/bench/loadbench/sender.py
@@ -12,19 +12,19 @@
 import httpcore
 import msgspec
 
-from loadbench.bodies import answer_digest, model_body
-from loadbench.fleets import token_of
-from loadbench.results import End, Result
-from loadbench.schedule import Call
-from loadbench.shapes import SHAPES_BY_NAME, TIERS, Kind, ModelKind
-
-GRACE_S = 0.25
-ROUTER_DOWN_S = 1.0
+from loadbench.fleets import bearer_token
+from loadbench.request_bodies import model_body, response_digest
+from loadbench.results import CallOutcome, Result
+from loadbench.schedule import ScheduledCall
+from loadbench.shapes import SHAPES_BY_NAME, TIERS, CallKind, ModelCallKind
+
+DEADLINE_GRACE_S = 0.25
+ROUTER_RETRY_DELAY_S = 1.0
 STREAM_END = b"data: [DONE]\n\n"
-EVENT = b"data: "
-CACHED = re.compile(rb'"cached_tokens":(\d+)')
-CODE = re.compile(rb'"code":"([^"]+)"')
-OTHER_EVENTS = 2
+EVENT_PREFIX = b"data: "
+CACHED_TOKENS_PATTERN = re.compile(rb'"cached_tokens":(\d+)')
+ERROR_CODE_PATTERN = re.compile(rb'"code":"([^"]+)"')
+NON_TOKEN_EVENTS = 2
 """Events of a stream that carry no token: the usage and the end."""
 
 
@@ -49,7 +49,7 @@
     urls: list[str]
     started_at: float
     run: str
-    calls: list[Call]
+    calls: list[ScheduledCall]
 
 
 class Sender:
@@ -65,54 +65,54 @@
         self.results: list[Result] = []
         self._job = job
         self._kinds = SHAPES_BY_NAME[job.shape].kinds
-        self._down_until = [0.0] * len(job.urls)
+        self._retry_at = [0.0] * len(job.urls)
 
     async def run(self) -> None:
         """Send each call at its time and wait for all answers."""
         async with anyio.create_task_group() as tasks:
             for call in self._job.calls:
-                due = self._job.started_at + call.at
-                await anyio.sleep(max(0.0, due - time.monotonic()))
-                tasks.start_soon(self._send, call, due)
+                due_at = self._job.started_at + call.at
+                await anyio.sleep(max(0.0, due_at - time.monotonic()))
+                tasks.start_soon(self._send, call, due_at)
 
-    async def _send(self, call: Call, due: float) -> None:
+    async def _send(self, call: ScheduledCall, due_at: float) -> None:
         kind = self._kinds[call.kind]
         started = time.monotonic()
-        result = Result(call.number, End.GIVEN_UP, 0.0, 0.0, started - due)
+        result = Result(call.number, CallOutcome.GIVEN_UP, 0.0, 0.0, started - due_at)
         deadline_s = TIERS[kind.tier].deadline_s
-        with anyio.move_on_after(deadline_s + GRACE_S):
+        with anyio.move_on_after(deadline_s + DEADLINE_GRACE_S):
             try:
                 await self._exchange(call, kind, result, started)
             except (httpcore.NetworkError, httpcore.ProtocolError) as error:
-                result.end = End.UNKNOWN
+                result.outcome = CallOutcome.UNKNOWN
                 result.reason = type(error).__name__
-        result.whole_s = time.monotonic() - started
+        result.total_s = time.monotonic() - started
         self.results.append(result)
 
     async def _exchange(
-        self, call: Call, kind: Kind, result: Result, started: float
+        self, call: ScheduledCall, kind: CallKind, result: Result, started: float
     ) -> None:
         unique = f"{self._job.run}-{call.number} "
-        for router in self._routers(call):
+        for router in self._routers_in_order(call):
             try:
                 await self._exchange_with(router, call, kind, unique, result, started)
                 return
             except (httpcore.ConnectError, httpcore.ConnectTimeout):
                 # A balancer goes on to the next router as well.
-                self._down_until[router] = time.monotonic() + ROUTER_DOWN_S
-        result.end = End.NO_ROUTER
+                self._retry_at[router] = time.monotonic() + ROUTER_RETRY_DELAY_S
+        result.outcome = CallOutcome.NO_ROUTER
 
-    def _routers(self, call: Call) -> list[int]:
+    def _routers_in_order(self, call: ScheduledCall) -> list[int]:
         count = len(self._job.urls)
         order = [(call.router + step) % count for step in range(count)]
         now = time.monotonic()
-        return sorted(order, key=lambda router: self._down_until[router] > now)
+        return sorted(order, key=lambda router: self._retry_at[router] > now)
 
     async def _exchange_with(
         self,
         router: int,
-        call: Call,
-        kind: Kind,
+        call: ScheduledCall,
+        kind: CallKind,
         unique: str,
         result: Result,
         started: float,
@@ -128,49 +128,55 @@
         ):
             async for chunk in response.aiter_stream():
                 if not parts:
-                    result.first_s = time.monotonic() - started
+                    result.first_token_s = time.monotonic() - started
                 parts.append(chunk)
         content = b"".join(parts)
         if response.status == 200:
-            _judge(call, kind, unique, content, result)
+            _classify_response(call, kind, unique, content, result)
             return
-        outcome = dict(response.headers).get(b"berylwalk-outcome", b"")
-        result.end = End.NOT_RUN if outcome == b"not-run" else End.UNKNOWN
-        code = CODE.search(content)
+        outcome_header = dict(response.headers).get(b"berylwalk-outcome", b"")
+        result.outcome = (
+            CallOutcome.NOT_RUN if outcome_header == b"not-run" else CallOutcome.UNKNOWN
+        )
+        code = ERROR_CODE_PATTERN.search(content)
         result.reason = code[1].decode() if code else str(response.status)
 
 
 def _request(
-    call: Call, kind: Kind, unique: str
+    call: ScheduledCall, kind: CallKind, unique: str
 ) -> tuple[str, str, list[tuple[str, str]], bytes]:
     headers = [
-        ("Authorization", f"Bearer {token_of(call.account)}"),
+        ("Authorization", f"Bearer {bearer_token(call.account)}"),
         ("Berylwalk-Service", kind.service),
     ]
-    if isinstance(kind, ModelKind):
+    if isinstance(kind, ModelCallKind):
         headers.append(("Content-Type", "application/json"))
         body = model_body(kind, call.document, unique)
         return "POST", "/v1/chat/completions", headers, body
     path = f"/services/{kind.target_service}/items"
-    if not kind.keyed:
+    if not kind.has_idempotency_key:
         return "GET", path, headers, b""
     headers.append(("Idempotency-Key", unique.strip()))
     return "POST", path, headers, b"{}"
 
 
-def _judge(call: Call, kind: Kind, unique: str, content: bytes, result: Result) -> None:
-    if not isinstance(kind, ModelKind):
-        result.end = End.WHOLE if content.endswith(b"}") else End.WRONG
+def _classify_response(
+    call: ScheduledCall, kind: CallKind, unique: str, content: bytes, result: Result
+) -> None:
+    if not isinstance(kind, ModelCallKind):
+        result.outcome = (
+            CallOutcome.COMPLETE if content.endswith(b"}") else CallOutcome.WRONG
+        )
         return
     if not content.endswith(STREAM_END):
-        result.end = End.UNKNOWN
-        code = CODE.search(content)
+        result.outcome = CallOutcome.UNKNOWN
+        code = ERROR_CODE_PATTERN.search(content)
         result.reason = code[1].decode() if code else "no-end"
         return
-    whole = content.count(EVENT) == kind.output_tokens + OTHER_EVENTS
-    own = answer_digest(kind, call.document, unique) in content
-    result.end = End.WHOLE if whole and own else End.WRONG
-    cached = CACHED.search(content)
+    whole = content.count(EVENT_PREFIX) == kind.output_tokens + NON_TOKEN_EVENTS
+    own = response_digest(kind, call.document, unique) in content
+    result.outcome = CallOutcome.COMPLETE if whole and own else CallOutcome.WRONG
+    cached = CACHED_TOKENS_PATTERN.search(content)
     cached_tokens = int(cached[1]) if cached else 0
     result.uncached_tokens = kind.prompt_tokens - cached_tokens
 
--- a/bench/loadbench/shapes.py
+++ b/bench/loadbench/shapes.py
@@ -6,7 +6,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class ModelKind:
+class ModelCallKind:
     """One kind of model call, a service node of the settings tree.
 
     Parameters
@@ -35,7 +35,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class ServiceKind:
+class ServiceCallKind:
     """One kind of call of a plain service.
 
     Parameters
@@ -56,10 +56,10 @@
     target_service: str
     tier: int
     rate: float
-    keyed: bool = False
+    has_idempotency_key: bool = False
 
 
-Kind = ModelKind | ServiceKind
+CallKind = ModelCallKind | ServiceCallKind
 
 
 @dataclass(frozen=True, slots=True)
@@ -81,17 +81,17 @@
     name: str
     failure_domains: tuple[str, str, str]
     share_by_account: dict[str, float]
-    kinds: tuple[Kind, ...]
+    kinds: tuple[CallKind, ...]
 
     @property
-    def model_kinds(self) -> tuple[ModelKind, ...]:
+    def model_kinds(self) -> tuple[ModelCallKind, ...]:
         """Kinds that the engines serve."""
-        return tuple(kind for kind in self.kinds if isinstance(kind, ModelKind))
+        return tuple(kind for kind in self.kinds if isinstance(kind, ModelCallKind))
 
     @property
     def plain_service(self) -> str:
         """Name of the plain service."""
-        kinds = (kind for kind in self.kinds if isinstance(kind, ServiceKind))
+        kinds = (kind for kind in self.kinds if isinstance(kind, ServiceCallKind))
         return next(kinds).target_service
 
 
@@ -114,13 +114,15 @@
         "suburbs": 0.05,
     },
     kinds=(
-        ModelKind("sign-drafts", 0, 0.03, prompt_tokens=18, output_tokens=4),
-        ModelKind("log-readbacks", 1, 0.03, prompt_tokens=18, output_tokens=4),
-        ModelKind("shift-notes", 2, 0.12, prompt_tokens=200, output_tokens=20),
-        ModelKind("day-summaries", 3, 0.35, prompt_tokens=2000, output_tokens=75),
-        ModelKind("fault-summaries", 4, 0.47, prompt_tokens=2000, output_tokens=75),
-        ServiceKind("occupancy", "signs", 1, rate=20.0),
-        ServiceKind("sign-messages", "signs", 0, rate=4.0, keyed=True),
+        ModelCallKind("sign-drafts", 0, 0.03, prompt_tokens=18, output_tokens=4),
+        ModelCallKind("log-readbacks", 1, 0.03, prompt_tokens=18, output_tokens=4),
+        ModelCallKind("shift-notes", 2, 0.12, prompt_tokens=200, output_tokens=20),
+        ModelCallKind("day-summaries", 3, 0.35, prompt_tokens=2000, output_tokens=75),
+        ModelCallKind("fault-summaries", 4, 0.47, prompt_tokens=2000, output_tokens=75),
+        ServiceCallKind("occupancy", "signs", 1, rate=20.0),
+        ServiceCallKind(
+            "sign-messages", "signs", 0, rate=4.0, has_idempotency_key=True
+        ),
     ),
 )
 
@@ -135,9 +137,9 @@
         "payroll": 0.05,
     },
     kinds=(
-        ModelKind("box-lookups", 0, 0.03, prompt_tokens=18, output_tokens=4),
-        ModelKind("index-questions", 1, 0.03, prompt_tokens=18, output_tokens=4),
-        ModelKind(
+        ModelCallKind("box-lookups", 0, 0.03, prompt_tokens=18, output_tokens=4),
+        ModelCallKind("index-questions", 1, 0.03, prompt_tokens=18, output_tokens=4),
+        ModelCallKind(
             "deed-questions",
             2,
             0.12,
@@ -146,7 +148,7 @@
             shared_tokens=1920,
             documents=60,
         ),
-        ModelKind(
+        ModelCallKind(
             "scanned-deeds",
             3,
             0.35,
@@ -155,7 +157,7 @@
             shared_tokens=1920,
             documents=60,
         ),
-        ModelKind(
+        ModelCallKind(
             "retention-reviews",
             4,
             0.47,
@@ -164,8 +166,8 @@
             shared_tokens=1920,
             documents=60,
         ),
-        ServiceKind("box-status", "counter", 1, rate=20.0),
-        ServiceKind("box-pulls", "counter", 0, rate=4.0, keyed=True),
+        ServiceCallKind("box-status", "counter", 1, rate=20.0),
+        ServiceCallKind("box-pulls", "counter", 0, rate=4.0, has_idempotency_key=True),
     ),
 )
 
--- a/bench/loadbench/trial.py
+++ b/bench/loadbench/trial.py
@@ -11,23 +11,23 @@
 import numpy as np
 
 from berylwalk.localfleet import EngineSpec, FleetStartError, LocalFleet
-from loadbench.capacity import full_rates
-from loadbench.engines import EngineWatch
+from loadbench.capacity import saturating_rates
+from loadbench.engines import EngineMonitor
 from loadbench.fleets import Overrides, engines, fleet_spec
-from loadbench.measures import RunFacts, ScenarioFigures, figures
+from loadbench.measures import RunInfo, ScenarioFigures, compute_figures
 from loadbench.results import Result
-from loadbench.scenarios import Scenario, restart_dead
-from loadbench.schedule import Call, build_calls
+from loadbench.scenarios import Scenario, restart_ended_processes
+from loadbench.schedule import ScheduledCall, build_calls
 from loadbench.sender import Job
 from loadbench.shapes import Shape
 
-SENDERS = 3
+SENDER_COUNT = 3
 START_ATTEMPTS = 3
 START_DELAY_S = 1.5
 WARM_UP_S = 2.0
 REJOIN_S = 4.0
-QUIET_S = 1.0
-BENCH = Path(__file__).resolve().parent.parent
+DRAIN_S = 1.0
+BENCH_DIRECTORY = Path(__file__).resolve().parent.parent
 
 
 class Trial:
@@ -60,9 +60,9 @@
         self._treatment = treatment
         self._seconds = seconds
         self._seed = seed
-        self._rate_by_service = full_rates(shape, engines(shape))
+        self._rate_by_service = saturating_rates(shape, engines(shape))
         self.fleet = LocalFleet.from_spec(fleet_spec(shape, overrides))
-        self._watch: EngineWatch | None = None
+        self._monitor: EngineMonitor | None = None
 
     def start(self) -> None:
         """Start the fleet.
@@ -83,7 +83,7 @@
                 self.fleet = LocalFleet.from_spec(
                     self.fleet.spec, subnet_offset=attempt
                 )
-        self._watch = EngineWatch(self.fleet)
+        self._monitor = EngineMonitor(self.fleet)
         time.sleep(WARM_UP_S)
 
     def close(self) -> dict[str, int]:
@@ -100,7 +100,7 @@
         index : int
             Its number; part of the seed.
         """
-        if restart_dead(self.fleet):
+        if restart_ended_processes(self.fleet):
             time.sleep(REJOIN_S)
         seconds = self._seconds * scenario.length
         calls = build_calls(
@@ -111,25 +111,25 @@
             routers=len(self.fleet.spec.routers),
             rng=np.random.default_rng([self._seed, index]),
         )
-        self._watch.start()
+        self._monitor.start()
         cpu_before = self._cpu_s()
         started_at = time.monotonic() + START_DELAY_S
         senders = self._start_senders(calls, started_at, scenario.name)
         self._inject(scenario, started_at, seconds)
         _sleep_until(started_at + seconds)
-        busy_slot_s = self._watch.busy_slot_s()
+        busy_slot_s = self._monitor.busy_slot_s()
         cpu_by_process = self._cpu_since(cpu_before)
         for sender in senders:
             cpu_by_process[sender.name] = sender.cpu_s()
         results = [result for sender in senders for result in sender.results()]
-        time.sleep(QUIET_S)
-        work = self._watch.stop(started_at)
-        facts = RunFacts(
+        time.sleep(DRAIN_S)
+        work = self._monitor.stop(started_at)
+        run_info = RunInfo(
             treatment=self._treatment,
             scenario=scenario.name,
             seconds=seconds,
             seed=self._seed,
-            slot_s=self._slots() * seconds,
+            slot_s=self._slot_count() * seconds,
             busy_slot_s=busy_slot_s,
             load_average=round(os.getloadavg()[0], 1),
             cpu_by_process={
@@ -137,27 +137,27 @@
                 for name, used_s in cpu_by_process.items()
             },
         )
-        return figures(self._shape, calls, results, work, facts)
+        return compute_figures(self._shape, calls, results, work, run_info)
 
     def _start_senders(
-        self, calls: list[Call], started_at: float, run: str
+        self, calls: list[ScheduledCall], started_at: float, run: str
     ) -> list["_SenderProcess"]:
         urls = list(self.fleet.caller_urls())
         jobs = [
-            Job(self._shape.name, urls, started_at, run, calls[number::SENDERS])
-            for number in range(SENDERS)
+            Job(self._shape.name, urls, started_at, run, calls[number::SENDER_COUNT])
+            for number in range(SENDER_COUNT)
         ]
         return [
-            _SenderProcess.started(f"sender-{number}", job)
+            _SenderProcess.spawn(f"sender-{number}", job)
             for number, job in enumerate(jobs)
         ]
 
     def _inject(self, scenario: Scenario, started_at: float, seconds: float) -> None:
         for injection in scenario.injections:
             _sleep_until(started_at + injection.at * seconds)
-            injection.apply(self.fleet, self._watch)
+            injection.apply(self.fleet, self._monitor)
 
-    def _slots(self) -> int:
+    def _slot_count(self) -> int:
         return sum(
             target.max_batch
             for target in self.fleet.spec.targets
@@ -187,13 +187,13 @@
         self._directory = directory
 
     @classmethod
-    def started(cls, name: str, job: Job) -> "_SenderProcess":
+    def spawn(cls, name: str, job: Job) -> "_SenderProcess":
         directory = Path(tempfile.mkdtemp(prefix="berylwalk-sender-"))
         (directory / "job").write_bytes(msgspec.msgpack.encode(job))
         arguments = [str(directory / "job"), str(directory / "results")]
         process = subprocess.Popen(
             [sys.executable, "-m", "loadbench.sender", *arguments],
-            cwd=BENCH,
+            cwd=BENCH_DIRECTORY,
             stdin=subprocess.DEVNULL,
         )
         return cls(name, process, directory)
--- a/bench/overhead.py
+++ b/bench/overhead.py
@@ -34,14 +34,14 @@
 ROUTER = "entry-1"
 DOMAIN = "domain-1"
 PATH = "/v1/chat/completions"
-END_OF_BODY = b"\r\n0\r\n\r\n"
-EVENT = b"data: "
-OTHER_EVENTS = 1
+LAST_CHUNK = b"\r\n0\r\n\r\n"
+EVENT_PREFIX = b"data: "
+NON_TOKEN_EVENTS = 1
 """Events of a stream that carry no token: the end."""
 SETTLE_S = 1.0
 SEED = 1
 CALL_TIMEOUT_S = 60.0
-TREE = """
+SETTINGS_TREE = """
 [tier standard]
 rank = 0
 deadline_s = 60
@@ -136,7 +136,7 @@
     ----------
     first_token_s : list of float
         Times to the first token of the whole answers.
-    late_s : list of float
+    send_lag_s : list of float
         How late each call was sent.
     failed : int
         Calls without a whole answer.
@@ -147,7 +147,7 @@
     """
 
     first_token_s: list[float] = field(default_factory=list)
-    late_s: list[float] = field(default_factory=list)
+    send_lag_s: list[float] = field(default_factory=list)
     failed: int = 0
     seconds: float = 0.0
     cpu_s_by_name: dict[str, float] = field(default_factory=dict)
@@ -158,7 +158,7 @@
         return len(self.first_token_s) + self.failed
 
 
-class Load:
+class LoadGenerator:
     """Sends a call within each interval over kept connections.
 
     Parameters
@@ -173,8 +173,8 @@
 
     def __init__(self, urls: tuple[str, ...], tokens: int, run: str) -> None:
         self.phase = Phase()
-        self._places = cycle([_place(url) for url in urls])
-        self._idle_by_place: dict[tuple[str, int], list[ByteStream]] = {}
+        self._addresses = cycle([_parse_address(url) for url in urls])
+        self._idle_by_address: dict[tuple[str, int], list[ByteStream]] = {}
         self._tokens = tokens
         self._run = run
 
@@ -187,39 +187,39 @@
             for number in range(round(rate * seconds)):
                 due = started + (number + rng.random()) / rate
                 await anyio.sleep(max(0.0, due - time.monotonic()))
-                self.phase.late_s.append(time.monotonic() - due)
-                tasks.start_soon(self._call, next(self._places), number)
+                self.phase.send_lag_s.append(time.monotonic() - due)
+                tasks.start_soon(self._call, next(self._addresses), number)
         await self._close()
 
-    async def _call(self, place: tuple[str, int], number: int) -> None:
-        idle = self._idle_by_place.setdefault(place, [])
-        request = _request(place[0], f"{self._run}-{number}", self._tokens)
+    async def _call(self, address: tuple[str, int], number: int) -> None:
+        idle = self._idle_by_address.setdefault(address, [])
+        request = _request(address[0], f"{self._run}-{number}", self._tokens)
         started = time.monotonic()
         try:
             with anyio.fail_after(CALL_TIMEOUT_S):
-                stream = idle.pop() if idle else await anyio.connect_tcp(*place)
+                stream = idle.pop() if idle else await anyio.connect_tcp(*address)
                 await stream.send(request)
-                first_s = await self._read(stream, started)
+                first_token_s = await self._read(stream, started)
         except (OSError, anyio.EndOfStream, anyio.BrokenResourceError):
-            first_s = None
-        if first_s is None:
+            first_token_s = None
+        if first_token_s is None:
             self.phase.failed += 1
             return
-        self.phase.first_token_s.append(first_s)
+        self.phase.first_token_s.append(first_token_s)
         idle.append(stream)
 
     async def _read(self, stream: ByteStream, started: float) -> float | None:
         received = bytearray()
-        first_s = None
-        while not received.endswith(END_OF_BODY):
+        first_token_s = None
+        while not received.endswith(LAST_CHUNK):
             received += await stream.receive()
-            if first_s is None and EVENT in received:
-                first_s = time.monotonic() - started
-        whole = received.count(EVENT) == self._tokens + OTHER_EVENTS
-        return first_s if whole else None
+            if first_token_s is None and EVENT_PREFIX in received:
+                first_token_s = time.monotonic() - started
+        whole = received.count(EVENT_PREFIX) == self._tokens + NON_TOKEN_EVENTS
+        return first_token_s if whole else None
 
     async def _close(self) -> None:
-        for idle in self._idle_by_place.values():
+        for idle in self._idle_by_address.values():
             for stream in idle:
                 await stream.aclose()
 
@@ -246,26 +246,26 @@
         """Run all phases and return their figures."""
         args = self._args
         load_before = os.getloadavg()[0]
-        await self._load(self._fleet.caller_urls(), args.short, "warm-up", 2.0)
-        idle = await self._idle()
+        await self._run_load(self._fleet.caller_urls(), args.short, "warm-up", 2.0)
+        idle = await self._observe_idle()
         direct, routed = {}, {}
         for tokens in (args.short, args.long):
-            direct[tokens] = await self._load(self._direct, tokens, f"d{tokens}")
+            direct[tokens] = await self._run_load(self._direct, tokens, f"d{tokens}")
             urls = self._fleet.caller_urls()
-            routed[tokens] = await self._load(urls, tokens, f"r{tokens}")
+            routed[tokens] = await self._run_load(urls, tokens, f"r{tokens}")
         return self._figures(idle, direct, routed, load_before)
 
-    async def _load(
+    async def _run_load(
         self, urls: tuple[str, ...], tokens: int, run: str, seconds: float | None = None
     ) -> Phase:
-        load = Load(urls, tokens, run)
+        generator = LoadGenerator(urls, tokens, run)
         before, started = self._cpu_s(), time.monotonic()
-        await load.send_all(self._args.rate, seconds or self._args.seconds)
-        phase = self._finish(load.phase, before, started)
+        await generator.send_all(self._args.rate, seconds or self._args.seconds)
+        phase = self._finish(generator.phase, before, started)
         await anyio.sleep(SETTLE_S)
         return phase
 
-    async def _idle(self) -> Phase:
+    async def _observe_idle(self) -> Phase:
         await anyio.sleep(SETTLE_S)
         before, started = self._cpu_s(), time.monotonic()
         await anyio.sleep(self._args.idle_seconds)
@@ -292,26 +292,28 @@
         args = self._args
         phases = (*direct.values(), *routed.values())
         short, long = args.short, args.long
-        everything = merged(direct.values())
-        through = merged(routed.values())
+        direct_s = merge_values(direct.values())
+        routed_s = merge_values(routed.values())
         return Figures(
-            added_first_token_p50_ms=_added_ms(everything, through, 50),
-            added_first_token_p95_ms=_added_ms(everything, through, 95),
+            added_first_token_p50_ms=_added_ms(direct_s, routed_s, 50),
+            added_first_token_p95_ms=_added_ms(direct_s, routed_s, 95),
             added_short_p95_ms=_added_ms(
                 direct[short].first_token_s, routed[short].first_token_s, 95
             ),
             added_long_p95_ms=_added_ms(
                 direct[long].first_token_s, routed[long].first_token_s, 95
             ),
-            direct_p50_ms=round(1e3 * quantile(everything, 50), 2),
-            direct_p95_ms=round(1e3 * quantile(everything, 95), 2),
-            router=self._role((ROUTER,), idle, routed),
-            agent=self._role(self._agents, idle, routed),
+            direct_p50_ms=round(1e3 * quantile(direct_s, 50), 2),
+            direct_p95_ms=round(1e3 * quantile(direct_s, 95), 2),
+            router=self._role_figures((ROUTER,), idle, routed),
+            agent=self._role_figures(self._agents, idle, routed),
             load_before=load_before,
             load_after=os.getloadavg()[0],
             requests=sum(phase.calls for phase in phases),
             failed=sum(phase.failed for phase in phases),
-            late_sends_p95_ms=round(1e3 * quantile(merged(phases, "late_s"), 95), 2),
+            late_sends_p95_ms=round(
+                1e3 * quantile(merge_values(phases, "send_lag_s"), 95), 2
+            ),
             agents=len(self._agents),
             rate=args.rate,
             step_ms=args.step_ms,
@@ -319,14 +321,16 @@
             long_tokens=long,
         )
 
-    def _role(
+    def _role_figures(
         self, names: tuple[str, ...], idle: Phase, routed: dict[int, Phase]
     ) -> RoleFigures:
-        idle_share = _cpu(idle, names) / idle.seconds
+        idle_share = _total_cpu_s(idle, names) / idle.seconds
         short, long = routed[self._args.short], routed[self._args.long]
         # Per request, without what the processes use anyway.
-        short_s = (_cpu(short, names) - idle_share * short.seconds) / short.calls
-        long_s = (_cpu(long, names) - idle_share * long.seconds) / long.calls
+        short_s = (
+            _total_cpu_s(short, names) - idle_share * short.seconds
+        ) / short.calls
+        long_s = (_total_cpu_s(long, names) - idle_share * long.seconds) / long.calls
         chunk_s = (long_s - short_s) / (self._args.long - self._args.short)
         request_s = short_s - chunk_s * self._args.short
         processes = self._fleet.processes_by_name
@@ -335,7 +339,8 @@
             cpu_us_a_chunk=round(1e6 * chunk_s, 1),
             idle_cpu_percent=round(100 * idle_share / len(names), 2),
             loaded_cpu_percent=round(
-                100 * max(_cpu(long, (name,)) for name in names) / long.seconds, 1
+                100 * max(_total_cpu_s(long, (name,)) for name in names) / long.seconds,
+                1,
             ),
             resident_mb=round(
                 max(resident_bytes(processes[name].pid) for name in names) / 1e6, 1
@@ -363,7 +368,7 @@
     return statistics.quantiles(values, n=100, method="inclusive")[percent - 1]
 
 
-def merged(phases: Iterable[Phase], name: str = "first_token_s") -> list[float]:
+def merge_values(phases: Iterable[Phase], name: str = "first_token_s") -> list[float]:
     """Return the values of several phases as one list."""
     return [value for phase in phases for value in getattr(phase, name)]
 
@@ -373,7 +378,7 @@
 
     The agents' limits are fixed: the way is measured, not the policy.
     """
-    batch = 256
+    max_batch = 256
     return FleetSpec(
         routers=(RouterSpec(ROUTER, DOMAIN),),
         targets=tuple(
@@ -384,14 +389,16 @@
                 step_ms=args.step_ms,
                 batch_slope=0.0,
                 prefill_tokens_per_s=200_000.0,
-                max_batch=batch,
+                max_batch=max_batch,
             )
             for number in range(1, args.agents + 1)
         ),
-        settings_tree=TREE.format(
+        settings_tree=SETTINGS_TREE.format(
             account=ACCOUNT, digest=sha256(TOKEN.encode()).hexdigest()
         ),
-        overrides={"admission": {"initial_limit": str(batch), "min_limit": str(batch)}},
+        overrides={
+            "admission": {"initial_limit": str(max_batch), "min_limit": str(max_batch)}
+        },
     )
 
 
@@ -421,7 +428,7 @@
     print(msgspec.json.encode(figures).decode())
 
 
-def _cpu(phase: Phase, names: tuple[str, ...]) -> float:
+def _total_cpu_s(phase: Phase, names: tuple[str, ...]) -> float:
     return sum(phase.cpu_s_by_name[name] for name in names)
 
 
@@ -429,7 +436,7 @@
     return round(1e3 * (quantile(routed, percent) - quantile(direct, percent)), 2)
 
 
-def _place(url: str) -> tuple[str, int]:
+def _parse_address(url: str) -> tuple[str, int]:
     host, _, port = url.removeprefix("http://").partition(":")
     return host, int(port)
 
--- a/bench/run.py
+++ b/bench/run.py
@@ -9,19 +9,23 @@
 import msgspec
 
 from loadbench import scenarios
-from loadbench.aims import judge
+from loadbench.criteria import evaluate_criteria
 from loadbench.fleets import OVERRIDES_BY_TREATMENT, Overrides
 from loadbench.measures import ScenarioFigures
 from loadbench.report import HEADER, plot, table_line
 from loadbench.shapes import SHAPES_BY_NAME, Shape
 from loadbench.trial import Trial
 
-OUT = Path(__file__).resolve().parent / "out"
-SECONDS = 7.0
-QUICK_SECONDS = 5.0
-QUICK_SCENARIOS = (scenarios.HALF, scenarios.TWICE, scenarios.ENGINE_KILLED)
+OUTPUT_DIRECTORY = Path(__file__).resolve().parent / "out"
+SCENARIO_S = 7.0
+QUICK_SCENARIO_S = 5.0
+QUICK_SCENARIOS = (
+    scenarios.HALF_LOAD,
+    scenarios.TWICE_CAPACITY,
+    scenarios.ENGINE_KILLED,
+)
 QUICK_SHAPES = ("parkovisko",)
-EXPECTED_CODES = (0, -signal.SIGTERM, -signal.SIGKILL)
+EXPECTED_EXIT_CODES = (0, -signal.SIGTERM, -signal.SIGKILL)
 """Stand-ins end by the signal; the last scenario kills a failure domain."""
 
 ALL_SCENARIOS = tuple(
@@ -58,37 +62,37 @@
 def main() -> int:
     """Run the benchmark and return the exit code, 1 when an aim was missed."""
     args = build_parser().parse_args()
-    _apply_quick(args)
-    OUT.mkdir(exist_ok=True)
+    _set_defaults(args)
+    OUTPUT_DIRECTORY.mkdir(exist_ok=True)
     stamp = time.strftime("%Y%m%d-%H%M%S")
-    lines_path = OUT / f"{stamp}-{args.name}.jsonl"
+    lines_path = OUTPUT_DIRECTORY / f"{stamp}-{args.name}.jsonl"
     all_figures: list[ScenarioFigures] = []
     missed = False
     for name in args.shape or SHAPES_BY_NAME:
         shape = SHAPES_BY_NAME[name]
-        found = _run_shape(shape, args, lines_path)
-        all_figures += found.values()
+        figures_by_key = _run_shape(shape, args, lines_path)
+        all_figures += figures_by_key.values()
         print()
-        for judged in judge(shape, found):
-            print(judged.line(), flush=True)
-            missed = missed or not judged.met
+        for result in evaluate_criteria(shape, figures_by_key):
+            print(result.line(), flush=True)
+            missed = missed or not result.is_met
     plot(all_figures, lines_path.with_suffix(".png"))
     print(f"\nfigures: {lines_path}")
     return 1 if missed else 0
 
 
-def _apply_quick(args: Namespace) -> None:
+def _set_defaults(args: Namespace) -> None:
     if args.quick:
         args.shape = args.shape or list(QUICK_SHAPES)
         args.scenario = args.scenario or list(QUICK_SCENARIOS)
-    default = QUICK_SECONDS if args.quick else SECONDS
+    default = QUICK_SCENARIO_S if args.quick else SCENARIO_S
     args.seconds = args.seconds or default
 
 
 def _run_shape(
     shape: Shape, args: Namespace, lines_path: Path
 ) -> dict[tuple[str, str], ScenarioFigures]:
-    found = {}
+    figures_by_key = {}
     print(f"\n{shape.name}\n{HEADER}", flush=True)
     for treatment in args.treatment or OVERRIDES_BY_TREATMENT:
         overrides = _overrides(treatment, args.set)
@@ -99,29 +103,31 @@
                 if args.scenario and scenario.name not in args.scenario:
                     continue
                 figures = trial.run(scenario, index)
-                found[treatment, scenario.name] = figures
+                figures_by_key[treatment, scenario.name] = figures
                 with lines_path.open("ab") as file:
                     file.write(msgspec.json.encode(figures) + b"\n")
                 print(table_line(figures), flush=True)
         finally:
             codes = trial.close()
-        failed = {
-            name: code for name, code in codes.items() if code not in EXPECTED_CODES
+        unexpected_codes = {
+            name: code
+            for name, code in codes.items()
+            if code not in EXPECTED_EXIT_CODES
         }
-        if failed:
-            print(f"unexpected exit codes: {failed}", flush=True)
-    return found
+        if unexpected_codes:
+            print(f"unexpected exit codes: {unexpected_codes}", flush=True)
+    return figures_by_key
 
 
-def _overrides(treatment: str, changes: list[str]) -> Overrides:
+def _overrides(treatment: str, assignments: list[str]) -> Overrides:
     overrides = {
         section: dict(keys)
         for section, keys in OVERRIDES_BY_TREATMENT[treatment].items()
     }
     if treatment == "baseline":
         return overrides
-    for change in changes:
-        name, _, value = change.partition("=")
+    for assignment in assignments:
+        name, _, value = assignment.partition("=")
         section, _, key = name.partition(".")
         overrides.setdefault(section, {})[key] = value
     return overrides
--- a/bench/slopes.py
+++ b/bench/slopes.py
@@ -18,7 +18,7 @@
     request_costs,
     settings_costs,
 )
-from slopes.report import circumstances, json_line, table
+from slopes.report import environment_json, json_line, table
 from slopes.scale import FULL, QUICK
 
 GROUPS_BY_NAME: dict[str, ModuleType] = {
@@ -47,12 +47,12 @@
     logging.set_verbosity(logging.ERROR)
     scale = QUICK if options.quick else FULL
     slopes = []
-    print(circumstances(), flush=True)
+    print(environment_json(), flush=True)
     for name in options.group or GROUPS_BY_NAME:
         for slope in GROUPS_BY_NAME[name].measure(scale):
             slopes.append(slope)
             print(json_line(slope), flush=True)
-    print(circumstances())
+    print(environment_json())
     print(table(slopes))
 
 
--- a/bench/slopes/agents.py
+++ b/bench/slopes/agents.py
@@ -26,7 +26,7 @@
 SLOTS = 8
 
 
-class DrivenAgent:
+class SimulatedAgent:
     """An agent machine, its routers and its clock.
 
     Parameters
@@ -53,20 +53,20 @@
         self._ticked_at = self.now
         self._serial = 0
         self._routers = tuple(f"router-{i:03}" for i in range(routers))
-        self.feed(TiersChanged(1, TIERS))
-        self.feed(TargetChanged((RESOURCE,)))
-        self.greet()
+        self.handle_event(TiersChanged(1, TIERS))
+        self.handle_event(TargetChanged((RESOURCE,)))
+        self.send_hellos()
 
-    def feed(self, event: object) -> list[AgentAction]:
+    def handle_event(self, event: object) -> list[AgentAction]:
         """Hand an event to the machine and count its datagrams."""
         actions = self.machine.handle(event, self.now)
         self.sent += sum(isinstance(action, SendToRouter) for action in actions)
         return actions
 
-    def greet(self) -> None:
+    def send_hellos(self) -> None:
         """Let each router greet the agent once."""
         for router in self._routers:
-            self.feed(DatagramArrived(Datagram(router, 1, 1, (Hello(),))))
+            self.handle_event(DatagramArrived(Datagram(router, 1, 1, (Hello(),))))
 
     def advance(self, seconds: float, *, changes: bool = False) -> None:
         """Let time pass, with heartbeats and, on demand, changes of load."""
@@ -75,7 +75,7 @@
             self.now += TICK_S
             self._tick_if_due()
             for router in self._routers[number % 100 :: 100]:
-                self.feed(DatagramArrived(Datagram(router, 1, 1, (Hello(),))))
+                self.handle_event(DatagramArrived(Datagram(router, 1, 1, (Hello(),))))
             if changes:
                 self.run_granted(1)
 
@@ -86,14 +86,14 @@
             return
         self._ticked_at = self.now
         self.ticks += 1
-        self.feed(Tick())
+        self.handle_event(Tick())
 
-    def run_granted(self, count: int, *, pieces: int = 1) -> int:
+    def run_granted(self, count: int, *, chunks: int = 1) -> int:
         """Run requests by conditional grants; return how many were dispatched."""
         started = 0
         for _ in range(count):
             grant = self._grant(conditional=True)
-            started += self._dispatch(grant, pieces)
+            started += self._dispatch(grant, chunks)
             self.now += 0.001
         return started
 
@@ -102,35 +102,35 @@
         started = 0
         for _ in range(count):
             reserve = self._reserve()
-            actions = self._say(reserve)
+            actions = self._deliver(reserve)
             if any(_has_ready(action) for action in actions):
                 grant = self._grant(conditional=False, reserve=reserve)
                 started += self._dispatch(grant, 1)
             self.now += 0.001
         return started
 
-    def fill(self) -> None:
+    def occupy_slots(self) -> None:
         """Take all slots."""
         for _ in range(SLOTS):
-            self.feed(GrantArrived(self._grant(conditional=True)))
+            self.handle_event(GrantArrived(self._grant(conditional=True)))
 
-    def wait(self, count: int) -> None:
+    def queue_requests(self, count: int) -> None:
         """Let requests wait."""
         for _ in range(count):
-            self._say(self._reserve())
+            self._deliver(self._reserve())
 
-    def _say(self, reserve: Reserve) -> list[AgentAction]:
+    def _deliver(self, reserve: Reserve) -> list[AgentAction]:
         router, incarnation, _ = reserve.request_id
         datagram = Datagram(router, incarnation, 1, (reserve,))
-        return self.feed(DatagramArrived(datagram))
+        return self.handle_event(DatagramArrived(datagram))
 
-    def _dispatch(self, grant: Grant, pieces: int) -> int:
-        actions = self.feed(GrantArrived(grant))
+    def _dispatch(self, grant: Grant, chunks: int) -> int:
+        actions = self.handle_event(GrantArrived(grant))
         if not any(isinstance(action, StartDispatch) for action in actions):
             return 0
-        for number in range(pieces):
-            self.feed(TargetProgress(grant.request_id, number == 0, 1))
-        self.feed(DispatchEnded(grant.request_id, DispatchEnd.COMPLETE))
+        for number in range(chunks):
+            self.handle_event(TargetProgress(grant.request_id, number == 0, 1))
+        self.handle_event(DispatchEnded(grant.request_id, DispatchEnd.COMPLETE))
         return 1
 
     def _new_id(self) -> RequestId:
--- a/bench/slopes/costs.py
+++ b/bench/slopes/costs.py
@@ -5,16 +5,16 @@
 from collections.abc import Callable
 from time import process_time
 
-MICROSECONDS = 1e6
-KIBIBYTE = 1024
+US_PER_S = 1e6
+BYTES_PER_KIB = 1024
 
 
-def processor_us(work: Callable[[], object]) -> float:
+def cpu_time_us(work: Callable[[], object]) -> float:
     """Return the processor time of a piece of work, in microseconds."""
     gc.collect()
     start = process_time()
     work()
-    return (process_time() - start) * MICROSECONDS
+    return (process_time() - start) * US_PER_S
 
 
 def memory_kib(build: Callable[[], object]) -> float:
@@ -29,4 +29,4 @@
     finally:
         tracemalloc.stop()
     del kept
-    return (after - before) / KIBIBYTE
+    return (after - before) / BYTES_PER_KIB
--- a/bench/slopes/fleet_costs.py
+++ b/bench/slopes/fleet_costs.py
@@ -25,7 +25,7 @@
 from slopes.scale import Scale
 
 TOKEN = "token-of-a-measured-account"
-TREE = f"""
+SETTINGS_TREE = f"""
 [tier standard]
 rank = 0
 deadline_s = 60
@@ -36,20 +36,20 @@
 [/account]
 credential_sha256 = {sha256(TOKEN.encode()).hexdigest()}
 """
-NODES = (1, 2, 3, 4)
+IDLE_FLEET_SIZES = (1, 2, 3, 4)
 """Sizes of the idle fleets: routers, and twice as many agents."""
 
-REQUESTS = (25, 50, 100, 200)
-TOKENS = (8, 32, 64, 128)
-REQUESTS_BY_TOKENS = 48
-CALLS_AT_ONCE = 16
+REQUEST_COUNTS = (25, 50, 100, 200)
+TOKEN_COUNTS = (8, 32, 64, 128)
+REQUESTS_PER_TOKEN_COUNT = 48
+MAX_CONCURRENT_CALLS = 16
 # Longer than the time for which agents gather pieces, so that each token is
 # one piece on each hop.
 STEP_MS = 15.0
 WARM_UP_S = 2.0
 KEY_VALUE_PREFIX = "/v3/"
-MICROSECONDS_PER_NS = 1e-3
-KIBIBYTE_PER_MIB = 1024
+US_PER_NS = 1e-3
+KIB_PER_MIB = 1024
 
 
 def measure(scale: Scale) -> list[Slope]:
@@ -60,7 +60,7 @@
 def _measure_idle(scale: Scale) -> list[Slope]:
     fleets = {
         size: LocalFleet.from_spec(_idle_spec(size), subnet_offset=size)
-        for size in NODES
+        for size in IDLE_FLEET_SIZES
     }
     try:
         with ThreadPoolExecutor() as threads:
@@ -69,18 +69,18 @@
         before = {size: _snapshot(fleet) for size, fleet in fleets.items()}
         time.sleep(scale.idle_s)
         after = {size: _snapshot(fleet) for size, fleet in fleets.items()}
-        memory = {
+        memory_by_role = {
             role: {size: _memory(fleet, role) for size, fleet in fleets.items()}
             for role in ("router", "target")
         }
     finally:
         with ThreadPoolExecutor() as threads:
             list(threads.map(LocalFleet.close, fleets.values()))
-    return _idle_slopes(before, after, memory, scale.idle_s)
+    return _idle_slopes(before, after, memory_by_role, scale.idle_s)
 
 
 def _idle_slopes(
-    before: dict, after: dict, memory: dict, seconds: float
+    before: dict, after: dict, memory_by_role: dict, seconds: float
 ) -> list[Slope]:
     def rates(role: str) -> dict[int, list[float]]:
         return {
@@ -89,7 +89,7 @@
                 for name, cost in before[size].items()
                 if name.startswith(role)
             ]
-            for size in NODES
+            for size in IDLE_FLEET_SIZES
         }
 
     return [
@@ -106,13 +106,13 @@
             unit="us/s",
         ),
         fit(
-            memory["router"],
+            memory_by_role["router"],
             name="process: memory of an idle router, by nodes",
             per="router and 2 agents",
             unit="MiB",
         ),
         fit(
-            memory["target"],
+            memory_by_role["target"],
             name="process: memory of an idle agent, by nodes",
             per="router and 2 agents",
             unit="MiB",
@@ -130,13 +130,13 @@
     return FleetSpec(
         routers=tuple(RouterSpec(f"router-{n}", "a") for n in range(size)),
         targets=tuple(ServiceSpec(f"target-{n}", "a") for n in range(2 * size)),
-        settings_tree=TREE,
+        settings_tree=SETTINGS_TREE,
     )
 
 
 def _snapshot(fleet: LocalFleet) -> dict[str, float]:
     costs = {
-        name: _processor_us(fleet.processes_by_name[name].pid)
+        name: _process_cpu_us(fleet.processes_by_name[name].pid)
         for name in fleet.daemon_names()
     }
     return costs | {"calls": _key_value_calls(fleet)}
@@ -159,26 +159,28 @@
     spec = FleetSpec(
         routers=(RouterSpec("router-0", "a"),),
         targets=(EngineSpec("target-0", "a", step_ms=STEP_MS, batch_slope=0.0),),
-        settings_tree=TREE,
-        overrides={"admission": {"initial_limit": str(CALLS_AT_ONCE)}},
+        settings_tree=SETTINGS_TREE,
+        overrides={"admission": {"initial_limit": str(MAX_CONCURRENT_CALLS)}},
     )
     fleet = LocalFleet.from_spec(spec, subnet_offset=9)
-    caller = CheckedCaller(max_calls=CALLS_AT_ONCE)
+    caller = CheckedCaller(max_calls=MAX_CONCURRENT_CALLS)
     try:
         fleet.start()
-        load = _Load(fleet, caller)
-        load.run(CALLS_AT_ONCE, 8)
+        generator = _LoadGenerator(fleet, caller)
+        generator.run(MAX_CONCURRENT_CALLS, 8)
         return [
-            *load.slopes(
-                [scale.count(size) for size in REQUESTS],
-                lambda size: load.run(size, 1),
+            *generator.slopes(
+                [scale.count(size) for size in REQUEST_COUNTS],
+                lambda size: generator.run(size, 1),
                 per="request",
                 name="process: whole request of one token",
                 repeats=scale.fleet_repeats,
             ),
-            *load.slopes(
-                TOKENS,
-                lambda size: load.run_pieces(size, scale.count(REQUESTS_BY_TOKENS)),
+            *generator.slopes(
+                TOKEN_COUNTS,
+                lambda size: generator.run_chunks(
+                    size, scale.count(REQUESTS_PER_TOKEN_COUNT)
+                ),
                 per="piece",
                 name="process: streamed answer",
                 repeats=scale.fleet_repeats,
@@ -189,7 +191,7 @@
         fleet.close()
 
 
-class _Load:
+class _LoadGenerator:
     """Sends calls and reads what they cost the router and the agent."""
 
     def __init__(self, fleet: LocalFleet, caller: CheckedCaller) -> None:
@@ -199,16 +201,16 @@
 
     def run(self, requests: int, tokens: int) -> dict[str, float]:
         """Return the processor time by role, in microseconds."""
-        before = self._costs()
+        before = self._cpu_us_by_role()
         calls = [self._start(tokens) for _ in range(requests)]
         wait(calls)
         wrong = [c for c in calls if c.result().end is not AnswerEnd.WHOLE]
         if wrong:
             raise RuntimeError(f"{len(wrong)} answers are not whole")
-        after = self._costs()
+        after = self._cpu_us_by_role()
         return {role: after[role] - before[role] for role in before}
 
-    def run_pieces(self, tokens: int, requests: int) -> dict[str, float]:
+    def run_chunks(self, tokens: int, requests: int) -> dict[str, float]:
         """Return the processor time of one request by role, in microseconds."""
         costs = self.run(requests, tokens)
         return {role: cost / requests for role, cost in costs.items()}
@@ -242,24 +244,24 @@
         )
         return self._caller.start_chat(self._fleet.caller_urls()[0], call)
 
-    def _costs(self) -> dict[str, float]:
+    def _cpu_us_by_role(self) -> dict[str, float]:
         processes = self._fleet.processes_by_name
         return {
-            "router": _processor_us(processes["router-0"].pid),
-            "agent": _processor_us(processes[agent_name("target-0")].pid),
+            "router": _process_cpu_us(processes["router-0"].pid),
+            "agent": _process_cpu_us(processes[agent_name("target-0")].pid),
         }
 
 
-def _processor_us(pid: int) -> float:
+def _process_cpu_us(pid: int) -> float:
     tasks = Path(f"/proc/{pid}/task").iterdir()
     nanoseconds = sum(
         int((task / "schedstat").read_text().split()[0]) for task in tasks
     )
-    return nanoseconds * MICROSECONDS_PER_NS
+    return nanoseconds * US_PER_NS
 
 
 def _resident_mib(pid: int) -> float:
     for line in Path(f"/proc/{pid}/status").read_text().splitlines():
         if line.startswith("VmRSS:"):
-            return int(line.split()[1]) / KIBIBYTE_PER_MIB
+            return int(line.split()[1]) / KIB_PER_MIB
     raise RuntimeError(f"process {pid} has ended")
--- a/bench/slopes/message_costs.py
+++ b/bench/slopes/message_costs.py
@@ -20,36 +20,36 @@
     decode_datagram,
     encode_datagram,
 )
-from slopes.agents import DrivenAgent
-from slopes.costs import MICROSECONDS, processor_us
+from slopes.agents import SimulatedAgent
+from slopes.costs import US_PER_S, cpu_time_us
 from slopes.fitting import Slope, measure_slope
-from slopes.routers import ROUTER, DrivenRouter, digest_of
+from slopes.routers import ROUTER, SimulatedRouter, digest_of
 from slopes.scale import Scale
 
 HOST = "127.0.0.1"
 KEY = FleetKey(b"a key for measurements only")
-DATAGRAMS = (250, 500, 1000, 2000)
-MESSAGES = (1, 2, 4, 6)
-WAKES = (25, 50, 100, 200)
-WAKE_S = 0.005
-BURST = 50
-AT_MESSAGES = 500
-BIG = 1 << 20
+DATAGRAM_COUNTS = (250, 500, 1000, 2000)
+MESSAGE_COUNTS = (1, 2, 4, 6)
+WAKEUP_COUNTS = (25, 50, 100, 200)
+WAKEUP_INTERVAL_S = 0.005
+BURST_SIZE = 50
+DATAGRAMS_PER_MESSAGE_COUNT = 500
+RECEIVE_BUFFER_BYTES = 1 << 20
 
 
 def measure(scale: Scale) -> list[Slope]:
     """Measure sending, receiving and handling."""
-    sizes = [scale.count(size) for size in DATAGRAMS]
+    sizes = [scale.count(size) for size in DATAGRAM_COUNTS]
     per_datagram = partial(
         measure_slope, per="datagram", unit="us", sizes=sizes, repeats=scale.repeats
     )
     return [
         measure_slope(
-            _wake,
+            _wake_up,
             name="event loop: wake-up by a timer",
             per="wake-up",
             unit="us",
-            sizes=WAKES,
+            sizes=WAKEUP_COUNTS,
             repeats=scale.repeats,
         ),
         per_datagram(_send_hellos, name="datagram sent: heartbeat"),
@@ -66,7 +66,7 @@
             name="datagram sent, by messages in it",
             per="message",
             unit="us",
-            sizes=MESSAGES,
+            sizes=MESSAGE_COUNTS,
             repeats=scale.repeats,
         ),
         measure_slope(
@@ -74,7 +74,7 @@
             name="reservation datagram, by reservations",
             per="message",
             unit="bytes",
-            sizes=MESSAGES,
+            sizes=MESSAGE_COUNTS,
             repeats=1,
         ),
         measure_slope(
@@ -82,21 +82,21 @@
             name="digest datagram, by resources",
             per="resource",
             unit="bytes",
-            sizes=MESSAGES,
+            sizes=MESSAGE_COUNTS,
             repeats=1,
         ),
     ]
 
 
-def _wake(count: int) -> float:
-    return anyio.run(_wake_async, count)
+def _wake_up(count: int) -> float:
+    return anyio.run(_wake_up_async, count)
 
 
-async def _wake_async(count: int) -> float:
+async def _wake_up_async(count: int) -> float:
     start = process_time()
     for _ in range(count):
-        await anyio.sleep(WAKE_S)
-    return (process_time() - start) * MICROSECONDS
+        await anyio.sleep(WAKEUP_INTERVAL_S)
+    return (process_time() - start) * US_PER_S
 
 
 def _send_hellos(count: int) -> float:
@@ -109,7 +109,10 @@
 
 def _send_messages(messages: int) -> float:
     reserves = tuple(_reserve(number) for number in range(messages))
-    return _send(AT_MESSAGES, partial(_encoded, *reserves)) / AT_MESSAGES
+    return (
+        _send(DATAGRAMS_PER_MESSAGE_COUNT, partial(_encoded, *reserves))
+        / DATAGRAMS_PER_MESSAGE_COUNT
+    )
 
 
 def _send(count: int, encode: Callable[[], bytes]) -> float:
@@ -119,21 +122,21 @@
 async def _send_async(count: int, encode: Callable[[], bytes]) -> float:
     endpoint = DatagramEndpoint(HOST, 0, seal=KEY.seal, open_=KEY.open)
     await endpoint.start()
-    sink = _sink()
+    sink = _open_sink()
     address = sink.getsockname()
 
     def work() -> None:
         for _ in range(count):
             endpoint.send(encode(), address)
 
-    cost = processor_us(work)
+    cost = cpu_time_us(work)
     sink.close()
     await endpoint.close()
     return cost
 
 
 def _receive_digests(count: int) -> float:
-    router = DrivenRouter(16)
+    router = SimulatedRouter(16)
     agents = router.agents
     payloads = [
         encode_datagram(Datagram(agents[n % 16], 1, 1, (digest_of(n % 16, 1000 + n),)))
@@ -148,7 +151,7 @@
 
 
 def _receive_hellos(count: int) -> float:
-    agent = DrivenAgent()
+    agent = SimulatedAgent()
     payloads = [_encoded(Hello())] * count
 
     def handle(payload: bytes) -> None:
@@ -166,24 +169,24 @@
     sender = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
     cost = 0.0
     source = aiter(endpoint)
-    for start in range(0, len(payloads), BURST):
-        burst = payloads[start : start + BURST]
+    for start in range(0, len(payloads), BURST_SIZE):
+        burst = payloads[start : start + BURST_SIZE]
         for payload in burst:
             sender.sendto(KEY.seal(payload), endpoint.address)
-        cost += await _cost_of_receiving(source, len(burst), handle)
+        cost += await _receive_cost_us(source, len(burst), handle)
     sender.close()
     await endpoint.close()
     return cost
 
 
-async def _cost_of_receiving(
+async def _receive_cost_us(
     source: object, count: int, handle: Callable[[bytes], None]
 ) -> float:
     start = process_time()
     for _ in range(count):
         received = await anext(source)
         handle(received.payload)
-    return (process_time() - start) * MICROSECONDS
+    return (process_time() - start) * US_PER_S
 
 
 def _reserve_bytes(messages: int) -> float:
@@ -207,8 +210,8 @@
     return encode_datagram(Datagram(ROUTER, 1, 1, messages))
 
 
-def _sink() -> socket.socket:
+def _open_sink() -> socket.socket:
     sink = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
-    sink.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, BIG)
+    sink.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, RECEIVE_BUFFER_BYTES)
     sink.bind((HOST, 0))
     return sink
--- a/bench/slopes/peer_costs.py
+++ b/bench/slopes/peer_costs.py
@@ -4,157 +4,157 @@
 
 from berylwalk.platform import Vm, VmRole
 from berylwalk.router._membership import MemberTable, member_from_vm
-from slopes.agents import DrivenAgent
-from slopes.costs import memory_kib, processor_us
+from slopes.agents import SimulatedAgent
+from slopes.costs import cpu_time_us, memory_kib
 from slopes.fitting import Slope, measure_slope
-from slopes.routers import ROUTER, DrivenRouter
+from slopes.routers import ROUTER, SimulatedRouter
 from slopes.scale import Scale
 
-KNOWN = (250, 500, 1000, 2000)
-SECONDS = 4.0
-ROUTERS = (5, 10, 20, 40)
-WAITING = (250, 500, 1000, 2000)
-SMALL_FLEETS = (4, 8, 12, 16)
+FLEET_SIZES = (250, 500, 1000, 2000)
+MEASURED_S = 4.0
+ROUTER_COUNTS = (5, 10, 20, 40)
+QUEUE_LENGTHS = (250, 500, 1000, 2000)
+SMALL_FLEET_SIZES = (4, 8, 12, 16)
 SETTLE_S = 3.0
-SURVEYED_PER_S = 80
+PROBES_PER_S = 80
 MEMORY_REPEATS = 2
 
 
 def measure(scale: Scale) -> list[Slope]:
     """Measure what a second costs, and what is kept."""
-    seconds = max(1.0, SECONDS * scale.share)
-    waiting = [scale.count(size) for size in WAITING]
-    known = [scale.count(size) for size in KNOWN]
-    line = partial(measure_slope, repeats=scale.repeats)
-    memory = partial(measure_slope, repeats=min(scale.repeats, MEMORY_REPEATS))
+    seconds = max(1.0, MEASURED_S * scale.share)
+    queue_lengths = [scale.count(size) for size in QUEUE_LENGTHS]
+    fleet_sizes = [scale.count(size) for size in FLEET_SIZES]
+    measure_time = partial(measure_slope, repeats=scale.repeats)
+    measure_memory = partial(measure_slope, repeats=min(scale.repeats, MEMORY_REPEATS))
     # Nothing in these depends on the machine's speed.
-    rate = partial(measure_slope, repeats=1)
+    measure_rate = partial(measure_slope, repeats=1)
     return [
-        line(
+        measure_time(
             partial(_router_second, seconds=seconds),
             name="router machine: a second, by agents in a small fleet",
             per="agent",
             unit="us/s",
-            sizes=SMALL_FLEETS,
+            sizes=SMALL_FLEET_SIZES,
         ),
-        line(
+        measure_time(
             partial(_router_second, seconds=seconds),
             name="router machine: a second, by agents listed",
             per="agent",
             unit="us/s",
-            sizes=known,
+            sizes=fleet_sizes,
         ),
-        rate(
-            _hellos,
+        measure_rate(
+            _hellos_sent_per_s,
             name="router machine: heartbeats sent a second, by agents listed",
             per="agent",
             unit="1/s",
-            sizes=known,
+            sizes=fleet_sizes,
         ),
-        line(
+        measure_time(
             _list_resources,
             name="router machine: list of resources, by agents listed",
             per="agent",
             unit="us",
-            sizes=known,
+            sizes=fleet_sizes,
         ),
-        line(
+        measure_time(
             _apply_vm_list,
             name="router: VM list taken over, without transport, by VMs",
             per="VM",
             unit="us",
-            sizes=known,
+            sizes=fleet_sizes,
         ),
-        memory(
+        measure_memory(
             _router_memory,
             name="router machine: memory, by agents listed",
             per="agent",
             unit="KiB",
-            sizes=known,
+            sizes=fleet_sizes,
         ),
-        line(
+        measure_time(
             partial(_agent_second, seconds=seconds),
             name="agent machine: a second, by routers that greet",
             per="router",
             unit="us/s",
-            sizes=ROUTERS,
+            sizes=ROUTER_COUNTS,
         ),
-        rate(
-            _digests,
+        measure_rate(
+            _datagrams_sent_per_s,
             name="agent machine: datagrams sent a second under load, by routers",
             per="router",
             unit="1/s",
-            sizes=ROUTERS,
+            sizes=ROUTER_COUNTS,
         ),
-        memory(
+        measure_memory(
             _router_waiting_memory,
             name="router machine: memory, by waiting requests",
             per="request",
             unit="KiB",
-            sizes=waiting,
+            sizes=queue_lengths,
         ),
-        line(
+        measure_time(
             partial(_router_waiting_second, seconds=seconds),
             name="router machine: a second, by waiting requests",
             per="request",
             unit="us/s",
-            sizes=waiting,
+            sizes=queue_lengths,
         ),
-        memory(
+        measure_memory(
             _agent_waiting_memory,
             name="agent machine: memory, by waiting requests",
             per="request",
             unit="KiB",
-            sizes=waiting,
+            sizes=queue_lengths,
         ),
-        line(
+        measure_time(
             partial(_agent_waiting_second, seconds=seconds),
             name="agent machine: a second, by waiting requests",
             per="request",
             unit="us/s",
-            sizes=waiting,
+            sizes=queue_lengths,
         ),
-        memory(
-            _agent_remembered_memory,
+        measure_memory(
+            _agent_records_memory,
             name="agent machine: memory, by remembered requests",
             per="request",
             unit="KiB",
-            sizes=waiting,
+            sizes=queue_lengths,
         ),
     ]
 
 
-def informed_router(agents: int) -> DrivenRouter:
+def router_with_digests(agents: int) -> SimulatedRouter:
     """Return a router that has heard of all agents."""
-    router = DrivenRouter(agents)
+    router = SimulatedRouter(agents)
     for agent in router.agents:
-        router.push(agent)
+        router.deliver_digest(agent)
     return router
 
 
-def settled_router(agents: int) -> DrivenRouter:
+def router_past_startup(agents: int) -> SimulatedRouter:
     """Return a router that is long past its start."""
-    router = informed_router(agents)
+    router = router_with_digests(agents)
     # The survey greets each agent once, fast, before it slows down.
-    router.advance(SETTLE_S + agents / SURVEYED_PER_S)
+    router.advance(SETTLE_S + agents / PROBES_PER_S)
     return router
 
 
 def _router_second(agents: int, *, seconds: float) -> float:
-    router = settled_router(agents)
-    return processor_us(partial(router.advance, seconds)) / seconds
+    router = router_past_startup(agents)
+    return cpu_time_us(partial(router.advance, seconds)) / seconds
 
 
-def _hellos(agents: int) -> float:
-    router = settled_router(agents)
+def _hellos_sent_per_s(agents: int) -> float:
+    router = router_past_startup(agents)
     before = router.hellos
     router.advance(5.0)
     return (router.hellos - before) / 5.0
 
 
 def _list_resources(agents: int) -> float:
-    router = informed_router(agents)
-    return processor_us(partial(router.machine.resources_when_complete, agents))
+    router = router_with_digests(agents)
+    return cpu_time_us(partial(router.machine.resources_when_complete, agents))
 
 
 def _apply_vm_list(count: int) -> float:
@@ -171,29 +171,29 @@
         if table.members != before:
             raise RuntimeError("the same list changed the members")
 
-    return processor_us(work)
+    return cpu_time_us(work)
 
 
 def _router_memory(agents: int) -> float:
-    return memory_kib(partial(informed_router, agents))
+    return memory_kib(partial(router_with_digests, agents))
 
 
 def _agent_second(routers: int, *, seconds: float) -> float:
-    agent = DrivenAgent(routers)
-    return processor_us(partial(agent.advance, seconds)) / seconds
+    agent = SimulatedAgent(routers)
+    return cpu_time_us(partial(agent.advance, seconds)) / seconds
 
 
-def _digests(routers: int) -> float:
-    agent = DrivenAgent(routers)
+def _datagrams_sent_per_s(routers: int) -> float:
+    agent = SimulatedAgent(routers)
     agent.advance(1.0)
     before = agent.sent
     agent.advance(2.0, changes=True)
     return (agent.sent - before) / 2.0
 
 
-def _router_waiting(count: int) -> DrivenRouter:
-    router = DrivenRouter(16, full=True, models=1)
-    router.wait(count)
+def _router_waiting(count: int) -> SimulatedRouter:
+    router = SimulatedRouter(16, full=True, models=1)
+    router.queue_requests(count)
     return router
 
 
@@ -204,13 +204,13 @@
 def _router_waiting_second(count: int, *, seconds: float) -> float:
     router = _router_waiting(count)
     router.advance(3.0)
-    return processor_us(partial(router.advance, seconds)) / seconds
+    return cpu_time_us(partial(router.advance, seconds)) / seconds
 
 
-def _agent_waiting(count: int) -> DrivenAgent:
-    agent = DrivenAgent()
-    agent.fill()
-    agent.wait(count)
+def _agent_waiting(count: int) -> SimulatedAgent:
+    agent = SimulatedAgent()
+    agent.occupy_slots()
+    agent.queue_requests(count)
     return agent
 
 
@@ -220,12 +220,12 @@
 
 def _agent_waiting_second(count: int, *, seconds: float) -> float:
     agent = _agent_waiting(count)
-    return processor_us(partial(agent.advance, seconds)) / seconds
+    return cpu_time_us(partial(agent.advance, seconds)) / seconds
 
 
-def _agent_remembered_memory(count: int) -> float:
-    def build() -> DrivenAgent:
-        agent = DrivenAgent()
+def _agent_records_memory(count: int) -> float:
+    def build() -> SimulatedAgent:
+        agent = SimulatedAgent()
         agent.run_granted(count)
         return agent
 
--- a/bench/slopes/record_costs.py
+++ b/bench/slopes/record_costs.py
@@ -8,33 +8,33 @@
 from berylwalk.router._idempotency import Claimed, IdempotencyRecords
 from berylwalk.router._record_leases import RecordLeases
 from berylwalk.standins.memory import InMemoryKeyValue
-from slopes.costs import processor_us
+from slopes.costs import cpu_time_us
 from slopes.fitting import Slope, measure_slope
-from slopes.routers import DrivenRouter
+from slopes.routers import SimulatedRouter
 from slopes.scale import Scale
 
-RECORDS = (50, 100, 200, 400)
+RECORD_COUNTS = (50, 100, 200, 400)
 LIFETIME_S = 3600.0
 
 
 def measure(scale: Scale) -> list[Slope]:
     """Measure calls and processor time of records that are completed."""
-    line = partial(measure_slope, per="record", sizes=RECORDS)
+    measure_records = partial(measure_slope, per="record", sizes=RECORD_COUNTS)
     return [
-        line(
-            _calls,
+        measure_records(
+            _store_calls,
             name="idempotency: calls of the key-value service",
             unit="calls",
             repeats=1,
         ),
-        line(
-            _writes,
+        measure_records(
+            _store_writes,
             name="idempotency: writes of the key-value service",
             unit="writes",
             repeats=1,
         ),
-        line(
-            _processor,
+        measure_records(
+            _cpu_time,
             name="idempotency: claim and completion, store in memory",
             unit="us",
             repeats=scale.repeats,
@@ -42,26 +42,26 @@
     ]
 
 
-def _calls(count: int) -> float:
+def _store_calls(count: int) -> float:
     store = InMemoryKeyValue()
     anyio.run(_claim_all, store, _requests(count))
     return float(store.calls)
 
 
-def _writes(count: int) -> float:
+def _store_writes(count: int) -> float:
     store = InMemoryKeyValue()
     anyio.run(_claim_all, store, _requests(count))
     return float(store.revision)
 
 
-def _processor(count: int) -> float:
+def _cpu_time(count: int) -> float:
     requests = _requests(count)
     store = InMemoryKeyValue()
-    return processor_us(partial(anyio.run, _claim_all, store, requests))
+    return cpu_time_us(partial(anyio.run, _claim_all, store, requests))
 
 
 def _requests(count: int) -> list[Request]:
-    router = DrivenRouter(1)
+    router = SimulatedRouter(1)
     requests = [router.request(0) for _ in range(count)]
     for request in requests:
         key = f"key-{request.request_id.serial}"
--- a/bench/slopes/report.py
+++ b/bench/slopes/report.py
@@ -18,7 +18,7 @@
     return msgspec.json.encode(asdict(slope)).decode()
 
 
-def circumstances() -> str:
+def environment_json() -> str:
     """Return when and under which load the measurement runs, as JSON."""
     return msgspec.json.encode(
         {
--- a/bench/slopes/routers.py
+++ b/bench/slopes/routers.py
@@ -63,7 +63,7 @@
     )
 
 
-class DrivenRouter:
+class SimulatedRouter:
     """A router machine, its agents' answers and its clock.
 
     Parameters
@@ -97,9 +97,9 @@
         self._sequence = 0
         self._serial = 0
         self._index_by_agent = {f"agent-{i:04}": i for i in range(agents)}
-        self.feed(AgentsListed(tuple(self._index_by_agent)))
+        self.handle_event(AgentsListed(tuple(self._index_by_agent)))
 
-    def feed(self, event: object) -> list[RouterAction]:
+    def handle_event(self, event: object) -> list[RouterAction]:
         """Hand an event to the machine and let agents answer its heartbeats."""
         actions = self.machine.handle(event, self.now)
         others = []
@@ -117,7 +117,7 @@
         """Let time pass."""
         for _ in range(round(seconds / TICK_S)):
             self.now += TICK_S
-            self.feed(Tick())
+            self.handle_event(Tick())
 
     def request(self, index: int) -> Request:
         """Return a new request for the model of an agent of that number."""
@@ -145,7 +145,7 @@
         """Run requests whose first grant is dispatched; return how many were."""
         granted = 0
         for _ in range(count):
-            actions = self.feed(RequestArrived(self.request(self._serial)))
+            actions = self.handle_event(RequestArrived(self.request(self._serial)))
             grants = [action for action in actions if isinstance(action, IssueGrant)]
             for action in grants:
                 self._complete(action)
@@ -156,29 +156,31 @@
         """Run requests that wait at two agents; return how many were granted."""
         granted = 0
         for _ in range(count):
-            actions = self.feed(RequestArrived(self.request(self._serial)))
-            self._queue(actions)
+            actions = self.handle_event(RequestArrived(self.request(self._serial)))
+            self._queue_reservations(actions)
             self.now += 0.03
-            second = self.feed(Tick())
-            self._queue(second)
+            second = self.handle_event(Tick())
+            self._queue_reservations(second)
             for agent, reserve in _reserves(actions)[:1]:
                 ready = Ready(reserve.request_id, reserve.attempt)
-                for action in self.say(agent, ready):
+                for action in self.deliver(agent, ready):
                     if isinstance(action, IssueGrant):
                         self._complete(action)
                         granted += 1
         return granted
 
-    def wait(self, count: int) -> None:
+    def queue_requests(self, count: int) -> None:
         """Let requests wait at agents."""
         for _ in range(count):
-            self._queue(self.feed(RequestArrived(self.request(self._serial))))
+            self._queue_reservations(
+                self.handle_event(RequestArrived(self.request(self._serial)))
+            )
 
-    def say(self, agent: str, *messages: object) -> list[RouterAction]:
+    def deliver(self, agent: str, *messages: object) -> list[RouterAction]:
         """Deliver a datagram of an agent."""
-        return self.feed(DatagramArrived(Datagram(agent, 1, 1, messages)))
+        return self.handle_event(DatagramArrived(Datagram(agent, 1, 1, messages)))
 
-    def push(self, agent: str) -> None:
+    def deliver_digest(self, agent: str) -> None:
         """Deliver an unasked digest of an agent."""
         self._answer_hello(agent)
 
@@ -196,11 +198,11 @@
             running=running,
             models=self._models,
         )
-        self.say(agent, digest)
+        self.deliver(agent, digest)
 
-    def _queue(self, actions: list[RouterAction]) -> None:
+    def _queue_reservations(self, actions: list[RouterAction]) -> None:
         for agent, reserve in _reserves(actions):
-            self.say(agent, Queued(reserve.request_id, reserve.attempt, 100))
+            self.deliver(agent, Queued(reserve.request_id, reserve.attempt, 100))
         for action in actions:
             if isinstance(action, IssueGrant):
                 self._refuse(action)
@@ -208,12 +210,14 @@
     def _refuse(self, action: IssueGrant) -> None:
         grant = action.grant
         refusal = Refusal(RefusalReason.NO_SLOT)
-        self._queue(self.feed(GrantRefused(grant.request_id, grant.attempt, refusal)))
+        self._queue_reservations(
+            self.handle_event(GrantRefused(grant.request_id, grant.attempt, refusal))
+        )
 
     def _complete(self, action: IssueGrant) -> None:
         grant = action.grant
-        self.feed(AnswerStarted(grant.request_id, grant.attempt))
-        self.feed(AnswerComplete(grant.request_id, grant.attempt))
+        self.handle_event(AnswerStarted(grant.request_id, grant.attempt))
+        self.handle_event(AnswerComplete(grant.request_id, grant.attempt))
 
 
 def _reserves(actions: list[RouterAction]) -> list[tuple[str, Reserve]]:
--- a/bench/slopes/settings_costs.py
+++ b/bench/slopes/settings_costs.py
@@ -4,17 +4,17 @@
 from hashlib import sha256
 
 from berylwalk.settings import SettingsDocument, SettingsReplica, SettingsTree
-from slopes.costs import KIBIBYTE, memory_kib, processor_us
+from slopes.costs import BYTES_PER_KIB, cpu_time_us, memory_kib
 from slopes.fitting import Slope, fit
 from slopes.scale import Scale
 
-ACCOUNTS = (50, 170, 345, 690)
+ACCOUNT_COUNTS = (50, 170, 345, 690)
 SERVICES_PER_ACCOUNT = 4
 CHANGES = 50
 
 
 @cache
-def encoded(accounts: int) -> bytes:
+def encoded_document(accounts: int) -> bytes:
     """Return a stored document with so many client accounts."""
     sections: dict[str, dict[str, object]] = {
         f"tier tier-{rank}": {"rank": rank, "deadline_s": 60.0} for rank in range(5)
@@ -40,18 +40,21 @@
 def measure(scale: Scale) -> list[Slope]:
     """Measure decoding with checks, application and memory over KiB of JSON."""
     return [
-        _over_kib(_decode, "settings: decode and check a version", "us", scale.repeats),
-        _over_kib(
+        _fit_over_kib(
+            _decode, "settings: decode and check a version", "us", scale.repeats
+        ),
+        _fit_over_kib(
             _apply, "settings: apply a version, all accounts used", "us", scale.repeats
         ),
-        _over_kib(_encode, "settings: encode a version", "us", scale.repeats),
-        _over_kib(_memory, "settings: memory of a version", "KiB", 2),
+        _fit_over_kib(_encode, "settings: encode a version", "us", scale.repeats),
+        _fit_over_kib(_memory, "settings: memory of a version", "KiB", 2),
     ]
 
 
-def _over_kib(measure_one: object, name: str, unit: str, repeats: int) -> Slope:
+def _fit_over_kib(measure_one: object, name: str, unit: str, repeats: int) -> Slope:
     sizes = {
-        accounts: round(len(encoded(accounts)) / KIBIBYTE) for accounts in ACCOUNTS
+        accounts: round(len(encoded_document(accounts)) / BYTES_PER_KIB)
+        for accounts in ACCOUNT_COUNTS
     }
     costs_by_kib: dict[int, list[float]] = {kib: [] for kib in sizes.values()}
     for _ in range(repeats):
@@ -61,12 +64,12 @@
 
 
 def _decode(accounts: int) -> float:
-    data = encoded(accounts)
-    return processor_us(partial(SettingsDocument.decode, data))
+    data = encoded_document(accounts)
+    return cpu_time_us(partial(SettingsDocument.decode, data))
 
 
 def _apply(accounts: int) -> float:
-    document = SettingsDocument.decode(encoded(accounts))
+    document = SettingsDocument.decode(encoded_document(accounts))
     replica = SettingsReplica(0.0)
 
     def work() -> None:
@@ -75,14 +78,14 @@
         for account in tree.accounts:
             tree.service_policy_for(account, "service-1")
 
-    return processor_us(work)
+    return cpu_time_us(work)
 
 
 def _encode(accounts: int) -> float:
-    document = SettingsDocument.decode(encoded(accounts))
-    return processor_us(document.encode)
+    document = SettingsDocument.decode(encoded_document(accounts))
+    return cpu_time_us(document.encode)
 
 
 def _memory(accounts: int) -> float:
-    data = encoded(accounts)
+    data = encoded_document(accounts)
     return memory_kib(partial(SettingsDocument.decode, data))
--- a/bench/tests/test_bench_figures.py
+++ b/bench/tests/test_bench_figures.py
@@ -3,12 +3,12 @@
 import numpy as np
 import pytest
 
-from loadbench.capacity import engine_s, full_rates
+from loadbench.capacity import engine_time_s, saturating_rates
 from loadbench.engines import EngineWork, Prefill, repeated_tokens
 from loadbench.fleets import engines
-from loadbench.measures import RunFacts, figures
-from loadbench.results import End, Result
-from loadbench.schedule import Call, Phase, build_calls
+from loadbench.measures import RunInfo, compute_figures
+from loadbench.results import CallOutcome, Result
+from loadbench.schedule import Phase, ScheduledCall, build_calls
 from loadbench.shapes import ARSIVSAN, PARKOVISKO
 
 
@@ -16,10 +16,13 @@
     def test_mix_fills_all_engines(self):
         """At full rates each engine gets its own share, and no more fits."""
         fleet = engines(PARKOVISKO)
-        rates = full_rates(PARKOVISKO, fleet)
+        rates = saturating_rates(PARKOVISKO, fleet)
         total = sum(rates.values())
         shares = [
-            1 / sum(rates[k.service] * engine_s(e, k) for k in PARKOVISKO.model_kinds)
+            1
+            / sum(
+                rates[k.service] * engine_time_s(e, k) for k in PARKOVISKO.model_kinds
+            )
             for e in fleet
         ]
         assert sum(shares) == pytest.approx(1.0)
@@ -31,7 +34,7 @@
         """Treatments get the same calls; another seed gives others."""
 
         def build(seed):
-            rates = full_rates(ARSIVSAN, engines(ARSIVSAN))
+            rates = saturating_rates(ARSIVSAN, engines(ARSIVSAN))
             return build_calls(
                 ARSIVSAN,
                 (Phase(0.0, 1.0, 0.5),),
@@ -47,7 +50,7 @@
 class TestRepeatedPrefill:
     def test_counts_only_what_another_cache_still_held(self):
         """Evicted blocks and calls given up are not repeats."""
-        found = {
+        prefills_by_id = {
             "a": [Prefill(1.0, ["x"], [], False), Prefill(2.0, ["y"], ["x"], False)],
             "b": [
                 Prefill(1.5, ["x"], [], False),
@@ -55,26 +58,26 @@
             ],
             "c": [Prefill(3.0, ["z"], [], False)],
         }
-        assert repeated_tokens(found, started_at=0.0) == 64
-        found["c"] = [Prefill(3.0, ["x", "y"], [], False)]
-        assert repeated_tokens(found, started_at=0.0) == 192
-        assert repeated_tokens(found, started_at=2.9) == 128
+        assert repeated_tokens(prefills_by_id, started_at=0.0) == 64
+        prefills_by_id["c"] = [Prefill(3.0, ["x", "y"], [], False)]
+        assert repeated_tokens(prefills_by_id, started_at=0.0) == 192
+        assert repeated_tokens(prefills_by_id, started_at=2.9) == 128
 
 
 class TestFigures:
     def test_late_answers_are_waste_and_not_goodput(self):
         """A whole answer after its deadline is late, and its prefill wasted."""
-        calls = [Call(0.0, 0, "suburbs", 0, number, 0) for number in range(4)]
+        calls = [ScheduledCall(0.0, 0, "suburbs", 0, number, 0) for number in range(4)]
         results = [
-            Result(0, End.WHOLE, 0.1, 0.2, 0.0, uncached_tokens=18),
-            Result(1, End.WHOLE, 0.1, 2.1, 0.0, uncached_tokens=18),
-            Result(2, End.NOT_RUN, 0.0, 0.1, 0.0, reason="deadline"),
-            Result(3, End.GIVEN_UP, 0.0, 2.25, 0.0),
+            Result(0, CallOutcome.COMPLETE, 0.1, 0.2, 0.0, uncached_tokens=18),
+            Result(1, CallOutcome.COMPLETE, 0.1, 2.1, 0.0, uncached_tokens=18),
+            Result(2, CallOutcome.NOT_RUN, 0.0, 0.1, 0.0, reason="deadline"),
+            Result(3, CallOutcome.GIVEN_UP, 0.0, 2.25, 0.0),
         ]
-        facts = RunFacts("policy", "half-load", 1.0, 1, 10.0, 5.0, 0.0, {})
-        found = figures(PARKOVISKO, calls, results, EngineWork(), facts)
-        urgent = found.tiers["urgent"]
+        run_info = RunInfo("policy", "half-load", 1.0, 1, 10.0, 5.0, 0.0, {})
+        figures = compute_figures(PARKOVISKO, calls, results, EngineWork(), run_info)
+        urgent = figures.tiers["urgent"]
         ends = (urgent.good, urgent.late, urgent.not_run, urgent.given_up)
         assert ends == (1, 1, 1, 1)
-        assert found.wasted_tokens == 18
-        assert found.idle_share == 0.5
+        assert figures.wasted_tokens == 18
+        assert figures.idle_share == 0.5
