--- a/bench/loadbench/__init__.py
+++ b/bench/loadbench/__init__.py
@@ -1,1 +1,1 @@
-"""Load benchmark: the real daemons over stand-in engines, on one machine."""
+"""Load benchmark of the real daemons with stand-in engines on one machine."""
--- a/bench/loadbench/capacity.py
+++ b/bench/loadbench/capacity.py
@@ -1,10 +1,9 @@
-"""Capacity of the engines, by arithmetic.
+"""Analytical capacity of the engines.
 
-An engine with a full batch gives one token to each of its requests in each
-step, and a prefill stops all of them. One request hence takes
+An engine with a full batch emits one token for each request in each step, and
+a prefill blocks the whole batch. One request therefore uses
 ``output / batch * step(batch) + uncached prompt / prefill rate`` of the engine's
-time. Prefixes count as cached wherever calls share them, which is the best case:
-real caches are smaller, so that load in terms of this capacity is a lower bound.
+time. Shared prefixes count as cached, so this is an upper bound of the capacity.
 """
 
 from berylwalk.localfleet import EngineSpec
@@ -12,7 +11,7 @@
 
 
 def engine_time_s(engine: EngineSpec, kind: ModelCallKind) -> float:
-    """Return the time of an engine with a full batch that a call takes."""
+    """Return the time of an engine with a full batch that a call uses, in seconds."""
     batch = engine.max_batch
     step_s = engine.step_ms / 1000 * (1 + engine.batch_slope * batch)
     shared = kind.shared_tokens if kind.documents > 1 else 0
@@ -21,7 +20,7 @@
 
 
 def saturating_rates(shape: Shape, engines: tuple[EngineSpec, ...]) -> dict[str, float]:
-    """Return the calls a second of each model kind that fill all engines."""
+    """Return calls per second by service that saturate all engines."""
     reference = engines[0]
     count_by_service = {
         kind.service: kind.work_share / engine_time_s(reference, kind)
@@ -34,6 +33,6 @@
         )
         for engine in engines
     ]
-    # Each engine takes 1 / mix of the mixes a second.
+    # An engine serves 1 / mix mixes of calls per second.
     total = sum(1.0 / mix for mix in mixes)
     return {service: count * total for service, count in count_by_service.items()}
--- a/bench/loadbench/criteria.py
+++ b/bench/loadbench/criteria.py
@@ -1,4 +1,4 @@
-"""Aims of the policy, judged as ratios inside one run."""
+"""Acceptance criteria of the policy, as ratios of figures of one run."""
 
 from dataclasses import dataclass
 
@@ -21,16 +21,16 @@
 
 @dataclass(frozen=True, slots=True)
 class CriterionResult:
-    """One aim and what was measured.
+    """Measured value of one acceptance criterion.
 
     Parameters
     ----------
-    aim : str
-        What was wanted.
+    criterion : str
+        Description with the threshold.
     value : float
-        What was measured.
-    met : bool
-        Whether it suffices.
+        Measured value.
+    is_met : bool
+        Whether the value satisfies the threshold.
     """
 
     criterion: str
@@ -38,14 +38,17 @@
     is_met: bool
 
     def line(self) -> str:
-        """Return a line for the terminal."""
-        return f"{'met   ' if self.is_met else 'MISSED'}  {self.criterion}: {self.value:.3f}"
+        """Return the result as a line for the terminal."""
+        return (
+            f"{'met   ' if self.is_met else 'MISSED'}  "
+            f"{self.criterion}: {self.value:.3f}"
+        )
 
 
 def evaluate_criteria(
     shape: Shape, figures_by_key: FiguresByKey
 ) -> list[CriterionResult]:
-    """Judge the aims for which the needed scenarios were run."""
+    """Evaluate the criteria whose scenarios were run."""
     results = []
     twice = figures_by_key.get((POLICY, scenarios.TWICE_CAPACITY))
     baseline = figures_by_key.get((BASELINE, scenarios.TWICE_CAPACITY))
--- a/bench/loadbench/engines.py
+++ b/bench/loadbench/engines.py
@@ -1,4 +1,4 @@
-"""What the stand-in engines did during a scenario."""
+"""Work that the stand-in engines did during a scenario."""
 
 from dataclasses import dataclass, field
 
@@ -10,7 +10,7 @@
 
 
 class EngineTotals(msgspec.Struct):
-    """Counters of an engine; see the stand-in."""
+    """Counters that a stand-in engine reports."""
 
     prefill_tokens: int = 0
     wasted_prefill_tokens: int = 0
@@ -22,14 +22,14 @@
 
 
 class EngineStatus(msgspec.Struct):
-    """The part of an engine's answer that is used."""
+    """Subset of the fields of an engine's status response."""
 
     totals: EngineTotals
     running_prefill_tokens: int = 0
 
 
 class Prefill(msgspec.Struct):
-    """One prefill that changed an engine's prefix cache."""
+    """Prefill that changed an engine's prefix cache."""
 
     at: float
     added: list[str]
@@ -39,18 +39,18 @@
 
 @dataclass(slots=True)
 class EngineWork:
-    """Work of all engines in a scenario, in tokens and seconds.
+    """Total work of all engines in a scenario.
 
     Parameters
     ----------
     prefill_tokens, cached_tokens, output_tokens : int
-        Prompt tokens computed and found in caches, and tokens given out.
+        Prompt tokens computed, prompt tokens read from caches, tokens generated.
     given_up_tokens : int
         Prompt tokens computed for calls that were cancelled or killed.
     repeated_tokens : int
-        Prompt tokens computed again while another live engine had them cached.
+        Prompt tokens computed while another running engine had them cached.
     busy_slot_s : float
-        Time that slots were in use, summed.
+        Time in use, summed over slots.
     """
 
     prefill_tokens: int = 0
@@ -64,18 +64,18 @@
 @dataclass(slots=True)
 class _Engine:
     initial_totals: EngineTotals = field(default_factory=EngineTotals)
-    # Of processes that were killed in the scenario.
+    # Last counters and prefills of processes killed in the scenario.
     killed_runs: list[tuple[EngineTotals, list[Prefill]]] = field(default_factory=list)
     is_killed: bool = False
 
 
 class EngineMonitor:
-    """Reads the engines' counters before and after a scenario.
+    """Read the engines' counters before and after a scenario.
 
     Parameters
     ----------
     fleet : LocalFleet
-        The fleet.
+        Running fleet.
     """
 
     def __init__(self, fleet: LocalFleet) -> None:
@@ -87,12 +87,12 @@
         }
 
     def start(self) -> None:
-        """Note the counters at the start."""
+        """Record the counters at the start of a scenario."""
         for vm_id, engine in self._engines_by_id.items():
             engine.initial_totals = self._read_status(vm_id).totals
 
     def busy_slot_s(self) -> float:
-        """Return the slot time in use since the start."""
+        """Return the slot time used since the start, in seconds."""
         return sum(
             self._read_status(vm_id).totals.busy_slot_s
             - engine.initial_totals.busy_slot_s
@@ -101,7 +101,7 @@
         )
 
     def record_before_kill(self, vm_id: str) -> None:
-        """Save the counters of an engine that is about to be killed."""
+        """Record the counters of an engine that is about to be killed."""
         status = self._read_status(vm_id)
         status.totals.wasted_prefill_tokens += status.running_prefill_tokens
         engine = self._engines_by_id[vm_id]
@@ -140,7 +140,7 @@
         try:
             answer = admin_request("GET", url)
         except httpcore.ConnectError:
-            raise RuntimeError(f"{vm_id} has ended") from None
+            raise RuntimeError(f"engine {vm_id} refused connection") from None
         return msgspec.json.decode(answer.content, type=kind)
 
 
@@ -159,7 +159,7 @@
 def repeated_tokens(prefills_by_id: dict[str, list[Prefill]], started_at: float) -> int:
     """Count the tokens computed while another engine had them cached.
 
-    Calls that were given up don't count here, because all their tokens do.
+    Cancelled prefills are excluded: all of their tokens count as given up.
     """
     events = sorted(
         ((prefill.at, vm_id, prefill) for vm_id, found in prefills_by_id.items()
--- a/bench/loadbench/fleets.py
+++ b/bench/loadbench/fleets.py
@@ -1,4 +1,4 @@
-"""The fleet of the benchmark and its two treatments."""
+"""Fleet of the benchmark, and settings of its two treatments."""
 
 from hashlib import sha256
 
@@ -20,7 +20,7 @@
 
 BASELINE_OVERRIDES: Overrides = {
     "routing": {"policy": "round-robin"},
-    # Engines take whatever arrives, as they do without this system.
+    # No admission control: engines accept every call at once.
     "admission": {"policy": "fifo", "initial_limit": "256"},
 }
 POLICY_OVERRIDES: Overrides = {
@@ -51,7 +51,7 @@
 
 
 def fleet_spec(shape: Shape, overrides: Overrides) -> FleetSpec:
-    """Return the fleet for a shape with settings of the nodes replaced."""
+    """Return the fleet for a shape, with overridden node settings."""
     routers = tuple(
         RouterSpec(f"entry-{number}", domain)
         for number, domain in enumerate(shape.failure_domains)
--- a/bench/loadbench/measures.py
+++ b/bench/loadbench/measures.py
@@ -15,7 +15,7 @@
 MAX_LATENCY_US = 120 * US_PER_S
 SIGNIFICANT_DIGITS = 3
 BUSIEST_COUNT = 6
-"""Processes whose use of the processor is told."""
+"""Number of processes in the list of highest CPU usage."""
 
 PERCENTILES = (50.0, 95.0, 99.0)
 
@@ -26,13 +26,13 @@
     Parameters
     ----------
     offered, good, late, not_run, unknown, given_up, wrong : int
-        Calls sent, and how they ended. Good is whole inside the deadline.
+        Calls sent, and calls by outcome. Good is complete within the deadline.
     goodput : float
         Share of the offered calls that were good.
     first_token_ms : list of float
-        p50, p95 and p99 of whole answers.
+        p50, p95 and p99 of complete responses.
     not_run_ms : list of float
-        p50, p95 and p99 of the time until "not run" was told.
+        p50, p95 and p99 of the time until a "not run" response.
     """
 
     offered: int = 0
@@ -53,25 +53,25 @@
     Parameters
     ----------
     good_tokens : int
-        Prompt and output tokens of the good answers of engines.
+        Prompt and output tokens of good responses of engines.
     wasted_tokens : int
-        Prefill given up, late or repeated while another cache held it.
+        Prefill of cancelled or late calls, or cached by another engine.
     wasted_share : float
-        The same as a share of all prefill.
+        Wasted tokens as a share of all prefill.
     idle_share : float
-        Share of the engines' slot time that was not used while load was offered.
+        Share of the engines' slot time without work while calls arrived.
     goodput_by_account : dict of str to float
-        Share of good answers.
+        Share of the account's calls that were good.
     jain : float
-        Jain's index of the accounts' goodput; 1 is equal.
+        Jain's fairness index of the accounts' goodput; 1 is equal.
     not_run_reasons : dict of str to int
-        Calls by refusal reason.
+        Calls by refusal code.
     lag_ms_p99 : float
-        Lateness of the load generator.
+        p99 of the send delay of the load generator, in milliseconds.
     load_average, cpu_cores : float
-        Of the machine at the end, and cores that the fleet and senders used.
+        Load average at the end, and cores used by the fleet and senders.
     busiest : dict of str to float
-        Processes that used the most, in cores.
+        Processes with the highest CPU usage, in cores.
     """
 
     shape: str
@@ -104,7 +104,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RunInfo:
-    """What is known about a run besides its calls."""
+    """Parameters and resource usage of a run."""
 
     treatment: str
     scenario: str
--- a/bench/loadbench/report.py
+++ b/bench/loadbench/report.py
@@ -1,4 +1,4 @@
-"""Table and plot of the figures."""
+"""Table and plots of the figures."""
 
 from pathlib import Path
 
@@ -21,7 +21,7 @@
 
 
 def table_line(figures: ScenarioFigures) -> str:
-    """Return one line of the table; first token and not-run time of the top tier."""
+    """Return one row of the table, with first-token times of the top tier."""
     top = figures.tiers[TIERS[0].name]
     tiers = " ".join(f"{figures.tiers[tier.name].goodput:6.3f}" for tier in TIERS)
     first = "/".join(f"{each:.0f}" for each in top.first_token_ms)
@@ -32,12 +32,13 @@
         f"{figures.good:>6} {tiers} {figures.good_tokens / figures.seconds:>7.0f} "
         f"{figures.wasted_tokens:>8} {figures.idle_share:5.2f} {figures.jain:5.2f} "
         f"{first:>20} {not_run:>11.0f} {unknown:>5} "
-        f"{figures.lag_ms_p99:5.0f} {figures.cpu_cores:5.1f} {figures.load_average:5.1f}"
+        f"{figures.lag_ms_p99:5.0f} {figures.cpu_cores:5.1f} "
+        f"{figures.load_average:5.1f}"
     )
 
 
 def plot(all_figures: list[ScenarioFigures], path: Path) -> None:
-    """Draw the goodput by tier and the wasted prefill of each scenario."""
+    """Plot the goodput by tier and the wasted prefill of each scenario."""
     names = list(dict.fromkeys((each.shape, each.scenario) for each in all_figures))
     treatments = list(dict.fromkeys(each.treatment for each in all_figures))
     figure, axes = pyplot.subplots(
--- a/bench/loadbench/request_bodies.py
+++ b/bench/loadbench/request_bodies.py
@@ -1,4 +1,4 @@
-"""Bodies of model calls, and what their answers must be."""
+"""Request bodies of model calls, and the digests expected in responses."""
 
 from functools import lru_cache
 from hashlib import md5
@@ -14,7 +14,7 @@
 
 @lru_cache(maxsize=512)
 def filler_text(name: str, tokens: int) -> str:
-    """Return text of a number of tokens that differs in each block by name."""
+    """Return text of `tokens` tokens whose cache blocks are unique to `name`."""
     words = []
     length = 0
     number = 0
@@ -29,7 +29,7 @@
 def prompt(kind: ModelCallKind, document: int, unique: str) -> str:
     """Return the prompt of a call."""
     own_tokens = kind.prompt_tokens - kind.shared_tokens
-    # The calls of a document share it whatever their service.
+    # The prefix depends on the document only, so that services share its cache.
     shared = filler_text(f"document-{document}", kind.shared_tokens)
     own = filler_text("text", own_tokens)
     own = (unique + own)[: own_tokens * CHARACTERS_PER_TOKEN - len(ROLE_PREFIX)]
@@ -37,7 +37,7 @@
 
 
 def model_body(kind: ModelCallKind, document: int, unique: str) -> bytes:
-    """Return the body of a streamed call."""
+    """Return the JSON body of a streaming call."""
     body = {
         "model": MODEL,
         "messages": [{"role": "user", "content": prompt(kind, document, unique)}],
@@ -49,7 +49,7 @@
 
 
 def response_digest(kind: ModelCallKind, document: int, unique: str) -> bytes:
-    """Return the digest that the stand-in engine puts first in its answer."""
+    """Return the digest with which the stand-in engine starts its response."""
     text = f"user: {prompt(kind, document, unique)}\n"
     identity = msgspec.json.encode([text, None, None], order="sorted")
     return md5(identity, usedforsecurity=False).hexdigest().encode()
--- a/bench/loadbench/results.py
+++ b/bench/loadbench/results.py
@@ -1,4 +1,4 @@
-"""What became of each call."""
+"""Outcomes of calls."""
 
 from enum import StrEnum
 
@@ -6,42 +6,42 @@
 
 
 class CallOutcome(StrEnum):
-    """How a call ended, as its caller sees it."""
+    """Outcome of a call as its caller sees it."""
 
     COMPLETE = "whole"
-    """The whole, right answer arrived."""
+    """The complete and correct response arrived."""
 
     WRONG = "wrong"
-    """An answer arrived that is not the call's own or not whole, yet looks so."""
+    """A response ended normally but is truncated or belongs to another call."""
 
     NOT_RUN = "not-run"
-    """The caller was told that the call did not run."""
+    """The response states that the call was not executed."""
 
     UNKNOWN = "unknown"
-    """The caller was told that the end is unknown, or the stream broke."""
+    """The response states an unknown outcome, or the stream broke off."""
 
     GIVEN_UP = "given-up"
-    """The caller left after its deadline."""
+    """The caller disconnected after its deadline."""
 
     NO_ROUTER = "no-router"
     """No router accepted a connection."""
 
 
 class Result(msgspec.Struct, array_like=True):
-    """One call's end.
+    """Result of one call.
 
     Parameters
     ----------
     number : int
         Number of the call.
-    end : End
-        How it ended.
-    first_s, whole_s : float
+    outcome : CallOutcome
+        Outcome of the call.
+    first_token_s, total_s : float
         Time from sending to the first token and to the end, in seconds.
-    lag_s : float
-        How much later than planned the call was sent, in seconds.
+    send_lag_s : float
+        Delay between planned and actual sending, in seconds.
     reason : str
-        Code of the refusal or error.
+        Code of the refusal, or name of the error.
     uncached_tokens : int
         Prompt tokens that the engine computed; 0 when unknown.
     """
--- a/bench/loadbench/scenarios.py
+++ b/bench/loadbench/scenarios.py
@@ -1,4 +1,4 @@
-"""Loads and faults of the benchmark."""
+"""Scenarios of the benchmark: loads and injected faults."""
 
 from collections.abc import Callable
 from dataclasses import dataclass
@@ -16,7 +16,7 @@
 from loadbench.shapes import Shape
 
 FAST_ENGINE = "engine-00"
-"""The fast engine of the first failure domain; faults hit it."""
+"""Fast engine of the first failure domain, the target of injected faults."""
 
 OTHER_FAST_ENGINE = "engine-10"
 STRAGGLER_FACTOR = 4.0
@@ -40,14 +40,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Injection:
-    """A fault and its time.
+    """Fault injected during a scenario.
 
     Parameters
     ----------
     at : float
-        Share of the scenario's length, from 0 to 1.
+        Time as a share of the scenario's length, from 0 to 1.
     apply : callable
-        Makes the fault.
+        Injects or removes the fault.
     """
 
     at: float
@@ -56,18 +56,18 @@
 
 @dataclass(frozen=True, slots=True)
 class Scenario:
-    """One load, with faults.
+    """Load over time, with injected faults.
 
     Parameters
     ----------
     name : str
-        Its name.
+        Name in options and figures.
     phases : tuple of Phase
-        The load.
+        Phases of constant load.
     injections : tuple of Injection
-        The faults, in order of time.
+        Faults in order of time.
     length : float
-        Multiple of the usual length.
+        Length as a multiple of the configured length.
     """
 
     name: str
@@ -77,7 +77,7 @@
 
 
 def scenarios(shape: Shape) -> tuple[Scenario, ...]:
-    """Return all scenarios of a shape, in the order in which they run."""
+    """Return all scenarios of a shape, in order of execution."""
     steady = (Phase(0.0, 1.0, FAULT_LOAD),)
     burst_end = 0.25 + BURST_SHARE
     burst = (
@@ -149,14 +149,14 @@
 
 
 def restart_ended_processes(fleet: LocalFleet) -> bool:
-    """Start every process that has ended; return whether there was one."""
+    """Restart all processes that have ended; return whether there were any."""
     ended = {
         name
         for name, process in fleet.processes_by_name.items()
         if process.returncode is not None
     }
     if PLATFORM in ended:
-        raise RuntimeError("the platform stand-in has ended")
+        raise RuntimeError("platform stand-in exited unexpectedly")
     for target in fleet.spec.targets:
         if target_name(target.vm_id) in ended:
             fleet.start_target(target)
--- a/bench/loadbench/schedule.py
+++ b/bench/loadbench/schedule.py
@@ -1,4 +1,4 @@
-"""Seeded arrivals of calls."""
+"""Seeded schedules of calls."""
 
 from dataclasses import dataclass, field
 
@@ -11,22 +11,22 @@
 
 
 class ScheduledCall(msgspec.Struct, array_like=True):
-    """One call to send.
+    """Call with its time of arrival.
 
     Parameters
     ----------
     at : float
         Time since the start of the scenario, in seconds.
     kind : int
-        Index of the shape's kind.
+        Index into the kinds of the shape.
     account : str
-        Client account.
+        Client account that sends the call.
     document : int
-        Document of the shared prefix.
+        Number of the document whose prefix the call shares.
     number : int
-        Unique number of the call.
+        Number of the call, unique in the scenario.
     router : int
-        Router that the balancer chooses.
+        Index of the router that the load balancer selects.
     """
 
     at: float
@@ -39,16 +39,16 @@
 
 @dataclass(frozen=True, slots=True)
 class Phase:
-    """A piece of a scenario with constant rates.
+    """Part of a scenario with constant arrival rates.
 
     Parameters
     ----------
     start, end : float
-        Share of the scenario's length, from 0 to 1.
+        Bounds as shares of the scenario's length, from 0 to 1.
     load : float
         Multiple of the engines' capacity.
     load_by_account : dict of str to float
-        Multiples for single accounts, in place of their share of `load`.
+        Multiples for single accounts, which override their share of `load`.
     """
 
     start: float
--- a/bench/loadbench/sender.py
+++ b/bench/loadbench/sender.py
@@ -1,4 +1,4 @@
-"""Process that sends calls at their times and writes down what came back.
+"""Process that sends scheduled calls and writes their results to a file.
 
 Run as ``python -m loadbench.sender JOB RESULTS``.
 """
@@ -25,24 +25,24 @@
 CACHED_TOKENS_PATTERN = re.compile(rb'"cached_tokens":(\d+)')
 ERROR_CODE_PATTERN = re.compile(rb'"code":"([^"]+)"')
 NON_TOKEN_EVENTS = 2
-"""Events of a stream that carry no token: the usage and the end."""
+"""Events of a stream without a token: the usage and the end."""
 
 
 class Job(msgspec.Struct):
-    """What one sender has to do.
+    """Calls and parameters of one sender process.
 
     Parameters
     ----------
     shape : str
         Name of the shape.
     urls : list of str
-        Caller APIs of the routers.
+        Base URLs of the routers' caller APIs.
     started_at : float
-        Monotonic time that the calls' times count from, in seconds.
+        Monotonic time of the scenario's start, in seconds.
     run : str
-        Makes prompts and keys differ between scenarios.
-    calls : list of Call
-        In order of time.
+        Prefix that makes prompts and idempotency keys unique to the scenario.
+    calls : list of ScheduledCall
+        Calls in order of time.
     """
 
     shape: str
@@ -53,12 +53,12 @@
 
 
 class Sender:
-    """Sends the calls of a job.
+    """Sender of the calls of a job.
 
     Parameters
     ----------
     job : Job
-        The calls.
+        Calls and parameters.
     """
 
     def __init__(self, job: Job) -> None:
@@ -68,7 +68,7 @@
         self._retry_at = [0.0] * len(job.urls)
 
     async def run(self) -> None:
-        """Send each call at its time and wait for all answers."""
+        """Send each call at its scheduled time and wait for all responses."""
         async with anyio.create_task_group() as tasks:
             for call in self._job.calls:
                 due_at = self._job.started_at + call.at
@@ -98,7 +98,7 @@
                 await self._exchange_with(router, call, kind, unique, result, started)
                 return
             except (httpcore.ConnectError, httpcore.ConnectTimeout):
-                # A balancer goes on to the next router as well.
+                # Fail over to the next router, as a load balancer does.
                 self._retry_at[router] = time.monotonic() + ROUTER_RETRY_DELAY_S
         result.outcome = CallOutcome.NO_ROUTER
 
@@ -120,8 +120,8 @@
         method, path, headers, body = _request(call, kind, unique)
         url = self._job.urls[router] + path
         parts = []
-        # A pool looks at all of its connections for each call, which is too
-        # slow for hundreds of waiting calls.
+        # One connection per call: a pool scans all its connections on each call,
+        # which is slow with hundreds of pending calls.
         async with (
             httpcore.AsyncHTTPConnection(httpcore.URL(url).origin) as connection,
             connection.stream(method, url, headers=headers, content=body) as response,
@@ -182,7 +182,7 @@
 
 
 def main() -> None:
-    """Run one job."""
+    """Run the job given on the command line."""
     job = msgspec.msgpack.decode(Path(sys.argv[1]).read_bytes(), type=Job)
     sender = Sender(job)
     anyio.run(sender.run)
--- a/bench/loadbench/shapes.py
+++ b/bench/loadbench/shapes.py
@@ -1,4 +1,4 @@
-"""What the two users send: client accounts, tiers and kinds of calls."""
+"""Workloads of the two users: client accounts, tiers and kinds of calls."""
 
 from dataclasses import dataclass
 
@@ -7,7 +7,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ModelCallKind:
-    """One kind of model call, a service node of the settings tree.
+    """Kind of model call, with a service node in the settings tree.
 
     Parameters
     ----------
@@ -16,9 +16,9 @@
     tier : int
         Rank of its tier.
     work_share : float
-        Share of the engines' time that these calls take.
+        Share of the engines' time that these calls use.
     prompt_tokens, output_tokens : int
-        Size of each call.
+        Tokens of each call.
     shared_tokens : int
         Leading prompt tokens that are shared by calls on one document.
     documents : int
@@ -36,19 +36,19 @@
 
 @dataclass(frozen=True, slots=True)
 class ServiceCallKind:
-    """One kind of call of a plain service.
+    """Kind of call to a plain service, with a node in the settings tree.
 
     Parameters
     ----------
     service : str
         Name of the node.
     target_service : str
-        Plain service that it goes to.
+        Plain service that receives the calls.
     tier : int
         Rank of its tier.
     rate : float
-        Calls a second at full load.
-    keyed : bool
+        Calls per second at full load.
+    has_idempotency_key : bool
         Whether calls are not idempotent and carry an idempotency key.
     """
 
@@ -64,18 +64,18 @@
 
 @dataclass(frozen=True, slots=True)
 class Shape:
-    """The work of one user.
+    """Workload of one user.
 
     Parameters
     ----------
     name : str
-        The user.
+        Name of the user.
     failure_domains : tuple of str
-        Three names.
+        Names of the three failure domains.
     share_by_account : dict of str to float
-        Client accounts and their shares of all calls; also their weights.
-    kinds : tuple of ModelKind or ServiceKind
-        What they send.
+        Shares of all calls by client account, which also set the weights.
+    kinds : tuple of ModelCallKind or ServiceCallKind
+        Kinds of calls that all accounts send.
     """
 
     name: str
@@ -85,12 +85,12 @@
 
     @property
     def model_kinds(self) -> tuple[ModelCallKind, ...]:
-        """Kinds that the engines serve."""
+        """Kinds of calls that the engines serve."""
         return tuple(kind for kind in self.kinds if isinstance(kind, ModelCallKind))
 
     @property
     def plain_service(self) -> str:
-        """Name of the plain service."""
+        """Name of the plain service that the calls use."""
         kinds = (kind for kind in self.kinds if isinstance(kind, ServiceCallKind))
         return next(kinds).target_service
 
--- a/bench/loadbench/trial.py
+++ b/bench/loadbench/trial.py
@@ -1,4 +1,4 @@
-"""Running scenarios on one fleet."""
+"""Execution of scenarios on one fleet."""
 
 import os
 import subprocess
@@ -31,18 +31,18 @@
 
 
 class Trial:
-    """One treatment of one shape: a fleet and the scenarios run on it.
+    """Runner of scenarios for one shape and one treatment on its own fleet.
 
     Parameters
     ----------
     shape : Shape
-        The user.
+        Workload to send.
     treatment : str
         Name of the treatment.
     overrides : dict of str to dict of str to str
-        Settings of the nodes to replace.
+        Node settings to override, by section and key.
     seconds : float
-        Usual length of a scenario.
+        Length of a scenario with length 1.0.
     seed : int
         Seed of the arrivals; the same for all treatments.
     """
@@ -65,12 +65,12 @@
         self._monitor: EngineMonitor | None = None
 
     def start(self) -> None:
-        """Start the fleet.
+        """Start the fleet, on another subnet after each failed attempt.
 
         Raises
         ------
         FleetStartError
-            If it was not ready at any of the attempts.
+            If the fleet did not become ready in any attempt.
         """
         for attempt in range(1, START_ATTEMPTS + 1):
             try:
@@ -96,9 +96,9 @@
         Parameters
         ----------
         scenario : Scenario
-            Load and faults.
+            Load and injected faults.
         index : int
-            Its number; part of the seed.
+            Number of the scenario, which is part of the seed.
         """
         if restart_ended_processes(self.fleet):
             time.sleep(REJOIN_S)
@@ -179,7 +179,7 @@
 
 
 class _SenderProcess:
-    """A sender and its files."""
+    """Sender process with its job and result files."""
 
     def __init__(self, name: str, process: subprocess.Popen, directory: Path) -> None:
         self.name = name
@@ -199,13 +199,13 @@
         return cls(name, process, directory)
 
     def cpu_s(self) -> float:
-        """Return the processor time used so far, in seconds."""
+        """Return the CPU time used so far, in seconds."""
         return _cpu_s(self._process.pid)
 
     def results(self) -> list[Result]:
-        """Wait for the end and return the results."""
+        """Wait until the process exits and return its results."""
         if self._process.wait() != 0:
-            raise RuntimeError("a sender failed")
+            raise RuntimeError("sender process exited with an error")
         content = (self._directory / "results").read_bytes()
         return msgspec.msgpack.decode(content, type=list[Result])
 
--- a/bench/overhead.py
+++ b/bench/overhead.py
@@ -1,8 +1,8 @@
-"""Cost of the way through the system, against the engines alone.
+"""Measure the overhead of the system compared with direct calls to the engines.
 
-The same calls go to the stand-in engines directly and through one router, in
-turn, once with short and once with long answers. The difference of the two
-answer lengths tells the cost of a chunk from the cost of a request. Prints one
+The same calls go to the stand-in engines directly and then through one router,
+first with short and then with long responses. The difference between the two
+lengths separates the cost of a chunk from the cost of a request. Prints one
 line of JSON; see `Figures`.
 """
 
@@ -37,7 +37,7 @@
 LAST_CHUNK = b"\r\n0\r\n\r\n"
 EVENT_PREFIX = b"data: "
 NON_TOKEN_EVENTS = 1
-"""Events of a stream that carry no token: the end."""
+"""Events of a stream without a token: the end."""
 SETTLE_S = 1.0
 SEED = 1
 CALL_TIMEOUT_S = 60.0
@@ -59,20 +59,20 @@
 
 
 class RoleFigures(msgspec.Struct):
-    """What the processes of one role use.
+    """Resource usage of the processes of one role.
 
     Parameters
     ----------
     cpu_ms_a_request : float
-        Processor time of a request without its chunks, in milliseconds.
+        CPU time of a request without its chunks, in milliseconds.
     cpu_us_a_chunk : float
-        Processor time of a streamed token, in microseconds.
+        CPU time of a streamed token, in microseconds.
     idle_cpu_percent : float
-        Of one core, the mean of a process without load.
+        Mean CPU usage of a process without load, in percent of one core.
     loaded_cpu_percent : float
-        Of one core, the largest of a process with long answers.
+        Highest CPU usage of a process with long responses.
     resident_mb : float
-        Largest resident memory of a process at the end, in 10^6 bytes.
+        Highest resident memory of a process at the end, in 10^6 bytes.
     """
 
     cpu_ms_a_request: float
@@ -83,29 +83,29 @@
 
 
 class Figures(msgspec.Struct):
-    """The printed line.
+    """Figures in the printed line.
 
     Parameters
     ----------
     added_first_token_p50_ms, added_first_token_p95_ms : float
-        Quantiles of the time to the first token through the router less the
-        same quantiles of the engines alone, over short and long answers.
+        Difference between the quantiles of the time to the first token through
+        the router and directly, over short and long responses.
     added_short_p95_ms, added_long_p95_ms : float
-        The same for each length of answer.
+        Difference of the p95 for each length of response.
     direct_p50_ms, direct_p95_ms : float
-        First-token time of the engines alone.
+        Time to the first token of direct calls.
     router, agent : RoleFigures
-        Use by role; an agent's request and chunk are those it served itself.
+        Usage by role; an agent's figures count only requests that it served.
     load_before, load_after : float
         The machine's 1-minute load average.
     requests, failed : int
-        Calls sent in all, and those without a whole answer.
+        Calls sent, and calls without a complete response.
     late_sends_p95_ms : float
-        How late the calls were sent; large when the client was the limit.
+        p95 of the send delay; high if the client is saturated.
     agents, rate, step_ms : float
-        The fleet and the load: calls a second, time between two tokens.
+        Number of agents, calls per second, time between two tokens.
     short_tokens, long_tokens : int
-        Tokens of an answer.
+        Tokens of a response.
     """
 
     added_first_token_p50_ms: float
@@ -130,20 +130,20 @@
 
 @dataclass
 class Phase:
-    """What one run of calls gave.
+    """Measurements of one run of calls.
 
     Parameters
     ----------
     first_token_s : list of float
-        Times to the first token of the whole answers.
+        Times to the first token of complete responses.
     send_lag_s : list of float
-        How late each call was sent.
+        Delay between planned and actual sending of each call.
     failed : int
-        Calls without a whole answer.
+        Calls without a complete response.
     seconds : float
-        Length of the run.
+        Duration of the run.
     cpu_s_by_name : dict of str to float
-        Processor time by process.
+        CPU time by process.
     """
 
     first_token_s: list[float] = field(default_factory=list)
@@ -159,16 +159,16 @@
 
 
 class LoadGenerator:
-    """Sends a call within each interval over kept connections.
+    """Load generator that sends one call per interval over reused connections.
 
     Parameters
     ----------
     urls : tuple of str
-        ``http://host:port``, taken in turn.
+        URLs ``http://host:port``, used in round-robin order.
     tokens : int
-        Length of each answer.
+        Tokens of each response.
     run : str
-        Makes prompts differ between runs.
+        Prefix that makes prompts unique to the run.
     """
 
     def __init__(self, urls: tuple[str, ...], tokens: int, run: str) -> None:
@@ -179,9 +179,9 @@
         self._run = run
 
     async def send_all(self, rate: float, seconds: float) -> None:
-        """Send the calls and wait for their ends."""
+        """Send the calls and wait for their responses."""
         started = time.monotonic()
-        # Even intervals would meet the engines' steps in few phases only.
+        # Random offsets avoid synchronisation with the steps of the engines.
         rng = Random(SEED)
         async with anyio.create_task_group() as tasks:
             for number in range(round(rate * seconds)):
@@ -225,12 +225,12 @@
 
 
 class Comparison:
-    """Runs all phases on one fleet.
+    """Comparison of direct and routed calls on one fleet.
 
     Parameters
     ----------
     fleet : LocalFleet
-        Started, with one router.
+        Running fleet with one router.
     args : Namespace
         Options of the command line.
     """
@@ -326,7 +326,7 @@
     ) -> RoleFigures:
         idle_share = _total_cpu_s(idle, names) / idle.seconds
         short, long = routed[self._args.short], routed[self._args.long]
-        # Per request, without what the processes use anyway.
+        # CPU time per request, without the idle usage.
         short_s = (
             _total_cpu_s(short, names) - idle_share * short.seconds
         ) / short.calls
@@ -374,9 +374,9 @@
 
 
 def fleet_spec(args: Namespace) -> FleetSpec:
-    """Return one router and equal engines whose batch doesn't slow them.
+    """Return one router and equal engines whose speed doesn't depend on the batch.
 
-    The agents' limits are fixed: the way is measured, not the policy.
+    The agents' concurrency limits are fixed, so that calls do not queue.
     """
     max_batch = 256
     return FleetSpec(
@@ -416,7 +416,7 @@
 
 
 def main() -> None:
-    """Start a fleet, measure, and print the figures."""
+    """Start a fleet, measure the overhead and print the figures."""
     args = build_parser().parse_args()
     fleet = LocalFleet.from_spec(fleet_spec(args))
     try:
--- a/bench/run.py
+++ b/bench/run.py
@@ -26,7 +26,7 @@
 )
 QUICK_SHAPES = ("parkovisko",)
 EXPECTED_EXIT_CODES = (0, -signal.SIGTERM, -signal.SIGKILL)
-"""Stand-ins end by the signal; the last scenario kills a failure domain."""
+"""Stand-ins exit by SIGTERM; the last scenario kills a failure domain."""
 
 ALL_SCENARIOS = tuple(
     scenario.name for scenario in scenarios.scenarios(SHAPES_BY_NAME["parkovisko"])
@@ -60,7 +60,7 @@
 
 
 def main() -> int:
-    """Run the benchmark and return the exit code, 1 when an aim was missed."""
+    """Run the benchmark; return the exit code, 1 if a criterion was not met."""
     args = build_parser().parse_args()
     _set_defaults(args)
     OUTPUT_DIRECTORY.mkdir(exist_ok=True)
--- a/bench/slopes.py
+++ b/bench/slopes.py
@@ -1,8 +1,8 @@
 """Measure how costs grow with requests, messages, peers and settings.
 
-Prints one JSON line for each slope and a table at the end. Processor time is
-measured, not elapsed time, and each size is measured several times, because
-the machine may be busy with other things.
+Prints one JSON line for each slope and a table at the end. The
+measurements use CPU time and repeat each size, which limits the influence of
+other processes on the machine.
 """
 
 from argparse import ArgumentParser
@@ -42,7 +42,7 @@
 
 
 def main() -> None:
-    """Measure and print."""
+    """Measure and print the slopes."""
     options = build_parser().parse_args()
     logging.set_verbosity(logging.ERROR)
     scale = QUICK if options.quick else FULL
--- a/bench/slopes/__init__.py
+++ b/bench/slopes/__init__.py
@@ -1,1 +1,1 @@
-"""Slopes: how costs grow with the size of what causes them."""
+"""Measurements of how costs grow with load, fleet size and document size."""
--- a/bench/slopes/agents.py
+++ b/bench/slopes/agents.py
@@ -1,4 +1,4 @@
-"""A real agent machine with simulated routers and simulated time."""
+"""Agent state machine with simulated routers and simulated time."""
 
 from berylwalk.agent import (
     IDLE_TICK_S,
@@ -27,14 +27,14 @@
 
 
 class SimulatedAgent:
-    """An agent machine, its routers and its clock.
+    """Agent state machine with its clock and simulated routers.
 
     Parameters
     ----------
     routers : int
-        Routers that greet the agent.
+        Number of routers that send heartbeats to the agent.
     max_waiting : int
-        Longest waiting list.
+        Maximum length of the admission queue.
     """
 
     def __init__(self, routers: int = 1, *, max_waiting: int = 10_000) -> None:
@@ -58,18 +58,18 @@
         self.send_hellos()
 
     def handle_event(self, event: object) -> list[AgentAction]:
-        """Hand an event to the machine and count its datagrams."""
+        """Handle an event and count the datagrams that it sends."""
         actions = self.machine.handle(event, self.now)
         self.sent += sum(isinstance(action, SendToRouter) for action in actions)
         return actions
 
     def send_hellos(self) -> None:
-        """Let each router greet the agent once."""
+        """Deliver one heartbeat from each router."""
         for router in self._routers:
             self.handle_event(DatagramArrived(Datagram(router, 1, 1, (Hello(),))))
 
     def advance(self, seconds: float, *, changes: bool = False) -> None:
-        """Let time pass, with heartbeats and, on demand, changes of load."""
+        """Advance the clock with heartbeats and, if `changes`, load changes."""
         ticks = round(seconds / TICK_S)
         for number in range(ticks):
             self.now += TICK_S
@@ -80,7 +80,7 @@
                 self.run_granted(1)
 
     def _tick_if_due(self) -> None:
-        # As the shell does, but for when an event makes a timer due sooner.
+        # Like the daemon's tick loop, without rescheduling after events.
         latest = self._ticked_at + IDLE_TICK_S
         if self.now < min(self.machine.next_due(self.now), latest):
             return
@@ -89,7 +89,7 @@
         self.handle_event(Tick())
 
     def run_granted(self, count: int, *, chunks: int = 1) -> int:
-        """Run requests by conditional grants; return how many were dispatched."""
+        """Run requests by conditional grants; return the number dispatched."""
         started = 0
         for _ in range(count):
             grant = self._grant(conditional=True)
@@ -98,7 +98,7 @@
         return started
 
     def run_reserved(self, count: int) -> int:
-        """Run requests that reserve, become ready and are granted."""
+        """Run requests with a reservation; return the number dispatched."""
         started = 0
         for _ in range(count):
             reserve = self._reserve()
@@ -110,12 +110,12 @@
         return started
 
     def occupy_slots(self) -> None:
-        """Take all slots."""
+        """Occupy all slots with granted requests."""
         for _ in range(SLOTS):
             self.handle_event(GrantArrived(self._grant(conditional=True)))
 
     def queue_requests(self, count: int) -> None:
-        """Let requests wait."""
+        """Queue requests by reservations."""
         for _ in range(count):
             self._deliver(self._reserve())
 
--- a/bench/slopes/costs.py
+++ b/bench/slopes/costs.py
@@ -1,4 +1,4 @@
-"""Processor time and memory of this process."""
+"""Measurement of CPU time and memory in this process."""
 
 import gc
 import tracemalloc
@@ -10,7 +10,7 @@
 
 
 def cpu_time_us(work: Callable[[], object]) -> float:
-    """Return the processor time of a piece of work, in microseconds."""
+    """Return the CPU time of a function call, in microseconds."""
     gc.collect()
     start = process_time()
     work()
@@ -18,7 +18,7 @@
 
 
 def memory_kib(build: Callable[[], object]) -> float:
-    """Return the memory that an object keeps, in KiB of Python's allocator."""
+    """Return the memory that a built object retains, in KiB."""
     gc.collect()
     tracemalloc.start()
     try:
--- a/bench/slopes/fitting.py
+++ b/bench/slopes/fitting.py
@@ -1,11 +1,11 @@
-"""Straight lines through measured costs."""
+"""Linear fits of measured costs."""
 
 from collections.abc import Callable, Sequence
 from dataclasses import dataclass
 from statistics import correlation, linear_regression, median
 
 Measure = Callable[[int], float]
-"""Measures the cost at one size."""
+"""Function that measures the cost at one size."""
 
 NO_SPREAD = 0.0
 PERFECT_FIT = 1.0
@@ -13,24 +13,24 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Slope:
-    """A cost as a straight line over a size.
+    """Linear fit of a cost over a size.
 
     Parameters
     ----------
     name : str
-        What was measured.
+        Name of the measured cost.
     per : str
-        What the size counts.
+        Item that the size counts.
     unit : str
-        Unit of the cost; the slope is in this unit for one more of `per`.
+        Unit of the cost; the slope is in this unit per item.
     slope, intercept : float
-        Of the least-squares line through the medians.
+        Coefficients of the least-squares line through the medians.
     r2 : float
-        Share of the medians' variance that the line explains.
+        Coefficient of determination for the medians.
     spread : float
-        Largest range of the repeats of one size, as a share of their median.
+        Largest relative range of the repeats of one size, by their median.
     sizes : tuple of int
-        Sizes that were measured.
+        Measured sizes.
     medians : tuple of float
         Median cost at each size.
     """
@@ -57,19 +57,19 @@
 ) -> Slope:
     """Measure a cost at each size and fit a line.
 
-    The repeats run over all sizes in turn, so that a change of the machine's
-    speed meets all sizes alike.
+    Each repeat covers all sizes, so that a change of the machine's speed affects
+    all sizes equally.
 
     Parameters
     ----------
     measure : callable
-        Returns the cost at a size.
+        Function that returns the cost at a size.
     name, per, unit : str
         As in `Slope`.
     sizes : sequence of int
-        At least four different sizes.
+        At least four distinct sizes.
     repeats : int
-        Measurements of each size.
+        Number of measurements of each size.
     """
     costs_by_size: dict[int, list[float]] = {size: [] for size in sizes}
     for _ in range(repeats):
@@ -81,7 +81,7 @@
 def fit(
     costs_by_size: dict[int, list[float]], *, name: str, per: str, unit: str
 ) -> Slope:
-    """Fit a line through the medians of measured costs."""
+    """Fit a line through the medians of the costs."""
     sizes = tuple(costs_by_size)
     medians = tuple(median(costs) for costs in costs_by_size.values())
     line = linear_regression(sizes, medians)
--- a/bench/slopes/fleet_costs.py
+++ b/bench/slopes/fleet_costs.py
@@ -1,4 +1,4 @@
-"""Costs of real processes: idle nodes, requests and pieces of answers."""
+"""Costs of real processes: idle nodes, requests and response chunks."""
 
 import time
 from collections.abc import Callable
@@ -37,14 +37,14 @@
 credential_sha256 = {sha256(TOKEN.encode()).hexdigest()}
 """
 IDLE_FLEET_SIZES = (1, 2, 3, 4)
-"""Sizes of the idle fleets: routers, and twice as many agents."""
+"""Number of routers in each idle fleet; agents are twice as many."""
 
 REQUEST_COUNTS = (25, 50, 100, 200)
 TOKEN_COUNTS = (8, 32, 64, 128)
 REQUESTS_PER_TOKEN_COUNT = 48
 MAX_CONCURRENT_CALLS = 16
-# Longer than the time for which agents gather pieces, so that each token is
-# one piece on each hop.
+# Longer than the time for which agents buffer chunks, so that each token is
+# forwarded as its own chunk.
 STEP_MS = 15.0
 WARM_UP_S = 2.0
 KEY_VALUE_PREFIX = "/v3/"
@@ -53,7 +53,7 @@
 
 
 def measure(scale: Scale) -> list[Slope]:
-    """Measure idle fleets, requests and pieces."""
+    """Measure idle fleets, requests and response chunks."""
     return [*_measure_idle(scale), *_measure_load(scale)]
 
 
@@ -192,7 +192,7 @@
 
 
 class _LoadGenerator:
-    """Sends calls and reads what they cost the router and the agent."""
+    """Load generator that measures the CPU time of the router and the agent."""
 
     def __init__(self, fleet: LocalFleet, caller: CheckedCaller) -> None:
         self._fleet = fleet
@@ -200,18 +200,18 @@
         self._serial = 0
 
     def run(self, requests: int, tokens: int) -> dict[str, float]:
-        """Return the processor time by role, in microseconds."""
+        """Send requests; return the CPU time by role, in microseconds."""
         before = self._cpu_us_by_role()
         calls = [self._start(tokens) for _ in range(requests)]
         wait(calls)
         wrong = [c for c in calls if c.result().end is not AnswerEnd.WHOLE]
         if wrong:
-            raise RuntimeError(f"{len(wrong)} answers are not whole")
+            raise RuntimeError(f"{len(wrong)} responses are incomplete or wrong")
         after = self._cpu_us_by_role()
         return {role: after[role] - before[role] for role in before}
 
     def run_chunks(self, tokens: int, requests: int) -> dict[str, float]:
-        """Return the processor time of one request by role, in microseconds."""
+        """Send requests; return the CPU time per request by role, in microseconds."""
         costs = self.run(requests, tokens)
         return {role: cost / requests for role, cost in costs.items()}
 
@@ -224,7 +224,7 @@
         name: str,
         repeats: int,
     ) -> list[Slope]:
-        """Return one slope for each role."""
+        """Measure the CPU time at each size; return one slope for each role."""
         costs: dict[str, dict[int, list[float]]] = {
             role: {size: [] for size in sizes} for role in ("router", "agent")
         }
@@ -264,4 +264,4 @@
     for line in Path(f"/proc/{pid}/status").read_text().splitlines():
         if line.startswith("VmRSS:"):
             return int(line.split()[1]) / KIB_PER_MIB
-    raise RuntimeError(f"process {pid} has ended")
+    raise RuntimeError(f"process {pid} has exited")
--- a/bench/slopes/message_costs.py
+++ b/bench/slopes/message_costs.py
@@ -1,4 +1,4 @@
-"""Processor time of control datagrams on real sockets."""
+"""CPU time and size of control datagrams on real sockets."""
 
 import socket
 from collections.abc import Callable
@@ -38,7 +38,7 @@
 
 
 def measure(scale: Scale) -> list[Slope]:
-    """Measure sending, receiving and handling."""
+    """Measure the sending, receiving, handling and size of datagrams."""
     sizes = [scale.count(size) for size in DATAGRAM_COUNTS]
     per_datagram = partial(
         measure_slope, per="datagram", unit="us", sizes=sizes, repeats=scale.repeats
--- a/bench/slopes/peer_costs.py
+++ b/bench/slopes/peer_costs.py
@@ -1,4 +1,4 @@
-"""Processor time and memory of known agents, routers and waiting requests."""
+"""CPU time and memory by number of agents, routers and queued requests."""
 
 from functools import partial
 
@@ -21,13 +21,13 @@
 
 
 def measure(scale: Scale) -> list[Slope]:
-    """Measure what a second costs, and what is kept."""
+    """Measure CPU time per second, message rates and memory."""
     seconds = max(1.0, MEASURED_S * scale.share)
     queue_lengths = [scale.count(size) for size in QUEUE_LENGTHS]
     fleet_sizes = [scale.count(size) for size in FLEET_SIZES]
     measure_time = partial(measure_slope, repeats=scale.repeats)
     measure_memory = partial(measure_slope, repeats=min(scale.repeats, MEMORY_REPEATS))
-    # Nothing in these depends on the machine's speed.
+    # Message rates are deterministic, so that one repeat suffices.
     measure_rate = partial(measure_slope, repeats=1)
     return [
         measure_time(
@@ -125,7 +125,7 @@
 
 
 def router_with_digests(agents: int) -> SimulatedRouter:
-    """Return a router that has heard of all agents."""
+    """Return a router that has a load digest of every agent."""
     router = SimulatedRouter(agents)
     for agent in router.agents:
         router.deliver_digest(agent)
@@ -133,9 +133,9 @@
 
 
 def router_past_startup(agents: int) -> SimulatedRouter:
-    """Return a router that is long past its start."""
+    """Return a router that has completed its initial probes."""
     router = router_with_digests(agents)
-    # The survey greets each agent once, fast, before it slows down.
+    # At startup, the router probes each agent once at a higher rate.
     router.advance(SETTLE_S + agents / PROBES_PER_S)
     return router
 
@@ -169,7 +169,7 @@
         before = table.members
         table.apply_list(map(member_from_vm, vms), 1.0)
         if table.members != before:
-            raise RuntimeError("the same list changed the members")
+            raise RuntimeError("an unchanged VM list changed the member table")
 
     return cpu_time_us(work)
 
--- a/bench/slopes/record_costs.py
+++ b/bench/slopes/record_costs.py
@@ -1,4 +1,4 @@
-"""Calls of the key-value service for idempotency records."""
+"""Costs of idempotency records: calls of the key-value service and CPU time."""
 
 from functools import partial
 
@@ -18,7 +18,7 @@
 
 
 def measure(scale: Scale) -> list[Slope]:
-    """Measure calls and processor time of records that are completed."""
+    """Measure calls, writes and CPU time of claimed and completed records."""
     measure_records = partial(measure_slope, per="record", sizes=RECORD_COUNTS)
     return [
         measure_records(
@@ -76,7 +76,9 @@
         tasks.start_soon(records.run_writer)
         for request in requests:
             if not isinstance(await records.claim(request), Claimed):
-                raise RuntimeError("a record was not claimed; the cost means nothing")
+                raise RuntimeError(
+                    "idempotency record was not claimed; the measurement is invalid"
+                )
             records.complete(request, 200, None)
         await records.flush()
         tasks.cancel_scope.cancel()
--- a/bench/slopes/report.py
+++ b/bench/slopes/report.py
@@ -1,4 +1,4 @@
-"""Slopes as JSON lines and as a table."""
+"""Output of slopes as JSON lines and as a table."""
 
 from collections.abc import Iterable
 from dataclasses import asdict
@@ -19,7 +19,7 @@
 
 
 def environment_json() -> str:
-    """Return when and under which load the measurement runs, as JSON."""
+    """Return the date, CPU count and load average as JSON."""
     return msgspec.json.encode(
         {
             "date": strftime("%Y-%m-%dT%H:%M:%SZ", gmtime()),
@@ -30,7 +30,7 @@
 
 
 def table(slopes: Iterable[Slope]) -> str:
-    """Return the slopes as lines of text."""
+    """Return the slopes as a text table."""
     rows = [ROW.format(*HEADER)]
     rows += [ROW.format(*_cells(slope)) for slope in slopes]
     return "\n".join(rows)
--- a/bench/slopes/request_costs.py
+++ b/bench/slopes/request_costs.py
@@ -1,4 +1,4 @@
-"""Processor time of requests in the state machines."""
+"""CPU time of requests in the state machines."""
 
 from functools import partial
 
@@ -16,7 +16,7 @@
 
 
 def measure(scale: Scale) -> list[Slope]:
-    """Measure the machines of both roles."""
+    """Measure the state machines of both roles."""
     in_requests = partial(
         measure_slope,
         per="request",
@@ -94,5 +94,7 @@
 
     cost = cpu_time_us(work)
     if done != expected:
-        raise RuntimeError(f"{done} of {expected} requests ran; the cost means nothing")
+        raise RuntimeError(
+            f"{done} of {expected} requests ran; the measurement is invalid"
+        )
     return cost
--- a/bench/slopes/routers.py
+++ b/bench/slopes/routers.py
@@ -1,4 +1,4 @@
-"""A real router machine with simulated agents and simulated time."""
+"""Router state machine with simulated agents and simulated time."""
 
 from random import Random
 
@@ -39,14 +39,14 @@
 
 
 def model_name(index: int, models: int = MODELS) -> str:
-    """Return the resource that an agent of that number serves."""
+    """Return the resource that the agent with an index serves."""
     return f"model:model-{index % models:02}"
 
 
 def digest_of(
     index: int, sequence: int, *, running: int = 0, models: int = MODELS
 ) -> Digest:
-    """Return a digest of a typical size."""
+    """Return a load digest of typical size."""
     return Digest(
         sequence=sequence,
         resources=(model_name(index, models),),
@@ -64,18 +64,18 @@
 
 
 class SimulatedRouter:
-    """A router machine, its agents' answers and its clock.
+    """Router state machine with its clock and the responses of its agents.
 
     Parameters
     ----------
     agents : int
-        Agents that are listed.
+        Number of listed agents.
     subset_size : int
-        As in the router's settings.
+        Subset size of the router configuration.
     full : bool
         Whether the agents have no free slot.
     models : int
-        Models, of which each agent serves one.
+        Number of models; each agent serves one.
     """
 
     def __init__(
@@ -100,7 +100,7 @@
         self.handle_event(AgentsListed(tuple(self._index_by_agent)))
 
     def handle_event(self, event: object) -> list[RouterAction]:
-        """Hand an event to the machine and let agents answer its heartbeats."""
+        """Handle an event; agents reply to the heartbeats that it triggers."""
         actions = self.machine.handle(event, self.now)
         others = []
         for action in actions:
@@ -114,13 +114,13 @@
         return others
 
     def advance(self, seconds: float) -> None:
-        """Let time pass."""
+        """Advance the clock, with periodic ticks."""
         for _ in range(round(seconds / TICK_S)):
             self.now += TICK_S
             self.handle_event(Tick())
 
     def request(self, index: int) -> Request:
-        """Return a new request for the model of an agent of that number."""
+        """Return a new request for the model of the agent with an index."""
         self._serial += 1
         service_policy = ServicePolicy(
             f"/account-{self._serial % 690}",
@@ -142,7 +142,7 @@
         )
 
     def run_granted(self, count: int) -> int:
-        """Run requests whose first grant is dispatched; return how many were."""
+        """Run requests that are granted at once; return the number of grants."""
         granted = 0
         for _ in range(count):
             actions = self.handle_event(RequestArrived(self.request(self._serial)))
@@ -153,7 +153,7 @@
         return granted
 
     def run_reserved(self, count: int) -> int:
-        """Run requests that wait at two agents; return how many were granted."""
+        """Run requests that queue at two agents; return the number of grants."""
         granted = 0
         for _ in range(count):
             actions = self.handle_event(RequestArrived(self.request(self._serial)))
@@ -170,23 +170,23 @@
         return granted
 
     def queue_requests(self, count: int) -> None:
-        """Let requests wait at agents."""
+        """Queue requests at agents."""
         for _ in range(count):
             self._queue_reservations(
                 self.handle_event(RequestArrived(self.request(self._serial)))
             )
 
     def deliver(self, agent: str, *messages: object) -> list[RouterAction]:
-        """Deliver a datagram of an agent."""
+        """Deliver a datagram from an agent."""
         return self.handle_event(DatagramArrived(Datagram(agent, 1, 1, messages)))
 
     def deliver_digest(self, agent: str) -> None:
-        """Deliver an unasked digest of an agent."""
+        """Deliver an unsolicited load digest from an agent."""
         self._answer_hello(agent)
 
     @property
     def agents(self) -> tuple[str, ...]:
-        """Names of the listed agents."""
+        """Identifiers of the listed agents."""
         return tuple(self._index_by_agent)
 
     def _answer_hello(self, agent: str) -> None:
--- a/bench/slopes/scale.py
+++ b/bench/slopes/scale.py
@@ -1,22 +1,22 @@
-"""How much is measured."""
+"""Number and duration of measurements."""
 
 from dataclasses import dataclass
 
 
 @dataclass(frozen=True, slots=True)
 class Scale:
-    """Repeats and lengths of the measurements.
+    """Number and duration of measurements.
 
     Parameters
     ----------
     repeats : int
-        Measurements of each size.
+        Repeats of each measurement.
     share : float
-        Share of the full work in each measurement.
+        Fraction of the full work in each measurement.
     idle_s : float
-        Time for which idle fleets of processes are observed, in seconds.
+        Observation time of idle fleets, in seconds.
     fleet_repeats : int
-        Measurements of each size with a fleet of processes.
+        Repeats of each measurement with a fleet of processes.
     """
 
     repeats: int
@@ -25,7 +25,7 @@
     fleet_repeats: int
 
     def count(self, full: int) -> int:
-        """Return the scaled number of repetitions inside one measurement."""
+        """Return a number of operations scaled by `share`, at least 1."""
         return max(1, round(full * self.share))
 
 
--- a/bench/slopes/settings_costs.py
+++ b/bench/slopes/settings_costs.py
@@ -1,4 +1,4 @@
-"""Processor time and memory of settings documents, by size."""
+"""CPU time and memory of settings documents by size."""
 
 from functools import cache, partial
 from hashlib import sha256
@@ -15,7 +15,7 @@
 
 @cache
 def encoded_document(accounts: int) -> bytes:
-    """Return a stored document with so many client accounts."""
+    """Return an encoded document with the given number of client accounts."""
     sections: dict[str, dict[str, object]] = {
         f"tier tier-{rank}": {"rank": rank, "deadline_s": 60.0} for rank in range(5)
     }
@@ -38,7 +38,7 @@
 
 
 def measure(scale: Scale) -> list[Slope]:
-    """Measure decoding with checks, application and memory over KiB of JSON."""
+    """Measure CPU time and memory of a document over its size in KiB."""
     return [
         _fit_over_kib(
             _decode, "settings: decode and check a version", "us", scale.repeats
--- a/bench/tests/test_bench_figures.py
+++ b/bench/tests/test_bench_figures.py
@@ -1,4 +1,4 @@
-"""Arithmetic of the load benchmark."""
+"""Tests of the calculations of the load benchmark."""
 
 import numpy as np
 import pytest
@@ -13,8 +13,8 @@
 
 
 class TestCapacity:
-    def test_mix_fills_all_engines(self):
-        """At full rates each engine gets its own share, and no more fits."""
+    def test_rates_saturate_all_engines(self):
+        """The saturating rates use exactly the capacity of all engines."""
         fleet = engines(PARKOVISKO)
         rates = saturating_rates(PARKOVISKO, fleet)
         total = sum(rates.values())
@@ -30,8 +30,8 @@
 
 
 class TestSchedule:
-    def test_same_seed_same_calls(self):
-        """Treatments get the same calls; another seed gives others."""
+    def test_same_seed_gives_same_calls(self):
+        """Equal seeds give equal calls to all treatments; other seeds differ."""
 
         def build(seed):
             rates = saturating_rates(ARSIVSAN, engines(ARSIVSAN))
@@ -48,8 +48,8 @@
 
 
 class TestRepeatedPrefill:
-    def test_counts_only_what_another_cache_still_held(self):
-        """Evicted blocks and calls given up are not repeats."""
+    def test_counts_only_blocks_that_another_engine_has_cached(self):
+        """Evicted blocks and cancelled prefills do not count as repeated."""
         prefills_by_id = {
             "a": [Prefill(1.0, ["x"], [], False), Prefill(2.0, ["y"], ["x"], False)],
             "b": [
@@ -65,8 +65,8 @@
 
 
 class TestFigures:
-    def test_late_answers_are_waste_and_not_goodput(self):
-        """A whole answer after its deadline is late, and its prefill wasted."""
+    def test_late_responses_count_as_waste_and_not_as_goodput(self):
+        """A complete response after its deadline is late, its prefill wasted."""
         calls = [ScheduledCall(0.0, 0, "suburbs", 0, number, 0) for number in range(4)]
         results = [
             Result(0, CallOutcome.COMPLETE, 0.1, 0.2, 0.0, uncached_tokens=18),
