--- a/bench/loadbench/criteria.py
+++ b/bench/loadbench/criteria.py
@@ -54,31 +54,31 @@
     baseline = figures_by_key.get((BASELINE, scenarios.TWICE_CAPACITY))
     if twice is not None:
         results.append(
-            _minimum(
+            _check_minimum(
                 "top tier's goodput at twice capacity >= 0.99",
                 twice.tiers[TOP_TIER].goodput,
                 MIN_TOP_TIER_GOODPUT,
             )
         )
     if twice is not None and baseline is not None:
-        results += _against_baseline(twice, baseline)
+        results += _compare_with_baseline(twice, baseline)
     half = figures_by_key.get((POLICY, scenarios.HALF_LOAD))
     if half is not None:
-        results += _against_half(shape, half, figures_by_key)
+        results += _compare_with_half_load(shape, half, figures_by_key)
     return results
 
 
-def _against_baseline(
+def _compare_with_baseline(
     twice: ScenarioFigures, baseline: ScenarioFigures
 ) -> list[CriterionResult]:
     waste = twice.wasted_tokens / max(baseline.wasted_tokens, 1)
     return [
-        _minimum(
+        _check_minimum(
             "answers at twice capacity / baseline's >= 1.5",
             twice.good / max(baseline.good, 1),
             MIN_GOODPUT_RATIO,
         ),
-        _minimum(
+        _check_minimum(
             "tokens of good answers at twice capacity / baseline's >= 1.5",
             twice.good_tokens / max(baseline.good_tokens, 1),
             MIN_GOODPUT_RATIO,
@@ -91,7 +91,7 @@
     ]
 
 
-def _against_half(
+def _compare_with_half_load(
     shape: Shape, half: ScenarioFigures, figures_by_key: FiguresByKey
 ) -> list[CriterionResult]:
     results = []
@@ -103,12 +103,12 @@
             half.tiers[TOP_TIER].goodput, 1e-9
         )
         criterion = f"top tier's goodput with {name} / unfaulted >= 0.98"
-        results.append(_minimum(criterion, ratio, MIN_FAULT_RATIO))
+        results.append(_check_minimum(criterion, ratio, MIN_FAULT_RATIO))
     outage = figures_by_key.get((POLICY, scenarios.PLATFORM_OUTAGE))
     if outage is not None:
         ratio = _goodput(outage) / max(_goodput(half), 1e-9)
         criterion = "goodput with the platform out / unfaulted >= 0.98"
-        results.append(_minimum(criterion, ratio, MIN_OUTAGE_RATIO))
+        results.append(_check_minimum(criterion, ratio, MIN_OUTAGE_RATIO))
     flood = figures_by_key.get((POLICY, scenarios.ACCOUNT_FLOOD))
     if flood is not None:
         _, *quiet_accounts = shape.share_by_account
@@ -118,13 +118,13 @@
             for account in quiet_accounts
         )
         criterion = "goodput of the worst quiet account / unfaulted >= 0.9"
-        results.append(_minimum(criterion, worst, MIN_QUIET_ACCOUNT_RATIO))
+        results.append(_check_minimum(criterion, worst, MIN_QUIET_ACCOUNT_RATIO))
     return results
 
 
-def _goodput(figures_by_key: ScenarioFigures) -> float:
-    return figures_by_key.good / max(figures_by_key.offered, 1)
+def _goodput(figures: ScenarioFigures) -> float:
+    return figures.good / max(figures.offered, 1)
 
 
-def _minimum(criterion: str, value: float, threshold: float) -> CriterionResult:
+def _check_minimum(criterion: str, value: float, threshold: float) -> CriterionResult:
     return CriterionResult(criterion, value, value >= threshold)
--- a/bench/loadbench/engines.py
+++ b/bench/loadbench/engines.py
@@ -62,7 +62,7 @@
 
 
 @dataclass(slots=True)
-class _Engine:
+class _EngineState:
     initial_totals: EngineTotals = field(default_factory=EngineTotals)
     # Last counters and prefills of processes killed in the scenario.
     killed_runs: list[tuple[EngineTotals, list[Prefill]]] = field(default_factory=list)
@@ -70,7 +70,7 @@
 
 
 class EngineMonitor:
-    """Read the engines' counters before and after a scenario.
+    """Monitor of the engines' counters during a scenario.
 
     Parameters
     ----------
@@ -81,7 +81,7 @@
     def __init__(self, fleet: LocalFleet) -> None:
         self._fleet = fleet
         self._engines_by_id = {
-            target.vm_id: _Engine()
+            target.vm_id: _EngineState()
             for target in fleet.spec.targets
             if isinstance(target, EngineSpec)
         }
@@ -138,10 +138,10 @@
     def _get(self, vm_id: str, path: str, kind: type) -> object:
         url = self._fleet.target_url(vm_id) + path
         try:
-            answer = admin_request("GET", url)
+            response = admin_request("GET", url)
         except httpcore.ConnectError:
-            raise RuntimeError(f"engine {vm_id} refused connection") from None
-        return msgspec.json.decode(answer.content, type=kind)
+            raise RuntimeError(f"{vm_id} refused the connection") from None
+        return msgspec.json.decode(response.content, type=kind)
 
 
 def _add(work: EngineWork, after: EngineTotals, initial_totals: EngineTotals) -> None:
@@ -162,8 +162,8 @@
     Cancelled prefills are excluded: all of their tokens count as given up.
     """
     events = sorted(
-        ((prefill.at, vm_id, prefill) for vm_id, found in prefills_by_id.items()
-         for prefill in found),
+        ((prefill.at, vm_id, prefill) for vm_id, prefills in prefills_by_id.items()
+         for prefill in prefills),
         key=lambda event: event[:2],
     )  # fmt: skip
     holders_by_block: dict[str, set[str]] = {}
--- a/bench/loadbench/measures.py
+++ b/bench/loadbench/measures.py
@@ -194,19 +194,19 @@
         (call, result) for call, result in pairs if shape.kinds[call.kind].tier == rank
     ]
     figures = TierFigures(offered=len(tier_pairs))
-    whole = []
-    not_run = []
+    first_token_times_s = []
+    not_run_times_s = []
     for call, result in tier_pairs:
         match result.outcome:
             case CallOutcome.COMPLETE:
-                whole.append(result.first_token_s)
+                first_token_times_s.append(result.first_token_s)
                 if _is_good(shape, call, result):
                     figures.good += 1
                 else:
                     figures.late += 1
             case CallOutcome.NOT_RUN:
                 figures.not_run += 1
-                not_run.append(result.total_s)
+                not_run_times_s.append(result.total_s)
             case CallOutcome.WRONG:
                 figures.wrong += 1
             case CallOutcome.GIVEN_UP:
@@ -214,8 +214,8 @@
             case _:
                 figures.unknown += 1
     figures.goodput = round(figures.good / max(figures.offered, 1), 4)
-    figures.first_token_ms = _percentiles_ms(whole)
-    figures.not_run_ms = _percentiles_ms(not_run)
+    figures.first_token_ms = _percentiles_ms(first_token_times_s)
+    figures.not_run_ms = _percentiles_ms(not_run_times_s)
     return figures
 
 
--- a/bench/loadbench/report.py
+++ b/bench/loadbench/report.py
@@ -45,7 +45,7 @@
         len(TIERS) + 1, 1, figsize=(max(8, len(names)), 14), sharex=True
     )
     for position, tier in enumerate(TIERS):
-        _bars(
+        _draw_bars(
             axes[position],
             names,
             treatments,
@@ -54,7 +54,7 @@
         axes[position].set_ylabel(f"goodput\n{tier.name}")
         axes[position].set_ylim(0, 1.05)
     wasted = {_key(each): each.wasted_tokens for each in all_figures}
-    _bars(axes[-1], names, treatments, wasted)
+    _draw_bars(axes[-1], names, treatments, wasted)
     axes[-1].set_ylabel("wasted prefill\n(tokens)")
     axes[0].legend()
     axes[-1].set_xticks(
@@ -72,7 +72,7 @@
     return figures.shape, figures.scenario, figures.treatment
 
 
-def _bars(axis, names, treatments, value_by_key) -> None:
+def _draw_bars(axis, names, treatments, value_by_key) -> None:
     width = 0.8 / len(treatments)
     for number, treatment in enumerate(treatments):
         positions = [index + number * width - 0.4 for index in range(len(names))]
--- a/bench/loadbench/sender.py
+++ b/bench/loadbench/sender.py
@@ -173,9 +173,11 @@
         code = ERROR_CODE_PATTERN.search(content)
         result.reason = code[1].decode() if code else "no-end"
         return
-    whole = content.count(EVENT_PREFIX) == kind.output_tokens + NON_TOKEN_EVENTS
-    own = response_digest(kind, call.document, unique) in content
-    result.outcome = CallOutcome.COMPLETE if whole and own else CallOutcome.WRONG
+    is_complete = content.count(EVENT_PREFIX) == kind.output_tokens + NON_TOKEN_EVENTS
+    is_own = response_digest(kind, call.document, unique) in content
+    result.outcome = (
+        CallOutcome.COMPLETE if is_complete and is_own else CallOutcome.WRONG
+    )
     cached = CACHED_TOKENS_PATTERN.search(content)
     cached_tokens = int(cached[1]) if cached else 0
     result.uncached_tokens = kind.prompt_tokens - cached_tokens
--- a/bench/overhead.py
+++ b/bench/overhead.py
@@ -215,8 +215,8 @@
             received += await stream.receive()
             if first_token_s is None and EVENT_PREFIX in received:
                 first_token_s = time.monotonic() - started
-        whole = received.count(EVENT_PREFIX) == self._tokens + NON_TOKEN_EVENTS
-        return first_token_s if whole else None
+        is_complete = received.count(EVENT_PREFIX) == self._tokens + NON_TOKEN_EVENTS
+        return first_token_s if is_complete else None
 
     async def _close(self) -> None:
         for idle in self._idle_by_address.values():
@@ -261,7 +261,7 @@
         generator = LoadGenerator(urls, tokens, run)
         before, started = self._cpu_s(), time.monotonic()
         await generator.send_all(self._args.rate, seconds or self._args.seconds)
-        phase = self._finish(generator.phase, before, started)
+        phase = self._record_usage(generator.phase, before, started)
         await anyio.sleep(SETTLE_S)
         return phase
 
@@ -269,9 +269,11 @@
         await anyio.sleep(SETTLE_S)
         before, started = self._cpu_s(), time.monotonic()
         await anyio.sleep(self._args.idle_seconds)
-        return self._finish(Phase(), before, started)
+        return self._record_usage(Phase(), before, started)
 
-    def _finish(self, phase: Phase, before: dict[str, float], started: float) -> Phase:
+    def _record_usage(
+        self, phase: Phase, before: dict[str, float], started: float
+    ) -> Phase:
         phase.seconds = time.monotonic() - started
         after = self._cpu_s()
         phase.cpu_s_by_name = {name: after[name] - before[name] for name in after}
@@ -324,20 +326,20 @@
     def _role_figures(
         self, names: tuple[str, ...], idle: Phase, routed: dict[int, Phase]
     ) -> RoleFigures:
-        idle_share = _total_cpu_s(idle, names) / idle.seconds
+        idle_cores = _total_cpu_s(idle, names) / idle.seconds
         short, long = routed[self._args.short], routed[self._args.long]
         # CPU time per request, without the idle usage.
         short_s = (
-            _total_cpu_s(short, names) - idle_share * short.seconds
+            _total_cpu_s(short, names) - idle_cores * short.seconds
         ) / short.calls
-        long_s = (_total_cpu_s(long, names) - idle_share * long.seconds) / long.calls
+        long_s = (_total_cpu_s(long, names) - idle_cores * long.seconds) / long.calls
         chunk_s = (long_s - short_s) / (self._args.long - self._args.short)
         request_s = short_s - chunk_s * self._args.short
         processes = self._fleet.processes_by_name
         return RoleFigures(
             cpu_ms_a_request=round(1e3 * request_s, 3),
             cpu_us_a_chunk=round(1e6 * chunk_s, 1),
-            idle_cpu_percent=round(100 * idle_share / len(names), 2),
+            idle_cpu_percent=round(100 * idle_cores / len(names), 2),
             loaded_cpu_percent=round(
                 100 * max(_total_cpu_s(long, (name,)) for name in names) / long.seconds,
                 1,
--- a/bench/slopes/costs.py
+++ b/bench/slopes/costs.py
@@ -23,10 +23,10 @@
     tracemalloc.start()
     try:
         before, _ = tracemalloc.get_traced_memory()
-        kept = build()
+        retained = build()
         gc.collect()
         after, _ = tracemalloc.get_traced_memory()
     finally:
         tracemalloc.stop()
-    del kept
+    del retained
     return (after - before) / BYTES_PER_KIB
--- a/bench/slopes/fitting.py
+++ b/bench/slopes/fitting.py
@@ -28,7 +28,7 @@
     r2 : float
         Coefficient of determination for the medians.
     spread : float
-        Largest relative range of the repeats of one size, by their median.
+        Largest range of the repeats of one size, divided by their median.
     sizes : tuple of int
         Measured sizes.
     medians : tuple of float
--- a/bench/slopes/fleet_costs.py
+++ b/bench/slopes/fleet_costs.py
@@ -70,7 +70,7 @@
         time.sleep(scale.idle_s)
         after = {size: _snapshot(fleet) for size, fleet in fleets.items()}
         memory_by_role = {
-            role: {size: _memory(fleet, role) for size, fleet in fleets.items()}
+            role: {size: _memory_mib(fleet, role) for size, fleet in fleets.items()}
             for role in ("router", "target")
         }
     finally:
@@ -143,14 +143,14 @@
 
 
 def _key_value_calls(fleet: LocalFleet) -> float:
-    answer = admin_request("GET", fleet.platform_url() + "/control/counts")
-    counts = msgspec.json.decode(answer.content)
+    response = admin_request("GET", fleet.platform_url() + "/control/counts")
+    counts = msgspec.json.decode(response.content)
     return float(
         sum(n for path, n in counts.items() if path.startswith(KEY_VALUE_PREFIX))
     )
 
 
-def _memory(fleet: LocalFleet, role: str) -> list[float]:
+def _memory_mib(fleet: LocalFleet, role: str) -> list[float]:
     names = [name for name in fleet.daemon_names() if name.startswith(role)]
     return [_resident_mib(fleet.processes_by_name[name].pid) for name in names]
 
--- a/bench/slopes/peer_costs.py
+++ b/bench/slopes/peer_costs.py
@@ -31,14 +31,14 @@
     measure_rate = partial(measure_slope, repeats=1)
     return [
         measure_time(
-            partial(_router_second, seconds=seconds),
+            partial(_router_us_per_s, seconds=seconds),
             name="router machine: a second, by agents in a small fleet",
             per="agent",
             unit="us/s",
             sizes=SMALL_FLEET_SIZES,
         ),
         measure_time(
-            partial(_router_second, seconds=seconds),
+            partial(_router_us_per_s, seconds=seconds),
             name="router machine: a second, by agents listed",
             per="agent",
             unit="us/s",
@@ -73,7 +73,7 @@
             sizes=fleet_sizes,
         ),
         measure_time(
-            partial(_agent_second, seconds=seconds),
+            partial(_agent_us_per_s, seconds=seconds),
             name="agent machine: a second, by routers that greet",
             per="router",
             unit="us/s",
@@ -87,28 +87,28 @@
             sizes=ROUTER_COUNTS,
         ),
         measure_memory(
-            _router_waiting_memory,
+            _router_queue_memory,
             name="router machine: memory, by waiting requests",
             per="request",
             unit="KiB",
             sizes=queue_lengths,
         ),
         measure_time(
-            partial(_router_waiting_second, seconds=seconds),
+            partial(_router_queue_us_per_s, seconds=seconds),
             name="router machine: a second, by waiting requests",
             per="request",
             unit="us/s",
             sizes=queue_lengths,
         ),
         measure_memory(
-            _agent_waiting_memory,
+            _agent_queue_memory,
             name="agent machine: memory, by waiting requests",
             per="request",
             unit="KiB",
             sizes=queue_lengths,
         ),
         measure_time(
-            partial(_agent_waiting_second, seconds=seconds),
+            partial(_agent_queue_us_per_s, seconds=seconds),
             name="agent machine: a second, by waiting requests",
             per="request",
             unit="us/s",
@@ -140,7 +140,7 @@
     return router
 
 
-def _router_second(agents: int, *, seconds: float) -> float:
+def _router_us_per_s(agents: int, *, seconds: float) -> float:
     router = router_past_startup(agents)
     return cpu_time_us(partial(router.advance, seconds)) / seconds
 
@@ -178,7 +178,7 @@
     return memory_kib(partial(router_with_digests, agents))
 
 
-def _agent_second(routers: int, *, seconds: float) -> float:
+def _agent_us_per_s(routers: int, *, seconds: float) -> float:
     agent = SimulatedAgent(routers)
     return cpu_time_us(partial(agent.advance, seconds)) / seconds
 
@@ -191,35 +191,35 @@
     return (agent.sent - before) / 2.0
 
 
-def _router_waiting(count: int) -> SimulatedRouter:
+def _router_with_queue(count: int) -> SimulatedRouter:
     router = SimulatedRouter(16, full=True, models=1)
     router.queue_requests(count)
     return router
 
 
-def _router_waiting_memory(count: int) -> float:
-    return memory_kib(partial(_router_waiting, count))
+def _router_queue_memory(count: int) -> float:
+    return memory_kib(partial(_router_with_queue, count))
 
 
-def _router_waiting_second(count: int, *, seconds: float) -> float:
-    router = _router_waiting(count)
+def _router_queue_us_per_s(count: int, *, seconds: float) -> float:
+    router = _router_with_queue(count)
     router.advance(3.0)
     return cpu_time_us(partial(router.advance, seconds)) / seconds
 
 
-def _agent_waiting(count: int) -> SimulatedAgent:
+def _agent_with_queue(count: int) -> SimulatedAgent:
     agent = SimulatedAgent()
     agent.occupy_slots()
     agent.queue_requests(count)
     return agent
 
 
-def _agent_waiting_memory(count: int) -> float:
-    return memory_kib(partial(_agent_waiting, count))
+def _agent_queue_memory(count: int) -> float:
+    return memory_kib(partial(_agent_with_queue, count))
 
 
-def _agent_waiting_second(count: int, *, seconds: float) -> float:
-    agent = _agent_waiting(count)
+def _agent_queue_us_per_s(count: int, *, seconds: float) -> float:
+    agent = _agent_with_queue(count)
     return cpu_time_us(partial(agent.advance, seconds)) / seconds
 
 
