--- a/libs/caller/src/berylwalk/caller/_exchange.py
+++ b/libs/caller/src/berylwalk/caller/_exchange.py
@@ -6,7 +6,7 @@
 from berylwalk.caller._headers import TRACEPARENT, ValuesByName, values_by_name
 from berylwalk.caller._limits import ByteReservation
 from berylwalk.model import RequestId
-from berylwalk.telemetry import Hop, Tracing
+from berylwalk.telemetry import TraceSpan, Tracing
 from berylwalk.transport import Receive, Scope, Send, send_json
 
 HOP_NAME = "caller"
@@ -30,7 +30,7 @@
         Monotonic time, in seconds.
     reservation : ByteReservation
         Bytes that the request reserves of the common budget.
-    hop : Hop
+    span : TraceSpan
         Span of the request.
     """
 
@@ -41,7 +41,7 @@
     method: str
     arrived_at: float
     reservation: ByteReservation
-    hop: Hop
+    span: TraceSpan
 
 
 def open_exchange(
@@ -70,7 +70,7 @@
         Monotonic time, in seconds.
     """
     values = values_by_name(scope["headers"])
-    hop = tracing.start_hop(
+    span = tracing.start_span(
         values.get(TRACEPARENT, [""])[0],
         HOP_NAME,
         {"request_id": str(request_id), "method": scope["method"]},
@@ -83,7 +83,7 @@
         method=scope["method"],
         arrived_at=arrived_at,
         reservation=reservation,
-        hop=hop,
+        span=span,
     )
 
 
@@ -92,5 +92,5 @@
     request_id = str(exchange.request_id)
     document = error_document(response, request_id)
     headers = error_headers(response, request_id)
-    exchange.hop.set_attributes({"status": response.status, "code": response.code})
+    exchange.span.set_attributes({"status": response.status, "code": response.code})
     await send_json(exchange.send, response.status, document, headers)
--- a/libs/router/src/berylwalk/router/_settings_store.py
+++ b/libs/router/src/berylwalk/router/_settings_store.py
@@ -1,4 +1,4 @@
-"""The key-value service as the settings library sees it."""
+"""Adapter from the key-value service to the settings library's store."""
 
 from berylwalk.platform import (
     Conflict,
@@ -12,7 +12,7 @@
 _RESULT_BY_TYPE = {
     Swapped: SwapResult.SWAPPED,
     Conflict: SwapResult.CONFLICT,
-    OutcomeUnknown: SwapResult.LOST,
+    OutcomeUnknown: SwapResult.OUTCOME_UNKNOWN,
     Unavailable: SwapResult.UNAVAILABLE,
 }
 
