--- a/bench/loadbench/capacity.py
+++ b/bench/loadbench/capacity.py
@@ -1,18 +1,17 @@
-"""Capacity of the engines, by arithmetic.
+"""Analytical capacity of the engines.
 
-An engine with a full batch gives one token to each of its requests in each
-step, and a prefill stops all of them. One request hence takes
+An engine with a full batch emits one token for each request in each step, and
+a prefill blocks the whole batch. One request therefore uses
 ``output / batch * step(batch) + uncached prompt / prefill rate`` of the engine's
-time. Prefixes count as cached wherever calls share them, which is the best case:
-real caches are smaller, so that load in terms of this capacity is a lower bound.
+time. Shared prefixes count as cached, so this is an upper bound of the capacity.
 """
 
 from berylwalk.localfleet import EngineSpec
-from loadbench.shapes import ModelKind, Shape
+from loadbench.shapes import ModelCallKind, Shape
 
 
-def engine_s(engine: EngineSpec, kind: ModelKind) -> float:
-    """Return the time of an engine with a full batch that a call takes."""
+def engine_time_s(engine: EngineSpec, kind: ModelCallKind) -> float:
+    """Return the time of an engine with a full batch that a call uses, in seconds."""
     batch = engine.max_batch
     step_s = engine.step_ms / 1000 * (1 + engine.batch_slope * batch)
     shared = kind.shared_tokens if kind.documents > 1 else 0
@@ -20,20 +19,20 @@
     return kind.output_tokens / batch * step_s + prefill_s
 
 
-def full_rates(shape: Shape, engines: tuple[EngineSpec, ...]) -> dict[str, float]:
-    """Return the calls a second of each model kind that fill all engines."""
+def saturating_rates(shape: Shape, engines: tuple[EngineSpec, ...]) -> dict[str, float]:
+    """Return calls per second by service that saturate all engines."""
     reference = engines[0]
     count_by_service = {
-        kind.service: kind.work_share / engine_s(reference, kind)
+        kind.service: kind.work_share / engine_time_s(reference, kind)
         for kind in shape.model_kinds
     }
     mixes = [
         sum(
-            count_by_service[kind.service] * engine_s(engine, kind)
+            count_by_service[kind.service] * engine_time_s(engine, kind)
             for kind in shape.model_kinds
         )
         for engine in engines
     ]
-    # Each engine takes 1 / mix of the mixes a second.
+    # An engine serves 1 / mix mixes of calls per second.
     total = sum(1.0 / mix for mix in mixes)
     return {service: count * total for service, count in count_by_service.items()}
--- a/bench/loadbench/engines.py
+++ b/bench/loadbench/engines.py
@@ -1,4 +1,4 @@
-"""What the stand-in engines did during a scenario."""
+"""Work that the stand-in engines did during a scenario."""
 
 from dataclasses import dataclass, field
 
@@ -9,8 +9,8 @@
 from berylwalk.standins import BLOCK_TOKENS
 
 
-class Totals(msgspec.Struct):
-    """Counters of an engine; see the stand-in."""
+class EngineTotals(msgspec.Struct):
+    """Counters that a stand-in engine reports."""
 
     prefill_tokens: int = 0
     wasted_prefill_tokens: int = 0
@@ -21,15 +21,15 @@
     busy_slot_s: float = 0.0
 
 
-class Seen(msgspec.Struct):
-    """The part of an engine's answer that is used."""
+class EngineStatus(msgspec.Struct):
+    """Subset of the fields of an engine's status response."""
 
-    totals: Totals
+    totals: EngineTotals
     running_prefill_tokens: int = 0
 
 
 class Prefill(msgspec.Struct):
-    """One prefill that changed an engine's prefix cache."""
+    """Prefill that changed an engine's prefix cache."""
 
     at: float
     added: list[str]
@@ -39,18 +39,18 @@
 
 @dataclass(slots=True)
 class EngineWork:
-    """Work of all engines in a scenario, in tokens and seconds.
+    """Total work of all engines in a scenario.
 
     Parameters
     ----------
     prefill_tokens, cached_tokens, output_tokens : int
-        Prompt tokens computed and found in caches, and tokens given out.
+        Prompt tokens computed, prompt tokens read from caches, tokens generated.
     given_up_tokens : int
         Prompt tokens computed for calls that were cancelled or killed.
     repeated_tokens : int
-        Prompt tokens computed again while another live engine had them cached.
+        Prompt tokens computed while another running engine had them cached.
     busy_slot_s : float
-        Time that slots were in use, summed.
+        Time in use, summed over slots.
     """
 
     prefill_tokens: int = 0
@@ -62,50 +62,51 @@
 
 
 @dataclass(slots=True)
-class _Engine:
-    before: Totals = field(default_factory=Totals)
-    # Of processes that were killed in the scenario.
-    lost: list[tuple[Totals, list[Prefill]]] = field(default_factory=list)
-    dead: bool = False
+class _EngineState:
+    initial_totals: EngineTotals = field(default_factory=EngineTotals)
+    # Last counters and prefills of processes killed in the scenario.
+    killed_runs: list[tuple[EngineTotals, list[Prefill]]] = field(default_factory=list)
+    is_killed: bool = False
 
 
-class EngineWatch:
-    """Reads the engines' counters before and after a scenario.
+class EngineMonitor:
+    """Monitor of the engines' counters during a scenario.
 
     Parameters
     ----------
     fleet : LocalFleet
-        The fleet.
+        Running fleet.
     """
 
     def __init__(self, fleet: LocalFleet) -> None:
         self._fleet = fleet
         self._engines_by_id = {
-            target.vm_id: _Engine()
+            target.vm_id: _EngineState()
             for target in fleet.spec.targets
             if isinstance(target, EngineSpec)
         }
 
     def start(self) -> None:
-        """Note the counters at the start."""
+        """Record the counters at the start of a scenario."""
         for vm_id, engine in self._engines_by_id.items():
-            engine.before = self._seen(vm_id).totals
+            engine.initial_totals = self._read_status(vm_id).totals
 
     def busy_slot_s(self) -> float:
-        """Return the slot time in use since the start."""
+        """Return the slot time used since the start, in seconds."""
         return sum(
-            self._seen(vm_id).totals.busy_slot_s - engine.before.busy_slot_s
+            self._read_status(vm_id).totals.busy_slot_s
+            - engine.initial_totals.busy_slot_s
             for vm_id, engine in self._engines_by_id.items()
-            if not engine.dead
+            if not engine.is_killed
         )
 
-    def before_kill(self, vm_id: str) -> None:
-        """Save the counters of an engine that is about to be killed."""
-        seen = self._seen(vm_id)
-        seen.totals.wasted_prefill_tokens += seen.running_prefill_tokens
+    def record_before_kill(self, vm_id: str) -> None:
+        """Record the counters of an engine that is about to be killed."""
+        status = self._read_status(vm_id)
+        status.totals.wasted_prefill_tokens += status.running_prefill_tokens
         engine = self._engines_by_id[vm_id]
-        engine.lost.append((seen.totals, self._prefills(vm_id)))
-        engine.dead = True
+        engine.killed_runs.append((status.totals, self._prefills(vm_id)))
+        engine.is_killed = True
 
     def stop(self, started_at: float) -> EngineWork:
         """Return the work since the start.
@@ -118,18 +119,18 @@
         work = EngineWork()
         prefills_by_id: dict[str, list[Prefill]] = {}
         for vm_id, engine in self._engines_by_id.items():
-            if engine.dead:
-                after, prefills = engine.lost[-1]
+            if engine.is_killed:
+                after, prefills = engine.killed_runs[-1]
             else:
-                after, prefills = self._seen(vm_id).totals, self._prefills(vm_id)
-            _add(work, after, engine.before)
+                after, prefills = self._read_status(vm_id).totals, self._prefills(vm_id)
+            _add(work, after, engine.initial_totals)
             prefills_by_id[vm_id] = prefills
-            engine.dead = False
+            engine.is_killed = False
         work.repeated_tokens = repeated_tokens(prefills_by_id, started_at)
         return work
 
-    def _seen(self, vm_id: str) -> Seen:
-        return self._get(vm_id, "/control/seen", Seen)
+    def _read_status(self, vm_id: str) -> EngineStatus:
+        return self._get(vm_id, "/control/seen", EngineStatus)
 
     def _prefills(self, vm_id: str) -> list[Prefill]:
         return self._get(vm_id, "/control/prefills", list[Prefill])
@@ -137,28 +138,32 @@
     def _get(self, vm_id: str, path: str, kind: type) -> object:
         url = self._fleet.target_url(vm_id) + path
         try:
-            answer = admin_request("GET", url)
+            response = admin_request("GET", url)
         except httpcore.ConnectError:
-            raise RuntimeError(f"{vm_id} has ended") from None
-        return msgspec.json.decode(answer.content, type=kind)
+            raise RuntimeError(f"{vm_id} refused the connection") from None
+        return msgspec.json.decode(response.content, type=kind)
 
 
-def _add(work: EngineWork, after: Totals, before: Totals) -> None:
-    work.prefill_tokens += after.prefill_tokens - before.prefill_tokens
-    work.cached_tokens += after.cached_prefill_tokens - before.cached_prefill_tokens
-    work.output_tokens += after.output_tokens - before.output_tokens
-    work.given_up_tokens += after.wasted_prefill_tokens - before.wasted_prefill_tokens
-    work.busy_slot_s += after.busy_slot_s - before.busy_slot_s
+def _add(work: EngineWork, after: EngineTotals, initial_totals: EngineTotals) -> None:
+    work.prefill_tokens += after.prefill_tokens - initial_totals.prefill_tokens
+    work.cached_tokens += (
+        after.cached_prefill_tokens - initial_totals.cached_prefill_tokens
+    )
+    work.output_tokens += after.output_tokens - initial_totals.output_tokens
+    work.given_up_tokens += (
+        after.wasted_prefill_tokens - initial_totals.wasted_prefill_tokens
+    )
+    work.busy_slot_s += after.busy_slot_s - initial_totals.busy_slot_s
 
 
 def repeated_tokens(prefills_by_id: dict[str, list[Prefill]], started_at: float) -> int:
     """Count the tokens computed while another engine had them cached.
 
-    Calls that were given up don't count here, because all their tokens do.
+    Cancelled prefills are excluded: all of their tokens count as given up.
     """
     events = sorted(
-        ((prefill.at, vm_id, prefill) for vm_id, found in prefills_by_id.items()
-         for prefill in found),
+        ((prefill.at, vm_id, prefill) for vm_id, prefills in prefills_by_id.items()
+         for prefill in prefills),
         key=lambda event: event[:2],
     )  # fmt: skip
     holders_by_block: dict[str, set[str]] = {}
--- a/bench/loadbench/bodies.py
+++ b/bench/loadbench/request_bodies.py
@@ -1,4 +1,4 @@
-"""Bodies of model calls, and what their answers must be."""
+"""Request bodies of model calls, and the digests expected in responses."""
 
 from functools import lru_cache
 from hashlib import md5
@@ -6,15 +6,15 @@
 import msgspec
 
 from loadbench.fleets import MODEL
-from loadbench.shapes import ModelKind
+from loadbench.shapes import ModelCallKind
 
 CHARACTERS_PER_TOKEN = 4
 ROLE_PREFIX = "user: \n"
 
 
 @lru_cache(maxsize=512)
-def filler(name: str, tokens: int) -> str:
-    """Return text of a number of tokens that differs in each block by name."""
+def filler_text(name: str, tokens: int) -> str:
+    """Return text of `tokens` tokens whose cache blocks are unique to `name`."""
     words = []
     length = 0
     number = 0
@@ -26,18 +26,18 @@
     return "".join(words)[: tokens * CHARACTERS_PER_TOKEN]
 
 
-def prompt(kind: ModelKind, document: int, unique: str) -> str:
+def prompt(kind: ModelCallKind, document: int, unique: str) -> str:
     """Return the prompt of a call."""
     own_tokens = kind.prompt_tokens - kind.shared_tokens
-    # The calls of a document share it whatever their service.
-    shared = filler(f"document-{document}", kind.shared_tokens)
-    own = filler("text", own_tokens)
+    # The prefix depends on the document only, so that services share its cache.
+    shared = filler_text(f"document-{document}", kind.shared_tokens)
+    own = filler_text("text", own_tokens)
     own = (unique + own)[: own_tokens * CHARACTERS_PER_TOKEN - len(ROLE_PREFIX)]
     return shared + own
 
 
-def model_body(kind: ModelKind, document: int, unique: str) -> bytes:
-    """Return the body of a streamed call."""
+def model_body(kind: ModelCallKind, document: int, unique: str) -> bytes:
+    """Return the JSON body of a streaming call."""
     body = {
         "model": MODEL,
         "messages": [{"role": "user", "content": prompt(kind, document, unique)}],
@@ -48,8 +48,8 @@
     return msgspec.json.encode(body)
 
 
-def answer_digest(kind: ModelKind, document: int, unique: str) -> bytes:
-    """Return the digest that the stand-in engine puts first in its answer."""
+def response_digest(kind: ModelCallKind, document: int, unique: str) -> bytes:
+    """Return the digest with which the stand-in engine starts its response."""
     text = f"user: {prompt(kind, document, unique)}\n"
     identity = msgspec.json.encode([text, None, None], order="sorted")
     return md5(identity, usedforsecurity=False).hexdigest().encode()
--- a/bench/loadbench/schedule.py
+++ b/bench/loadbench/schedule.py
@@ -1,32 +1,32 @@
-"""Seeded arrivals of calls."""
+"""Seeded schedules of calls."""
 
 from dataclasses import dataclass, field
 
 import msgspec
 import numpy as np
 
-from loadbench.shapes import Kind, ModelKind, Shape
+from loadbench.shapes import CallKind, ModelCallKind, Shape
 
 ZIPF_EXPONENT = 1.0
 
 
-class Call(msgspec.Struct, array_like=True):
-    """One call to send.
+class ScheduledCall(msgspec.Struct, array_like=True):
+    """Call with its time of arrival.
 
     Parameters
     ----------
     at : float
         Time since the start of the scenario, in seconds.
     kind : int
-        Index of the shape's kind.
+        Index into the kinds of the shape.
     account : str
-        Client account.
+        Client account that sends the call.
     document : int
-        Document of the shared prefix.
+        Number of the document whose prefix the call shares.
     number : int
-        Unique number of the call.
+        Number of the call, unique in the scenario.
     router : int
-        Router that the balancer chooses.
+        Index of the router that the load balancer selects.
     """
 
     at: float
@@ -39,16 +39,16 @@
 
 @dataclass(frozen=True, slots=True)
 class Phase:
-    """A piece of a scenario with constant rates.
+    """Part of a scenario with constant arrival rates.
 
     Parameters
     ----------
     start, end : float
-        Share of the scenario's length, from 0 to 1.
+        Bounds as shares of the scenario's length, from 0 to 1.
     load : float
         Multiple of the engines' capacity.
     load_by_account : dict of str to float
-        Multiples for single accounts, in place of their share of `load`.
+        Multiples for single accounts, which override their share of `load`.
     """
 
     start: float
@@ -65,7 +65,7 @@
     seconds: float,
     routers: int,
     rng: np.random.Generator,
-) -> list[Call]:
+) -> list[ScheduledCall]:
     """Return the calls of a scenario, in order of time."""
     calls = []
     for phase in phases:
@@ -83,15 +83,17 @@
 def _rate(
     shape: Shape,
     phase: Phase,
-    kind: Kind,
+    kind: CallKind,
     account: str,
     rate_by_service: dict[str, float],
 ) -> float:
-    full = rate_by_service[kind.service] if isinstance(kind, ModelKind) else kind.rate
-    own = phase.load_by_account.get(account)
-    if own is None:
-        own = phase.load * shape.share_by_account[account]
-    return full * own
+    full_rate = (
+        rate_by_service[kind.service] if isinstance(kind, ModelCallKind) else kind.rate
+    )
+    account_load = phase.load_by_account.get(account)
+    if account_load is None:
+        account_load = phase.load * shape.share_by_account[account]
+    return full_rate * account_load
 
 
 def _arrivals(
@@ -105,15 +107,17 @@
 def _call(
     at: float,
     index: int,
-    kind: Kind,
+    kind: CallKind,
     account: str,
     routers: int,
     rng: np.random.Generator,
-) -> Call:
+) -> ScheduledCall:
     document = 0
-    if isinstance(kind, ModelKind) and kind.documents > 1:
+    if isinstance(kind, ModelCallKind) and kind.documents > 1:
         document = _zipf(kind.documents, rng)
-    return Call(float(at), index, account, document, 0, int(rng.integers(routers)))
+    return ScheduledCall(
+        float(at), index, account, document, 0, int(rng.integers(routers))
+    )
 
 
 def _zipf(count: int, rng: np.random.Generator) -> int:
--- a/bench/loadbench/shapes.py
+++ b/bench/loadbench/shapes.py
@@ -1,4 +1,4 @@
-"""What the two users send: client accounts, tiers and kinds of calls."""
+"""Workloads of the two users: client accounts, tiers and kinds of calls."""
 
 from dataclasses import dataclass
 
@@ -6,8 +6,8 @@
 
 
 @dataclass(frozen=True, slots=True)
-class ModelKind:
-    """One kind of model call, a service node of the settings tree.
+class ModelCallKind:
+    """Kind of model call, with a service node in the settings tree.
 
     Parameters
     ----------
@@ -16,9 +16,9 @@
     tier : int
         Rank of its tier.
     work_share : float
-        Share of the engines' time that these calls take.
+        Share of the engines' time that these calls use.
     prompt_tokens, output_tokens : int
-        Size of each call.
+        Tokens of each call.
     shared_tokens : int
         Leading prompt tokens that are shared by calls on one document.
     documents : int
@@ -35,20 +35,20 @@
 
 
 @dataclass(frozen=True, slots=True)
-class ServiceKind:
-    """One kind of call of a plain service.
+class ServiceCallKind:
+    """Kind of call to a plain service, with a node in the settings tree.
 
     Parameters
     ----------
     service : str
         Name of the node.
     target_service : str
-        Plain service that it goes to.
+        Plain service that receives the calls.
     tier : int
         Rank of its tier.
     rate : float
-        Calls a second at full load.
-    keyed : bool
+        Calls per second at full load.
+    has_idempotency_key : bool
         Whether calls are not idempotent and carry an idempotency key.
     """
 
@@ -56,42 +56,42 @@
     target_service: str
     tier: int
     rate: float
-    keyed: bool = False
+    has_idempotency_key: bool = False
 
 
-Kind = ModelKind | ServiceKind
+CallKind = ModelCallKind | ServiceCallKind
 
 
 @dataclass(frozen=True, slots=True)
 class Shape:
-    """The work of one user.
+    """Workload of one user.
 
     Parameters
     ----------
     name : str
-        The user.
+        Name of the user.
     failure_domains : tuple of str
-        Three names.
+        Names of the three failure domains.
     share_by_account : dict of str to float
-        Client accounts and their shares of all calls; also their weights.
-    kinds : tuple of ModelKind or ServiceKind
-        What they send.
+        Shares of all calls by client account, which also set the weights.
+    kinds : tuple of ModelCallKind or ServiceCallKind
+        Kinds of calls that all accounts send.
     """
 
     name: str
     failure_domains: tuple[str, str, str]
     share_by_account: dict[str, float]
-    kinds: tuple[Kind, ...]
+    kinds: tuple[CallKind, ...]
 
     @property
-    def model_kinds(self) -> tuple[ModelKind, ...]:
-        """Kinds that the engines serve."""
-        return tuple(kind for kind in self.kinds if isinstance(kind, ModelKind))
+    def model_kinds(self) -> tuple[ModelCallKind, ...]:
+        """Kinds of calls that the engines serve."""
+        return tuple(kind for kind in self.kinds if isinstance(kind, ModelCallKind))
 
     @property
     def plain_service(self) -> str:
-        """Name of the plain service."""
-        kinds = (kind for kind in self.kinds if isinstance(kind, ServiceKind))
+        """Name of the plain service that the calls use."""
+        kinds = (kind for kind in self.kinds if isinstance(kind, ServiceCallKind))
         return next(kinds).target_service
 
 
@@ -114,13 +114,15 @@
         "suburbs": 0.05,
     },
     kinds=(
-        ModelKind("sign-drafts", 0, 0.03, prompt_tokens=18, output_tokens=4),
-        ModelKind("log-readbacks", 1, 0.03, prompt_tokens=18, output_tokens=4),
-        ModelKind("shift-notes", 2, 0.12, prompt_tokens=200, output_tokens=20),
-        ModelKind("day-summaries", 3, 0.35, prompt_tokens=2000, output_tokens=75),
-        ModelKind("fault-summaries", 4, 0.47, prompt_tokens=2000, output_tokens=75),
-        ServiceKind("occupancy", "signs", 1, rate=20.0),
-        ServiceKind("sign-messages", "signs", 0, rate=4.0, keyed=True),
+        ModelCallKind("sign-drafts", 0, 0.03, prompt_tokens=18, output_tokens=4),
+        ModelCallKind("log-readbacks", 1, 0.03, prompt_tokens=18, output_tokens=4),
+        ModelCallKind("shift-notes", 2, 0.12, prompt_tokens=200, output_tokens=20),
+        ModelCallKind("day-summaries", 3, 0.35, prompt_tokens=2000, output_tokens=75),
+        ModelCallKind("fault-summaries", 4, 0.47, prompt_tokens=2000, output_tokens=75),
+        ServiceCallKind("occupancy", "signs", 1, rate=20.0),
+        ServiceCallKind(
+            "sign-messages", "signs", 0, rate=4.0, has_idempotency_key=True
+        ),
     ),
 )
 
@@ -135,9 +137,9 @@
         "payroll": 0.05,
     },
     kinds=(
-        ModelKind("box-lookups", 0, 0.03, prompt_tokens=18, output_tokens=4),
-        ModelKind("index-questions", 1, 0.03, prompt_tokens=18, output_tokens=4),
-        ModelKind(
+        ModelCallKind("box-lookups", 0, 0.03, prompt_tokens=18, output_tokens=4),
+        ModelCallKind("index-questions", 1, 0.03, prompt_tokens=18, output_tokens=4),
+        ModelCallKind(
             "deed-questions",
             2,
             0.12,
@@ -146,7 +148,7 @@
             shared_tokens=1920,
             documents=60,
         ),
-        ModelKind(
+        ModelCallKind(
             "scanned-deeds",
             3,
             0.35,
@@ -155,7 +157,7 @@
             shared_tokens=1920,
             documents=60,
         ),
-        ModelKind(
+        ModelCallKind(
             "retention-reviews",
             4,
             0.47,
@@ -164,8 +166,8 @@
             shared_tokens=1920,
             documents=60,
         ),
-        ServiceKind("box-status", "counter", 1, rate=20.0),
-        ServiceKind("box-pulls", "counter", 0, rate=4.0, keyed=True),
+        ServiceCallKind("box-status", "counter", 1, rate=20.0),
+        ServiceCallKind("box-pulls", "counter", 0, rate=4.0, has_idempotency_key=True),
     ),
 )
 
--- a/bench/loadbench/trial.py
+++ b/bench/loadbench/trial.py
@@ -1,4 +1,4 @@
-"""Running scenarios on one fleet."""
+"""Execution of scenarios on one fleet."""
 
 import os
 import subprocess
@@ -11,38 +11,38 @@
 import numpy as np
 
 from berylwalk.localfleet import EngineSpec, FleetStartError, LocalFleet
-from loadbench.capacity import full_rates
-from loadbench.engines import EngineWatch
+from loadbench.capacity import saturating_rates
+from loadbench.engines import EngineMonitor
 from loadbench.fleets import Overrides, engines, fleet_spec
-from loadbench.measures import RunFacts, ScenarioFigures, figures
+from loadbench.measures import RunInfo, ScenarioFigures, compute_figures
 from loadbench.results import Result
-from loadbench.scenarios import Scenario, restart_dead
-from loadbench.schedule import Call, build_calls
+from loadbench.scenarios import Scenario, restart_ended_processes
+from loadbench.schedule import ScheduledCall, build_calls
 from loadbench.sender import Job
 from loadbench.shapes import Shape
 
-SENDERS = 3
+SENDER_COUNT = 3
 START_ATTEMPTS = 3
 START_DELAY_S = 1.5
 WARM_UP_S = 2.0
 REJOIN_S = 4.0
-QUIET_S = 1.0
-BENCH = Path(__file__).resolve().parent.parent
+DRAIN_S = 1.0
+BENCH_DIRECTORY = Path(__file__).resolve().parent.parent
 
 
 class Trial:
-    """One treatment of one shape: a fleet and the scenarios run on it.
+    """Runner of scenarios for one shape and one treatment on its own fleet.
 
     Parameters
     ----------
     shape : Shape
-        The user.
+        Workload to send.
     treatment : str
         Name of the treatment.
     overrides : dict of str to dict of str to str
-        Settings of the nodes to replace.
+        Node settings to override, by section and key.
     seconds : float
-        Usual length of a scenario.
+        Length of a scenario with length 1.0.
     seed : int
         Seed of the arrivals; the same for all treatments.
     """
@@ -60,17 +60,17 @@
         self._treatment = treatment
         self._seconds = seconds
         self._seed = seed
-        self._rate_by_service = full_rates(shape, engines(shape))
+        self._rate_by_service = saturating_rates(shape, engines(shape))
         self.fleet = LocalFleet.from_spec(fleet_spec(shape, overrides))
-        self._watch: EngineWatch | None = None
+        self._monitor: EngineMonitor | None = None
 
     def start(self) -> None:
-        """Start the fleet.
+        """Start the fleet, on another subnet after each failed attempt.
 
         Raises
         ------
         FleetStartError
-            If it was not ready at any of the attempts.
+            If the fleet did not become ready in any attempt.
         """
         for attempt in range(1, START_ATTEMPTS + 1):
             try:
@@ -83,7 +83,7 @@
                 self.fleet = LocalFleet.from_spec(
                     self.fleet.spec, subnet_offset=attempt
                 )
-        self._watch = EngineWatch(self.fleet)
+        self._monitor = EngineMonitor(self.fleet)
         time.sleep(WARM_UP_S)
 
     def close(self) -> dict[str, int]:
@@ -96,11 +96,11 @@
         Parameters
         ----------
         scenario : Scenario
-            Load and faults.
+            Load and injected faults.
         index : int
-            Its number; part of the seed.
+            Number of the scenario, which is part of the seed.
         """
-        if restart_dead(self.fleet):
+        if restart_ended_processes(self.fleet):
             time.sleep(REJOIN_S)
         seconds = self._seconds * scenario.length
         calls = build_calls(
@@ -111,25 +111,25 @@
             routers=len(self.fleet.spec.routers),
             rng=np.random.default_rng([self._seed, index]),
         )
-        self._watch.start()
+        self._monitor.start()
         cpu_before = self._cpu_s()
         started_at = time.monotonic() + START_DELAY_S
         senders = self._start_senders(calls, started_at, scenario.name)
         self._inject(scenario, started_at, seconds)
         _sleep_until(started_at + seconds)
-        busy_slot_s = self._watch.busy_slot_s()
+        busy_slot_s = self._monitor.busy_slot_s()
         cpu_by_process = self._cpu_since(cpu_before)
         for sender in senders:
             cpu_by_process[sender.name] = sender.cpu_s()
         results = [result for sender in senders for result in sender.results()]
-        time.sleep(QUIET_S)
-        work = self._watch.stop(started_at)
-        facts = RunFacts(
+        time.sleep(DRAIN_S)
+        work = self._monitor.stop(started_at)
+        run_info = RunInfo(
             treatment=self._treatment,
             scenario=scenario.name,
             seconds=seconds,
             seed=self._seed,
-            slot_s=self._slots() * seconds,
+            slot_s=self._slot_count() * seconds,
             busy_slot_s=busy_slot_s,
             load_average=round(os.getloadavg()[0], 1),
             cpu_by_process={
@@ -137,27 +137,27 @@
                 for name, used_s in cpu_by_process.items()
             },
         )
-        return figures(self._shape, calls, results, work, facts)
+        return compute_figures(self._shape, calls, results, work, run_info)
 
     def _start_senders(
-        self, calls: list[Call], started_at: float, run: str
+        self, calls: list[ScheduledCall], started_at: float, run: str
     ) -> list["_SenderProcess"]:
         urls = list(self.fleet.caller_urls())
         jobs = [
-            Job(self._shape.name, urls, started_at, run, calls[number::SENDERS])
-            for number in range(SENDERS)
+            Job(self._shape.name, urls, started_at, run, calls[number::SENDER_COUNT])
+            for number in range(SENDER_COUNT)
         ]
         return [
-            _SenderProcess.started(f"sender-{number}", job)
+            _SenderProcess.spawn(f"sender-{number}", job)
             for number, job in enumerate(jobs)
         ]
 
     def _inject(self, scenario: Scenario, started_at: float, seconds: float) -> None:
         for injection in scenario.injections:
             _sleep_until(started_at + injection.at * seconds)
-            injection.apply(self.fleet, self._watch)
+            injection.apply(self.fleet, self._monitor)
 
-    def _slots(self) -> int:
+    def _slot_count(self) -> int:
         return sum(
             target.max_batch
             for target in self.fleet.spec.targets
@@ -179,7 +179,7 @@
 
 
 class _SenderProcess:
-    """A sender and its files."""
+    """Sender process with its job and result files."""
 
     def __init__(self, name: str, process: subprocess.Popen, directory: Path) -> None:
         self.name = name
@@ -187,25 +187,25 @@
         self._directory = directory
 
     @classmethod
-    def started(cls, name: str, job: Job) -> "_SenderProcess":
+    def spawn(cls, name: str, job: Job) -> "_SenderProcess":
         directory = Path(tempfile.mkdtemp(prefix="berylwalk-sender-"))
         (directory / "job").write_bytes(msgspec.msgpack.encode(job))
         arguments = [str(directory / "job"), str(directory / "results")]
         process = subprocess.Popen(
             [sys.executable, "-m", "loadbench.sender", *arguments],
-            cwd=BENCH,
+            cwd=BENCH_DIRECTORY,
             stdin=subprocess.DEVNULL,
         )
         return cls(name, process, directory)
 
     def cpu_s(self) -> float:
-        """Return the processor time used so far, in seconds."""
+        """Return the CPU time used so far, in seconds."""
         return _cpu_s(self._process.pid)
 
     def results(self) -> list[Result]:
-        """Wait for the end and return the results."""
+        """Wait until the process exits and return its results."""
         if self._process.wait() != 0:
-            raise RuntimeError("a sender failed")
+            raise RuntimeError("sender process exited with an error")
         content = (self._directory / "results").read_bytes()
         return msgspec.msgpack.decode(content, type=list[Result])
 
--- a/bench/overhead.py
+++ b/bench/overhead.py
@@ -1,8 +1,8 @@
-"""Cost of the way through the system, against the engines alone.
+"""Measure the overhead of the system compared with direct calls to the engines.
 
-The same calls go to the stand-in engines directly and through one router, in
-turn, once with short and once with long answers. The difference of the two
-answer lengths tells the cost of a chunk from the cost of a request. Prints one
+The same calls go to the stand-in engines directly and then through one router,
+first with short and then with long responses. The difference between the two
+lengths separates the cost of a chunk from the cost of a request. Prints one
 line of JSON; see `Figures`.
 """
 
@@ -34,14 +34,14 @@
 ROUTER = "entry-1"
 DOMAIN = "domain-1"
 PATH = "/v1/chat/completions"
-END_OF_BODY = b"\r\n0\r\n\r\n"
-EVENT = b"data: "
-OTHER_EVENTS = 1
-"""Events of a stream that carry no token: the end."""
+LAST_CHUNK = b"\r\n0\r\n\r\n"
+EVENT_PREFIX = b"data: "
+NON_TOKEN_EVENTS = 1
+"""Events of a stream without a token: the end."""
 SETTLE_S = 1.0
 SEED = 1
 CALL_TIMEOUT_S = 60.0
-TREE = """
+SETTINGS_TREE = """
 [tier standard]
 rank = 0
 deadline_s = 60
@@ -59,20 +59,20 @@
 
 
 class RoleFigures(msgspec.Struct):
-    """What the processes of one role use.
+    """Resource usage of the processes of one role.
 
     Parameters
     ----------
     cpu_ms_a_request : float
-        Processor time of a request without its chunks, in milliseconds.
+        CPU time of a request without its chunks, in milliseconds.
     cpu_us_a_chunk : float
-        Processor time of a streamed token, in microseconds.
+        CPU time of a streamed token, in microseconds.
     idle_cpu_percent : float
-        Of one core, the mean of a process without load.
+        Mean CPU usage of a process without load, in percent of one core.
     loaded_cpu_percent : float
-        Of one core, the largest of a process with long answers.
+        Highest CPU usage of a process with long responses.
     resident_mb : float
-        Largest resident memory of a process at the end, in 10^6 bytes.
+        Highest resident memory of a process at the end, in 10^6 bytes.
     """
 
     cpu_ms_a_request: float
@@ -83,29 +83,29 @@
 
 
 class Figures(msgspec.Struct):
-    """The printed line.
+    """Figures in the printed line.
 
     Parameters
     ----------
     added_first_token_p50_ms, added_first_token_p95_ms : float
-        Quantiles of the time to the first token through the router less the
-        same quantiles of the engines alone, over short and long answers.
+        Difference between the quantiles of the time to the first token through
+        the router and directly, over short and long responses.
     added_short_p95_ms, added_long_p95_ms : float
-        The same for each length of answer.
+        Difference of the p95 for each length of response.
     direct_p50_ms, direct_p95_ms : float
-        First-token time of the engines alone.
+        Time to the first token of direct calls.
     router, agent : RoleFigures
-        Use by role; an agent's request and chunk are those it served itself.
+        Usage by role; an agent's figures count only requests that it served.
     load_before, load_after : float
         The machine's 1-minute load average.
     requests, failed : int
-        Calls sent in all, and those without a whole answer.
+        Calls sent, and calls without a complete response.
     late_sends_p95_ms : float
-        How late the calls were sent; large when the client was the limit.
+        p95 of the send delay; high if the client is saturated.
     agents, rate, step_ms : float
-        The fleet and the load: calls a second, time between two tokens.
+        Number of agents, calls per second, time between two tokens.
     short_tokens, long_tokens : int
-        Tokens of an answer.
+        Tokens of a response.
     """
 
     added_first_token_p50_ms: float
@@ -130,24 +130,24 @@
 
 @dataclass
 class Phase:
-    """What one run of calls gave.
+    """Measurements of one run of calls.
 
     Parameters
     ----------
     first_token_s : list of float
-        Times to the first token of the whole answers.
-    late_s : list of float
-        How late each call was sent.
+        Times to the first token of complete responses.
+    send_lag_s : list of float
+        Delay between planned and actual sending of each call.
     failed : int
-        Calls without a whole answer.
+        Calls without a complete response.
     seconds : float
-        Length of the run.
+        Duration of the run.
     cpu_s_by_name : dict of str to float
-        Processor time by process.
+        CPU time by process.
     """
 
     first_token_s: list[float] = field(default_factory=list)
-    late_s: list[float] = field(default_factory=list)
+    send_lag_s: list[float] = field(default_factory=list)
     failed: int = 0
     seconds: float = 0.0
     cpu_s_by_name: dict[str, float] = field(default_factory=dict)
@@ -158,79 +158,79 @@
         return len(self.first_token_s) + self.failed
 
 
-class Load:
-    """Sends a call within each interval over kept connections.
+class LoadGenerator:
+    """Load generator that sends one call per interval over reused connections.
 
     Parameters
     ----------
     urls : tuple of str
-        ``http://host:port``, taken in turn.
+        URLs ``http://host:port``, used in round-robin order.
     tokens : int
-        Length of each answer.
+        Tokens of each response.
     run : str
-        Makes prompts differ between runs.
+        Prefix that makes prompts unique to the run.
     """
 
     def __init__(self, urls: tuple[str, ...], tokens: int, run: str) -> None:
         self.phase = Phase()
-        self._places = cycle([_place(url) for url in urls])
-        self._idle_by_place: dict[tuple[str, int], list[ByteStream]] = {}
+        self._addresses = cycle([_parse_address(url) for url in urls])
+        self._idle_by_address: dict[tuple[str, int], list[ByteStream]] = {}
         self._tokens = tokens
         self._run = run
 
     async def send_all(self, rate: float, seconds: float) -> None:
-        """Send the calls and wait for their ends."""
+        """Send the calls and wait for their responses."""
         started = time.monotonic()
-        # Even intervals would meet the engines' steps in few phases only.
+        # Random offsets avoid synchronisation with the steps of the engines.
         rng = Random(SEED)
         async with anyio.create_task_group() as tasks:
             for number in range(round(rate * seconds)):
                 due = started + (number + rng.random()) / rate
                 await anyio.sleep(max(0.0, due - time.monotonic()))
-                self.phase.late_s.append(time.monotonic() - due)
-                tasks.start_soon(self._call, next(self._places), number)
+                self.phase.send_lag_s.append(time.monotonic() - due)
+                tasks.start_soon(self._call, next(self._addresses), number)
         await self._close()
 
-    async def _call(self, place: tuple[str, int], number: int) -> None:
-        idle = self._idle_by_place.setdefault(place, [])
-        request = _request(place[0], f"{self._run}-{number}", self._tokens)
+    async def _call(self, address: tuple[str, int], number: int) -> None:
+        idle = self._idle_by_address.setdefault(address, [])
+        request = _request(address[0], f"{self._run}-{number}", self._tokens)
         started = time.monotonic()
         try:
             with anyio.fail_after(CALL_TIMEOUT_S):
-                stream = idle.pop() if idle else await anyio.connect_tcp(*place)
+                stream = idle.pop() if idle else await anyio.connect_tcp(*address)
                 await stream.send(request)
-                first_s = await self._read(stream, started)
+                first_token_s = await self._read(stream, started)
         except (OSError, anyio.EndOfStream, anyio.BrokenResourceError):
-            first_s = None
-        if first_s is None:
+            first_token_s = None
+        if first_token_s is None:
             self.phase.failed += 1
             return
-        self.phase.first_token_s.append(first_s)
+        self.phase.first_token_s.append(first_token_s)
         idle.append(stream)
 
     async def _read(self, stream: ByteStream, started: float) -> float | None:
         received = bytearray()
-        first_s = None
-        while not received.endswith(END_OF_BODY):
+        first_token_s = None
+        while not received.endswith(LAST_CHUNK):
             received += await stream.receive()
-            if first_s is None and EVENT in received:
-                first_s = time.monotonic() - started
-        whole = received.count(EVENT) == self._tokens + OTHER_EVENTS
-        return first_s if whole else None
+            if first_token_s is None and EVENT_PREFIX in received:
+                first_token_s = time.monotonic() - started
+        is_complete = received.count(EVENT_PREFIX) == self._tokens + NON_TOKEN_EVENTS
+        return first_token_s if is_complete else None
 
     async def _close(self) -> None:
-        for idle in self._idle_by_place.values():
+        for idle in self._idle_by_address.values():
             for stream in idle:
                 await stream.aclose()
 
 
 class Comparison:
-    """Runs all phases on one fleet.
+    """Comparison of direct and routed calls on one fleet.
 
     Parameters
     ----------
     fleet : LocalFleet
-        Started, with one router.
+        Running fleet with one router.
     args : Namespace
         Options of the command line.
     """
@@ -246,32 +246,34 @@
         """Run all phases and return their figures."""
         args = self._args
         load_before = os.getloadavg()[0]
-        await self._load(self._fleet.caller_urls(), args.short, "warm-up", 2.0)
-        idle = await self._idle()
+        await self._run_load(self._fleet.caller_urls(), args.short, "warm-up", 2.0)
+        idle = await self._observe_idle()
         direct, routed = {}, {}
         for tokens in (args.short, args.long):
-            direct[tokens] = await self._load(self._direct, tokens, f"d{tokens}")
+            direct[tokens] = await self._run_load(self._direct, tokens, f"d{tokens}")
             urls = self._fleet.caller_urls()
-            routed[tokens] = await self._load(urls, tokens, f"r{tokens}")
+            routed[tokens] = await self._run_load(urls, tokens, f"r{tokens}")
         return self._figures(idle, direct, routed, load_before)
 
-    async def _load(
+    async def _run_load(
         self, urls: tuple[str, ...], tokens: int, run: str, seconds: float | None = None
     ) -> Phase:
-        load = Load(urls, tokens, run)
+        generator = LoadGenerator(urls, tokens, run)
         before, started = self._cpu_s(), time.monotonic()
-        await load.send_all(self._args.rate, seconds or self._args.seconds)
-        phase = self._finish(load.phase, before, started)
+        await generator.send_all(self._args.rate, seconds or self._args.seconds)
+        phase = self._record_usage(generator.phase, before, started)
         await anyio.sleep(SETTLE_S)
         return phase
 
-    async def _idle(self) -> Phase:
+    async def _observe_idle(self) -> Phase:
         await anyio.sleep(SETTLE_S)
         before, started = self._cpu_s(), time.monotonic()
         await anyio.sleep(self._args.idle_seconds)
-        return self._finish(Phase(), before, started)
+        return self._record_usage(Phase(), before, started)
 
-    def _finish(self, phase: Phase, before: dict[str, float], started: float) -> Phase:
+    def _record_usage(
+        self, phase: Phase, before: dict[str, float], started: float
+    ) -> Phase:
         phase.seconds = time.monotonic() - started
         after = self._cpu_s()
         phase.cpu_s_by_name = {name: after[name] - before[name] for name in after}
@@ -292,26 +294,28 @@
         args = self._args
         phases = (*direct.values(), *routed.values())
         short, long = args.short, args.long
-        everything = merged(direct.values())
-        through = merged(routed.values())
+        direct_s = merge_values(direct.values())
+        routed_s = merge_values(routed.values())
         return Figures(
-            added_first_token_p50_ms=_added_ms(everything, through, 50),
-            added_first_token_p95_ms=_added_ms(everything, through, 95),
+            added_first_token_p50_ms=_added_ms(direct_s, routed_s, 50),
+            added_first_token_p95_ms=_added_ms(direct_s, routed_s, 95),
             added_short_p95_ms=_added_ms(
                 direct[short].first_token_s, routed[short].first_token_s, 95
             ),
             added_long_p95_ms=_added_ms(
                 direct[long].first_token_s, routed[long].first_token_s, 95
             ),
-            direct_p50_ms=round(1e3 * quantile(everything, 50), 2),
-            direct_p95_ms=round(1e3 * quantile(everything, 95), 2),
-            router=self._role((ROUTER,), idle, routed),
-            agent=self._role(self._agents, idle, routed),
+            direct_p50_ms=round(1e3 * quantile(direct_s, 50), 2),
+            direct_p95_ms=round(1e3 * quantile(direct_s, 95), 2),
+            router=self._role_figures((ROUTER,), idle, routed),
+            agent=self._role_figures(self._agents, idle, routed),
             load_before=load_before,
             load_after=os.getloadavg()[0],
             requests=sum(phase.calls for phase in phases),
             failed=sum(phase.failed for phase in phases),
-            late_sends_p95_ms=round(1e3 * quantile(merged(phases, "late_s"), 95), 2),
+            late_sends_p95_ms=round(
+                1e3 * quantile(merge_values(phases, "send_lag_s"), 95), 2
+            ),
             agents=len(self._agents),
             rate=args.rate,
             step_ms=args.step_ms,
@@ -319,23 +323,26 @@
             long_tokens=long,
         )
 
-    def _role(
+    def _role_figures(
         self, names: tuple[str, ...], idle: Phase, routed: dict[int, Phase]
     ) -> RoleFigures:
-        idle_share = _cpu(idle, names) / idle.seconds
+        idle_cores = _total_cpu_s(idle, names) / idle.seconds
         short, long = routed[self._args.short], routed[self._args.long]
-        # Per request, without what the processes use anyway.
-        short_s = (_cpu(short, names) - idle_share * short.seconds) / short.calls
-        long_s = (_cpu(long, names) - idle_share * long.seconds) / long.calls
+        # CPU time per request, without the idle usage.
+        short_s = (
+            _total_cpu_s(short, names) - idle_cores * short.seconds
+        ) / short.calls
+        long_s = (_total_cpu_s(long, names) - idle_cores * long.seconds) / long.calls
         chunk_s = (long_s - short_s) / (self._args.long - self._args.short)
         request_s = short_s - chunk_s * self._args.short
         processes = self._fleet.processes_by_name
         return RoleFigures(
             cpu_ms_a_request=round(1e3 * request_s, 3),
             cpu_us_a_chunk=round(1e6 * chunk_s, 1),
-            idle_cpu_percent=round(100 * idle_share / len(names), 2),
+            idle_cpu_percent=round(100 * idle_cores / len(names), 2),
             loaded_cpu_percent=round(
-                100 * max(_cpu(long, (name,)) for name in names) / long.seconds, 1
+                100 * max(_total_cpu_s(long, (name,)) for name in names) / long.seconds,
+                1,
             ),
             resident_mb=round(
                 max(resident_bytes(processes[name].pid) for name in names) / 1e6, 1
@@ -363,17 +370,17 @@
     return statistics.quantiles(values, n=100, method="inclusive")[percent - 1]
 
 
-def merged(phases: Iterable[Phase], name: str = "first_token_s") -> list[float]:
+def merge_values(phases: Iterable[Phase], name: str = "first_token_s") -> list[float]:
     """Return the values of several phases as one list."""
     return [value for phase in phases for value in getattr(phase, name)]
 
 
 def fleet_spec(args: Namespace) -> FleetSpec:
-    """Return one router and equal engines whose batch doesn't slow them.
+    """Return one router and equal engines whose speed doesn't depend on the batch.
 
-    The agents' limits are fixed: the way is measured, not the policy.
+    The agents' concurrency limits are fixed, so that calls do not queue.
     """
-    batch = 256
+    max_batch = 256
     return FleetSpec(
         routers=(RouterSpec(ROUTER, DOMAIN),),
         targets=tuple(
@@ -384,14 +391,16 @@
                 step_ms=args.step_ms,
                 batch_slope=0.0,
                 prefill_tokens_per_s=200_000.0,
-                max_batch=batch,
+                max_batch=max_batch,
             )
             for number in range(1, args.agents + 1)
         ),
-        settings_tree=TREE.format(
+        settings_tree=SETTINGS_TREE.format(
             account=ACCOUNT, digest=sha256(TOKEN.encode()).hexdigest()
         ),
-        overrides={"admission": {"initial_limit": str(batch), "min_limit": str(batch)}},
+        overrides={
+            "admission": {"initial_limit": str(max_batch), "min_limit": str(max_batch)}
+        },
     )
 
 
@@ -409,7 +418,7 @@
 
 
 def main() -> None:
-    """Start a fleet, measure, and print the figures."""
+    """Start a fleet, measure the overhead and print the figures."""
     args = build_parser().parse_args()
     fleet = LocalFleet.from_spec(fleet_spec(args))
     try:
@@ -421,7 +430,7 @@
     print(msgspec.json.encode(figures).decode())
 
 
-def _cpu(phase: Phase, names: tuple[str, ...]) -> float:
+def _total_cpu_s(phase: Phase, names: tuple[str, ...]) -> float:
     return sum(phase.cpu_s_by_name[name] for name in names)
 
 
@@ -429,7 +438,7 @@
     return round(1e3 * (quantile(routed, percent) - quantile(direct, percent)), 2)
 
 
-def _place(url: str) -> tuple[str, int]:
+def _parse_address(url: str) -> tuple[str, int]:
     host, _, port = url.removeprefix("http://").partition(":")
     return host, int(port)
 
--- a/bench/slopes.py
+++ b/bench/slopes.py
@@ -1,8 +1,8 @@
 """Measure how costs grow with requests, messages, peers and settings.
 
-Prints one JSON line for each slope and a table at the end. Processor time is
-measured, not elapsed time, and each size is measured several times, because
-the machine may be busy with other things.
+Prints one JSON line for each slope and a table at the end. The
+measurements use CPU time and repeat each size, which limits the influence of
+other processes on the machine.
 """
 
 from argparse import ArgumentParser
@@ -18,7 +18,7 @@
     request_costs,
     settings_costs,
 )
-from slopes.report import circumstances, json_line, table
+from slopes.report import environment_json, json_line, table
 from slopes.scale import FULL, QUICK
 
 GROUPS_BY_NAME: dict[str, ModuleType] = {
@@ -42,17 +42,17 @@
 
 
 def main() -> None:
-    """Measure and print."""
+    """Measure and print the slopes."""
     options = build_parser().parse_args()
     logging.set_verbosity(logging.ERROR)
     scale = QUICK if options.quick else FULL
     slopes = []
-    print(circumstances(), flush=True)
+    print(environment_json(), flush=True)
     for name in options.group or GROUPS_BY_NAME:
         for slope in GROUPS_BY_NAME[name].measure(scale):
             slopes.append(slope)
             print(json_line(slope), flush=True)
-    print(circumstances())
+    print(environment_json())
     print(table(slopes))
 
 
--- a/bench/slopes/agents.py
+++ b/bench/slopes/agents.py
@@ -1,4 +1,4 @@
-"""A real agent machine with simulated routers and simulated time."""
+"""Agent state machine with simulated routers and simulated time."""
 
 from berylwalk.agent import (
     IDLE_TICK_S,
@@ -26,15 +26,15 @@
 SLOTS = 8
 
 
-class DrivenAgent:
-    """An agent machine, its routers and its clock.
+class SimulatedAgent:
+    """Agent state machine with its clock and simulated routers.
 
     Parameters
     ----------
     routers : int
-        Routers that greet the agent.
+        Number of routers that send heartbeats to the agent.
     max_waiting : int
-        Longest waiting list.
+        Maximum length of the admission queue.
     """
 
     def __init__(self, routers: int = 1, *, max_waiting: int = 10_000) -> None:
@@ -53,84 +53,84 @@
         self._ticked_at = self.now
         self._serial = 0
         self._routers = tuple(f"router-{i:03}" for i in range(routers))
-        self.feed(TiersChanged(1, TIERS))
-        self.feed(TargetChanged((RESOURCE,)))
-        self.greet()
+        self.handle_event(TiersChanged(1, TIERS))
+        self.handle_event(TargetChanged((RESOURCE,)))
+        self.send_hellos()
 
-    def feed(self, event: object) -> list[AgentAction]:
-        """Hand an event to the machine and count its datagrams."""
+    def handle_event(self, event: object) -> list[AgentAction]:
+        """Handle an event and count the datagrams that it sends."""
         actions = self.machine.handle(event, self.now)
         self.sent += sum(isinstance(action, SendToRouter) for action in actions)
         return actions
 
-    def greet(self) -> None:
-        """Let each router greet the agent once."""
+    def send_hellos(self) -> None:
+        """Deliver one heartbeat from each router."""
         for router in self._routers:
-            self.feed(DatagramArrived(Datagram(router, 1, 1, (Hello(),))))
+            self.handle_event(DatagramArrived(Datagram(router, 1, 1, (Hello(),))))
 
     def advance(self, seconds: float, *, changes: bool = False) -> None:
-        """Let time pass, with heartbeats and, on demand, changes of load."""
+        """Advance the clock with heartbeats and, if `changes`, load changes."""
         ticks = round(seconds / TICK_S)
         for number in range(ticks):
             self.now += TICK_S
             self._tick_if_due()
             for router in self._routers[number % 100 :: 100]:
-                self.feed(DatagramArrived(Datagram(router, 1, 1, (Hello(),))))
+                self.handle_event(DatagramArrived(Datagram(router, 1, 1, (Hello(),))))
             if changes:
                 self.run_granted(1)
 
     def _tick_if_due(self) -> None:
-        # As the shell does, but for when an event makes a timer due sooner.
+        # Like the daemon's tick loop, without rescheduling after events.
         latest = self._ticked_at + IDLE_TICK_S
         if self.now < min(self.machine.next_due(self.now), latest):
             return
         self._ticked_at = self.now
         self.ticks += 1
-        self.feed(Tick())
+        self.handle_event(Tick())
 
-    def run_granted(self, count: int, *, pieces: int = 1) -> int:
-        """Run requests by conditional grants; return how many were dispatched."""
+    def run_granted(self, count: int, *, chunks: int = 1) -> int:
+        """Run requests by conditional grants; return the number dispatched."""
         started = 0
         for _ in range(count):
             grant = self._grant(conditional=True)
-            started += self._dispatch(grant, pieces)
+            started += self._dispatch(grant, chunks)
             self.now += 0.001
         return started
 
     def run_reserved(self, count: int) -> int:
-        """Run requests that reserve, become ready and are granted."""
+        """Run requests with a reservation; return the number dispatched."""
         started = 0
         for _ in range(count):
             reserve = self._reserve()
-            actions = self._say(reserve)
+            actions = self._deliver(reserve)
             if any(_has_ready(action) for action in actions):
                 grant = self._grant(conditional=False, reserve=reserve)
                 started += self._dispatch(grant, 1)
             self.now += 0.001
         return started
 
-    def fill(self) -> None:
-        """Take all slots."""
+    def occupy_slots(self) -> None:
+        """Occupy all slots with granted requests."""
         for _ in range(SLOTS):
-            self.feed(GrantArrived(self._grant(conditional=True)))
+            self.handle_event(GrantArrived(self._grant(conditional=True)))
 
-    def wait(self, count: int) -> None:
-        """Let requests wait."""
+    def queue_requests(self, count: int) -> None:
+        """Queue requests by reservations."""
         for _ in range(count):
-            self._say(self._reserve())
+            self._deliver(self._reserve())
 
-    def _say(self, reserve: Reserve) -> list[AgentAction]:
+    def _deliver(self, reserve: Reserve) -> list[AgentAction]:
         router, incarnation, _ = reserve.request_id
         datagram = Datagram(router, incarnation, 1, (reserve,))
-        return self.feed(DatagramArrived(datagram))
+        return self.handle_event(DatagramArrived(datagram))
 
-    def _dispatch(self, grant: Grant, pieces: int) -> int:
-        actions = self.feed(GrantArrived(grant))
+    def _dispatch(self, grant: Grant, chunks: int) -> int:
+        actions = self.handle_event(GrantArrived(grant))
         if not any(isinstance(action, StartDispatch) for action in actions):
             return 0
-        for number in range(pieces):
-            self.feed(TargetProgress(grant.request_id, number == 0, 1))
-        self.feed(DispatchEnded(grant.request_id, DispatchEnd.COMPLETE))
+        for number in range(chunks):
+            self.handle_event(TargetProgress(grant.request_id, number == 0, 1))
+        self.handle_event(DispatchEnded(grant.request_id, DispatchEnd.COMPLETE))
         return 1
 
     def _new_id(self) -> RequestId:
--- a/bench/slopes/costs.py
+++ b/bench/slopes/costs.py
@@ -1,32 +1,32 @@
-"""Processor time and memory of this process."""
+"""Measurement of CPU time and memory in this process."""
 
 import gc
 import tracemalloc
 from collections.abc import Callable
 from time import process_time
 
-MICROSECONDS = 1e6
-KIBIBYTE = 1024
+US_PER_S = 1e6
+BYTES_PER_KIB = 1024
 
 
-def processor_us(work: Callable[[], object]) -> float:
-    """Return the processor time of a piece of work, in microseconds."""
+def cpu_time_us(work: Callable[[], object]) -> float:
+    """Return the CPU time of a function call, in microseconds."""
     gc.collect()
     start = process_time()
     work()
-    return (process_time() - start) * MICROSECONDS
+    return (process_time() - start) * US_PER_S
 
 
 def memory_kib(build: Callable[[], object]) -> float:
-    """Return the memory that an object keeps, in KiB of Python's allocator."""
+    """Return the memory that a built object retains, in KiB."""
     gc.collect()
     tracemalloc.start()
     try:
         before, _ = tracemalloc.get_traced_memory()
-        kept = build()
+        retained = build()
         gc.collect()
         after, _ = tracemalloc.get_traced_memory()
     finally:
         tracemalloc.stop()
-    del kept
-    return (after - before) / KIBIBYTE
+    del retained
+    return (after - before) / BYTES_PER_KIB
--- a/bench/slopes/routers.py
+++ b/bench/slopes/routers.py
@@ -1,4 +1,4 @@
-"""A real router machine with simulated agents and simulated time."""
+"""Router state machine with simulated agents and simulated time."""
 
 from random import Random
 
@@ -39,14 +39,14 @@
 
 
 def model_name(index: int, models: int = MODELS) -> str:
-    """Return the resource that an agent of that number serves."""
+    """Return the resource that the agent with an index serves."""
     return f"model:model-{index % models:02}"
 
 
 def digest_of(
     index: int, sequence: int, *, running: int = 0, models: int = MODELS
 ) -> Digest:
-    """Return a digest of a typical size."""
+    """Return a load digest of typical size."""
     return Digest(
         sequence=sequence,
         resources=(model_name(index, models),),
@@ -63,19 +63,19 @@
     )
 
 
-class DrivenRouter:
-    """A router machine, its agents' answers and its clock.
+class SimulatedRouter:
+    """Router state machine with its clock and the responses of its agents.
 
     Parameters
     ----------
     agents : int
-        Agents that are listed.
+        Number of listed agents.
     subset_size : int
-        As in the router's settings.
+        Subset size of the router configuration.
     full : bool
         Whether the agents have no free slot.
     models : int
-        Models, of which each agent serves one.
+        Number of models; each agent serves one.
     """
 
     def __init__(
@@ -97,10 +97,10 @@
         self._sequence = 0
         self._serial = 0
         self._index_by_agent = {f"agent-{i:04}": i for i in range(agents)}
-        self.feed(AgentsListed(tuple(self._index_by_agent)))
+        self.handle_event(AgentsListed(tuple(self._index_by_agent)))
 
-    def feed(self, event: object) -> list[RouterAction]:
-        """Hand an event to the machine and let agents answer its heartbeats."""
+    def handle_event(self, event: object) -> list[RouterAction]:
+        """Handle an event; agents reply to the heartbeats that it triggers."""
         actions = self.machine.handle(event, self.now)
         others = []
         for action in actions:
@@ -114,13 +114,13 @@
         return others
 
     def advance(self, seconds: float) -> None:
-        """Let time pass."""
+        """Advance the clock, with periodic ticks."""
         for _ in range(round(seconds / TICK_S)):
             self.now += TICK_S
-            self.feed(Tick())
+            self.handle_event(Tick())
 
     def request(self, index: int) -> Request:
-        """Return a new request for the model of an agent of that number."""
+        """Return a new request for the model of the agent with an index."""
         self._serial += 1
         service_policy = ServicePolicy(
             f"/account-{self._serial % 690}",
@@ -142,10 +142,10 @@
         )
 
     def run_granted(self, count: int) -> int:
-        """Run requests whose first grant is dispatched; return how many were."""
+        """Run requests that are granted at once; return the number of grants."""
         granted = 0
         for _ in range(count):
-            actions = self.feed(RequestArrived(self.request(self._serial)))
+            actions = self.handle_event(RequestArrived(self.request(self._serial)))
             grants = [action for action in actions if isinstance(action, IssueGrant)]
             for action in grants:
                 self._complete(action)
@@ -153,38 +153,40 @@
         return granted
 
     def run_reserved(self, count: int) -> int:
-        """Run requests that wait at two agents; return how many were granted."""
+        """Run requests that queue at two agents; return the number of grants."""
         granted = 0
         for _ in range(count):
-            actions = self.feed(RequestArrived(self.request(self._serial)))
-            self._queue(actions)
+            actions = self.handle_event(RequestArrived(self.request(self._serial)))
+            self._queue_reservations(actions)
             self.now += 0.03
-            second = self.feed(Tick())
-            self._queue(second)
+            second = self.handle_event(Tick())
+            self._queue_reservations(second)
             for agent, reserve in _reserves(actions)[:1]:
                 ready = Ready(reserve.request_id, reserve.attempt)
-                for action in self.say(agent, ready):
+                for action in self.deliver(agent, ready):
                     if isinstance(action, IssueGrant):
                         self._complete(action)
                         granted += 1
         return granted
 
-    def wait(self, count: int) -> None:
-        """Let requests wait at agents."""
+    def queue_requests(self, count: int) -> None:
+        """Queue requests at agents."""
         for _ in range(count):
-            self._queue(self.feed(RequestArrived(self.request(self._serial))))
+            self._queue_reservations(
+                self.handle_event(RequestArrived(self.request(self._serial)))
+            )
 
-    def say(self, agent: str, *messages: object) -> list[RouterAction]:
-        """Deliver a datagram of an agent."""
-        return self.feed(DatagramArrived(Datagram(agent, 1, 1, messages)))
+    def deliver(self, agent: str, *messages: object) -> list[RouterAction]:
+        """Deliver a datagram from an agent."""
+        return self.handle_event(DatagramArrived(Datagram(agent, 1, 1, messages)))
 
-    def push(self, agent: str) -> None:
-        """Deliver an unasked digest of an agent."""
+    def deliver_digest(self, agent: str) -> None:
+        """Deliver an unsolicited load digest from an agent."""
         self._answer_hello(agent)
 
     @property
     def agents(self) -> tuple[str, ...]:
-        """Names of the listed agents."""
+        """Identifiers of the listed agents."""
         return tuple(self._index_by_agent)
 
     def _answer_hello(self, agent: str) -> None:
@@ -196,11 +198,11 @@
             running=running,
             models=self._models,
         )
-        self.say(agent, digest)
+        self.deliver(agent, digest)
 
-    def _queue(self, actions: list[RouterAction]) -> None:
+    def _queue_reservations(self, actions: list[RouterAction]) -> None:
         for agent, reserve in _reserves(actions):
-            self.say(agent, Queued(reserve.request_id, reserve.attempt, 100))
+            self.deliver(agent, Queued(reserve.request_id, reserve.attempt, 100))
         for action in actions:
             if isinstance(action, IssueGrant):
                 self._refuse(action)
@@ -208,12 +210,14 @@
     def _refuse(self, action: IssueGrant) -> None:
         grant = action.grant
         refusal = Refusal(RefusalReason.NO_SLOT)
-        self._queue(self.feed(GrantRefused(grant.request_id, grant.attempt, refusal)))
+        self._queue_reservations(
+            self.handle_event(GrantRefused(grant.request_id, grant.attempt, refusal))
+        )
 
     def _complete(self, action: IssueGrant) -> None:
         grant = action.grant
-        self.feed(AnswerStarted(grant.request_id, grant.attempt))
-        self.feed(AnswerComplete(grant.request_id, grant.attempt))
+        self.handle_event(AnswerStarted(grant.request_id, grant.attempt))
+        self.handle_event(AnswerComplete(grant.request_id, grant.attempt))
 
 
 def _reserves(actions: list[RouterAction]) -> list[tuple[str, Reserve]]:
