--- a/bench/slopes/routers.py
+++ b/bench/slopes/routers.py
@@ -14,12 +14,12 @@
 )
 from berylwalk.router import (
     AgentsListed,
-    AnswerComplete,
-    AnswerStarted,
     DatagramArrived,
     GrantRefused,
     IssueGrant,
     RequestArrived,
+    ResponseComplete,
+    ResponseStarted,
     RouterAction,
     RouterConfig,
     RouterMachine,
@@ -212,8 +212,8 @@
 
     def _complete(self, action: IssueGrant) -> None:
         grant = action.grant
-        self.feed(AnswerStarted(grant.request_id, grant.attempt))
-        self.feed(AnswerComplete(grant.request_id, grant.attempt))
+        self.feed(ResponseStarted(grant.request_id, grant.attempt))
+        self.feed(ResponseComplete(grant.request_id, grant.attempt))
 
 
 def _reserves(actions: list[RouterAction]) -> list[tuple[str, Reserve]]:
--- a/libs/router/src/berylwalk/router/_active_requests.py
+++ b/libs/router/src/berylwalk/router/_active_requests.py
@@ -48,8 +48,8 @@
     clock : callable
         Monotonic clock, in seconds.
     ended : Event
-        Set together with ``answer``.
-    answer : FinalResponse or None
+        Set together with ``response``.
+    response : FinalResponse or None
         Final response by the state machine.
     grant : ActiveGrant or None
         The last grant.
@@ -69,7 +69,7 @@
     response_copy: ResponseCopy | None = None
     clock: Callable[[], float] = monotonic
     ended: Event = field(default_factory=Event)
-    answer: FinalResponse | None = None
+    response: FinalResponse | None = None
     grant: ActiveGrant | None = None
     agent: str = ""
     status: int = 0
@@ -106,9 +106,9 @@
         self._record_chunk(body)
         return True
 
-    def end(self, answer: FinalResponse) -> None:
+    def end(self, response: FinalResponse) -> None:
         """Record the end, and close the connection of an open grant."""
-        self.answer = answer
+        self.response = response
         self.close_grant()
         self.ended.set()
 
@@ -122,10 +122,10 @@
         await self.ended.wait()
         if self.grant is not None:
             await self.grant.closed.wait()
-        if self.replay is not None and self.answer.outcome is Outcome.NOT_RUN:
+        if self.replay is not None and self.response.outcome is Outcome.NOT_RUN:
             return await self._replay(self.replay)
-        agent = self.answer.agent or self.agent
-        return replace(self.answer, started=self.started, agent=agent)
+        agent = self.response.agent or self.agent
+        return replace(self.response, started=self.started, agent=agent)
 
     def _record_chunk(self, body: bytes) -> None:
         if self.first_chunk_at is None:
--- a/libs/router/src/berylwalk/router/_arrivals.py
+++ b/libs/router/src/berylwalk/router/_arrivals.py
@@ -31,8 +31,8 @@
     """Accept or refuse a request."""
     refusal = _refusal_at_arrival(core, request)
     if refusal is not None:
-        answer = FinalResponse(Outcome.NOT_RUN, refusal)
-        core.outbox.add_action(EndRequest(request.request_id, answer))
+        response = FinalResponse(Outcome.NOT_RUN, refusal)
+        core.outbox.add_action(EndRequest(request.request_id, response))
         return
     key = KeyState.PENDING if request.idempotency_key else KeyState.NOT_NEEDED
     state = RequestState(request, key)
@@ -68,7 +68,7 @@
     end_not_run(core, state, event.refusal)
 
 
-def on_caller_gone(core: RouterCore, request_id: RequestId) -> None:
+def on_caller_disconnected(core: RouterCore, request_id: RequestId) -> None:
     """Withdraw a waiting request, or abandon the grant of a granted one."""
     state = core.requests_by_id.get(request_id)
     if state is None:
--- a/libs/router/src/berylwalk/router/_ending.py
+++ b/libs/router/src/berylwalk/router/_ending.py
@@ -45,8 +45,8 @@
     grant = state.grant
     assert grant is not None
     refusal = Refusal(RefusalReason.LOST, DEFAULT_RETRY_AFTER_MS, detail)
-    answer = FinalResponse(Outcome.UNKNOWN, refusal, grant.started, grant.agent)
-    _end(core, state, answer)
+    response = FinalResponse(Outcome.UNKNOWN, refusal, grant.started, grant.agent)
+    _end(core, state, response)
 
 
 def end_complete(core: RouterCore, state: RequestState) -> None:
@@ -54,13 +54,13 @@
     grant = state.grant
     assert grant is not None
     core.retry_budget.record_success()
-    answer = FinalResponse(Outcome.COMPLETE, started=True, agent=grant.agent)
-    _end(core, state, answer)
+    response = FinalResponse(Outcome.COMPLETE, started=True, agent=grant.agent)
+    _end(core, state, response)
 
 
-def _end(core: RouterCore, state: RequestState, answer: FinalResponse) -> None:
+def _end(core: RouterCore, state: RequestState, response: FinalResponse) -> None:
     core.remove(state)
-    core.outbox.add_action(EndRequest(state.request.request_id, answer))
+    core.outbox.add_action(EndRequest(state.request.request_id, response))
 
 
 def _release_key(core: RouterCore, state: RequestState) -> None:
--- a/libs/router/src/berylwalk/router/_events.py
+++ b/libs/router/src/berylwalk/router/_events.py
@@ -38,7 +38,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class AnswerStarted:
+class ResponseStarted:
     """The agent dispatched the request, and the target's status arrived."""
 
     request_id: RequestId
@@ -46,7 +46,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class AnswerProgress:
+class ResponseProgress:
     """Another chunk of the response arrived."""
 
     request_id: RequestId
@@ -54,7 +54,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class AnswerComplete:
+class ResponseComplete:
     """The whole response arrived."""
 
     request_id: RequestId
@@ -78,7 +78,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class CallerGone:
+class CallerDisconnected:
     """The caller disconnected."""
 
     request_id: RequestId
@@ -130,11 +130,11 @@
     | DatagramArrived
     | GrantNotSent
     | GrantRefused
-    | AnswerStarted
-    | AnswerProgress
-    | AnswerComplete
+    | ResponseStarted
+    | ResponseProgress
+    | ResponseComplete
     | GrantLost
-    | CallerGone
+    | CallerDisconnected
     | KeyClaimed
     | KeyRefused
     | AgentsListed
@@ -156,7 +156,7 @@
     """POST the grant with the request's body to the agent.
 
     Results in `GrantNotSent`, `GrantRefused` or `GrantLost`, or in
-    `AnswerStarted` followed by `AnswerProgress` and `AnswerComplete`.
+    `ResponseStarted` followed by `ResponseProgress` and `ResponseComplete`.
     """
 
     agent: str
@@ -190,7 +190,7 @@
     """Send the final response to the caller and forget the request."""
 
     request_id: RequestId
-    answer: FinalResponse
+    response: FinalResponse
 
 
 @dataclass(frozen=True, slots=True)
--- a/libs/router/src/berylwalk/router/_granting.py
+++ b/libs/router/src/berylwalk/router/_granting.py
@@ -8,12 +8,12 @@
 from berylwalk.router._ending import end_complete, end_unknown
 from berylwalk.router._events import (
     AbandonGrant,
-    AnswerComplete,
-    AnswerProgress,
-    AnswerStarted,
     GrantLost,
     GrantNotSent,
     GrantRefused,
+    ResponseComplete,
+    ResponseProgress,
+    ResponseStarted,
 )
 from berylwalk.router._placing import (
     place,
@@ -28,9 +28,9 @@
 GrantEvent = (
     GrantNotSent
     | GrantRefused
-    | AnswerStarted
-    | AnswerProgress
-    | AnswerComplete
+    | ResponseStarted
+    | ResponseProgress
+    | ResponseComplete
     | GrantLost
 )
 
--- a/libs/router/src/berylwalk/router/_grants_http.py
+++ b/libs/router/src/berylwalk/router/_grants_http.py
@@ -10,13 +10,13 @@
 from berylwalk.model import CallerDisconnectedError, Refusal, RefusalReason
 from berylwalk.router._active_requests import ActiveGrant, ActiveRequest
 from berylwalk.router._events import (
-    AnswerComplete,
-    AnswerProgress,
-    AnswerStarted,
-    CallerGone,
+    CallerDisconnected,
     GrantLost,
     GrantNotSent,
     GrantRefused,
+    ResponseComplete,
+    ResponseProgress,
+    ResponseStarted,
     RouterEvent,
 )
 from berylwalk.transport import (
@@ -120,7 +120,7 @@
         try:
             return await self._post(active, grant, url)
         except CallerDisconnectedError:
-            return CallerGone(grant.request_id)
+            return CallerDisconnected(grant.request_id)
         except Exception:
             # After any failure, the agent may have dispatched the request.
             logging.exception("relaying request %s failed", grant.request_id)
@@ -160,7 +160,7 @@
     async def _pass_on(
         self, active: ActiveRequest, grant: Grant, stream: HttpStream
     ) -> RouterEvent:
-        self._report(AnswerStarted(grant.request_id, grant.attempt))
+        self._report(ResponseStarted(grant.request_id, grant.attempt))
         try:
             headers = passed_on_headers(stream.headers)
             await active.start(stream.status, headers, grant.agent)
@@ -168,7 +168,7 @@
         except StreamBrokenError as error:
             logging.warning("response to %s was truncated: %s", grant.request_id, error)
             return GrantLost(grant.request_id, grant.attempt, started=True)
-        return AnswerComplete(grant.request_id, grant.attempt)
+        return ResponseComplete(grant.request_id, grant.attempt)
 
     async def _pass_on_body(
         self, active: ActiveRequest, grant: Grant, stream: HttpStream
@@ -189,7 +189,7 @@
 
     def _progress_reporter(self, grant: Grant) -> Callable[[], None]:
         """Return a rate-limited reporter of progress, to be called for each chunk."""
-        event = AnswerProgress(grant.request_id, grant.attempt)
+        event = ResponseProgress(grant.request_id, grant.attempt)
         next_progress_at = self._clock() + PROGRESS_INTERVAL_S
 
         def report_progress() -> None:
--- a/libs/router/src/berylwalk/router/_hellos.py
+++ b/libs/router/src/berylwalk/router/_hellos.py
@@ -70,9 +70,9 @@
 
 def unsolicited_digest_interval_s(monitored: int) -> float:
     """Return the minimum time between unsolicited digests of an agent, in seconds."""
-    answers_per_s = monitored / heartbeat_interval_s(monitored)
+    replies_per_s = monitored / heartbeat_interval_s(monitored)
     unsolicited_per_s = max(
-        MIN_UNSOLICITED_DIGESTS_PER_S, MAX_DIGESTS_PER_S - answers_per_s
+        MIN_UNSOLICITED_DIGESTS_PER_S, MAX_DIGESTS_PER_S - replies_per_s
     )
     return max(MIN_UNSOLICITED_DIGEST_INTERVAL_S, monitored / unsolicited_per_s)
 
--- a/libs/router/src/berylwalk/router/_idempotency.py
+++ b/libs/router/src/berylwalk/router/_idempotency.py
@@ -127,14 +127,14 @@
         )
 
     def complete(
-        self, request: Request, status: int, answer: StoredResponse | None
+        self, request: Request, status: int, response: StoredResponse | None
     ) -> None:
         """Mark the record as complete, in the background."""
         claim = self._claims_by_id.pop(request.request_id, None)
         if claim is None:
             return
         record = msgspec.structs.replace(
-            claim.record, state=RecordState.COMPLETE, status=status, answer=answer
+            claim.record, state=RecordState.COMPLETE, status=status, answer=response
         )
         self._pending.add(partial(self._write, claim, encode_record(record)))
 
--- a/libs/router/src/berylwalk/router/_key_claims.py
+++ b/libs/router/src/berylwalk/router/_key_claims.py
@@ -66,8 +66,8 @@
         if not is_complete or active.response_copy is None:
             self._records.forget(active.request.request_id)
             return
-        answer = active.response_copy.stored(active.agent)
-        self._records.complete(active.request, active.status, answer)
+        response = active.response_copy.stored(active.agent)
+        self._records.complete(active.request, active.status, response)
 
     async def _result_of(self, request: Request) -> Claimed | ClaimRefused:
         try:
--- a/libs/router/src/berylwalk/router/_machine.py
+++ b/libs/router/src/berylwalk/router/_machine.py
@@ -5,7 +5,7 @@
 from berylwalk.placement import Chooser
 from berylwalk.router._arrivals import (
     on_arrival,
-    on_caller_gone,
+    on_caller_disconnected,
     on_key_claimed,
     on_key_refused,
 )
@@ -13,10 +13,7 @@
 from berylwalk.router._core import RouterCore
 from berylwalk.router._events import (
     AgentsListed,
-    AnswerComplete,
-    AnswerProgress,
-    AnswerStarted,
-    CallerGone,
+    CallerDisconnected,
     DatagramArrived,
     DrainFinished,
     DrainRequested,
@@ -26,6 +23,9 @@
     KeyClaimed,
     KeyRefused,
     RequestArrived,
+    ResponseComplete,
+    ResponseProgress,
+    ResponseStarted,
     RouterAction,
     RouterEvent,
     Tick,
@@ -130,8 +130,8 @@
                 on_arrival(core, request, now)
             case DatagramArrived(datagram):
                 on_datagram(core, datagram, now)
-            case CallerGone(request_id):
-                on_caller_gone(core, request_id)
+            case CallerDisconnected(request_id):
+                on_caller_disconnected(core, request_id)
             case KeyClaimed():
                 on_key_claimed(core, event, now)
             case KeyRefused():
@@ -153,11 +153,11 @@
                 on_not_sent(core, state, now)
             case GrantRefused(refusal=refusal):
                 on_refused(core, state, refusal, now)
-            case AnswerStarted():
+            case ResponseStarted():
                 on_started(state, now)
-            case AnswerProgress():
+            case ResponseProgress():
                 on_progress(state, now)
-            case AnswerComplete():
+            case ResponseComplete():
                 on_complete(core, state)
             case GrantLost(started=started):
                 on_lost(core, state, started, now)
--- a/libs/router/src/berylwalk/router/_orders.py
+++ b/libs/router/src/berylwalk/router/_orders.py
@@ -47,18 +47,18 @@
             return OrderResult(
                 OrderOutcome.REFUSED, f"{order.target} has no known address"
             )
-        answer = await self._client.request(
+        response = await self._client.request(
             "POST",
             url,
             body=seal_order(order, self._key),
             read_timeout_s=ORDER_TIMEOUT_S,
         )
-        if isinstance(answer, RequestFailed):
-            return _failed(answer)
-        if answer.status != 200:
-            detail = f"the agent responded with status {answer.status}"
+        if isinstance(response, RequestFailed):
+            return _failed(response)
+        if response.status != 200:
+            detail = f"the agent responded with status {response.status}"
             return OrderResult(OrderOutcome.REFUSED, detail)
-        return decode_result(answer.body)
+        return decode_result(response.body)
 
 
 def _failed(failure: RequestFailed) -> OrderResult:
--- a/libs/router/src/berylwalk/router/_parts.py
+++ b/libs/router/src/berylwalk/router/_parts.py
@@ -116,7 +116,7 @@
             vms=vms,
             fleet=fleet,
             requests=requests,
-            sync_server=connections.sync_server(settings, query_handler.answer),
+            sync_server=connections.sync_server(settings, query_handler.handle),
             control=control,
             messages=messages,
             settings_sync=sync,
--- a/libs/router/src/berylwalk/router/_peer_sync.py
+++ b/libs/router/src/berylwalk/router/_peer_sync.py
@@ -65,11 +65,11 @@
         return reply if isinstance(reply, MembersReply) else None
 
     async def _query(self, address: str, query: SyncQuery) -> SyncReply | None:
-        answer = await self._client.request(address, self._port, encode_sync(query))
-        if isinstance(answer, SyncFailed):
-            logging.debug("query to node at %s failed: %s", address, answer.reason)
+        reply = await self._client.request(address, self._port, encode_sync(query))
+        if isinstance(reply, SyncFailed):
+            logging.debug("query to node at %s failed: %s", address, reply.reason)
             return None
-        return decode_reply(answer)
+        return decode_reply(reply)
 
 
 class PeerQueryHandler:
@@ -87,7 +87,7 @@
         self._sync = sync
         self._members = members
 
-    async def answer(self, request: bytes) -> bytes:
+    async def handle(self, request: bytes) -> bytes:
         """Return the encoded reply to an encoded query."""
         query = decode_query(request)
         if isinstance(query, SettingsQuery):
--- a/libs/router/src/berylwalk/router/_settings_sync.py
+++ b/libs/router/src/berylwalk/router/_settings_sync.py
@@ -179,8 +179,8 @@
     async def run_polls(self) -> None:
         """Read the store periodically, in case announcements were missed."""
         while True:
-            answered = await self.read_store()
-            await self._wait_for_poll(self._clock() + (SLOW_POLL_S if answered else 0))
+            was_read = await self.read_store()
+            await self._wait_for_poll(self._clock() + (SLOW_POLL_S if was_read else 0))
 
     async def run_watch(self) -> None:
         """Watch the store whenever this router is one of the watchers."""
--- a/libs/router/src/berylwalk/router/_shell.py
+++ b/libs/router/src/berylwalk/router/_shell.py
@@ -22,7 +22,7 @@
 from berylwalk.router._config import DEFAULT_RETRY_AFTER_MS, IDLE_TICK_S, TICK_S
 from berylwalk.router._events import (
     AbandonGrant,
-    CallerGone,
+    CallerDisconnected,
     ClaimKey,
     DrainFinished,
     DrainRequested,
@@ -164,7 +164,7 @@
             final = await active.final_response()
             return final
         except get_cancelled_exc_class():
-            self.handle(CallerGone(request.request_id))
+            self.handle(CallerDisconnected(request.request_id))
             raise
         finally:
             self._deactivate(active, final)
@@ -183,7 +183,7 @@
     def report(self, event: RouterEvent) -> None:
         """Handle an event of a grant."""
         self.handle(event)
-        if isinstance(event, CallerGone):
+        if isinstance(event, CallerDisconnected):
             # The state machine drops a request whose caller disconnected.
             self._end_unknown(event, "the caller disconnected")
 
@@ -223,7 +223,7 @@
         else:
             request_id = getattr(event, "request_id", None)
         active = self._active_by_id.get(request_id)
-        if active is None or active.answer is not None:
+        if active is None or active.response is not None:
             return
         refusal = Refusal(RefusalReason.LOST, DEFAULT_RETRY_AFTER_MS, detail)
         active.end(FinalResponse(Outcome.UNKNOWN, refusal))
@@ -231,7 +231,7 @@
     def _end_request(self, action: EndRequest) -> None:
         active = self._active_by_id.get(action.request_id)
         if active is not None:
-            active.end(action.answer)
+            active.end(action.response)
 
     def _finish_drain(self, action: DrainFinished) -> None:
         self.drained.set()
--- a/libs/router/tests/test_router_machine.py
+++ b/libs/router/tests/test_router_machine.py
@@ -20,9 +20,7 @@
 from berylwalk.router._events import (
     AbandonGrant,
     AgentsListed,
-    AnswerComplete,
-    AnswerStarted,
-    CallerGone,
+    CallerDisconnected,
     ClaimKey,
     DatagramArrived,
     DrainFinished,
@@ -36,6 +34,8 @@
     KeyRefused,
     ReleaseKey,
     RequestArrived,
+    ResponseComplete,
+    ResponseStarted,
     SendToAgent,
     Tick,
 )
@@ -168,7 +168,7 @@
     def end(self):
         """Return the final response of the only request that ended."""
         [action] = self.actions_of(EndRequest)
-        return action.answer
+        return action.response
 
     def reserved(self):
         """Return the latest reserved attempt by agent."""
@@ -198,8 +198,8 @@
         driver, request_id, grant = granted("a")
         assert grant.conditional
         assert grant.agent_incarnation == 1
-        driver.feed(AnswerStarted(request_id, grant.attempt))
-        driver.feed(AnswerComplete(request_id, grant.attempt))
+        driver.feed(ResponseStarted(request_id, grant.attempt))
+        driver.feed(ResponseComplete(request_id, grant.attempt))
         assert driver.end().outcome is Outcome.COMPLETE
         assert not driver.sent(Reserve)
 
@@ -240,7 +240,7 @@
         assert asked == {"a", "b"}
 
     def test_duplicate_and_late_ready_give_one_grant(self):
-        """A duplicate Ready is ignored, and a late one is answered by a Withdraw."""
+        """A duplicate Ready is ignored, and a late one gets a Withdraw in response."""
         driver, request_id = waiting_at_two()
         attempts = driver.reserved()
         driver.deliver("a", Ready(request_id, attempts["a"]))
@@ -332,13 +332,13 @@
         assert len(driver.actions_of(IssueGrant)) == 1
         assert driver.end().outcome is Outcome.UNKNOWN
 
-    def test_slow_answer_of_a_live_agent_is_left_alone(self):
+    def test_slow_response_of_a_live_agent_is_not_ended(self):
         """Neither a silent target nor the deadline aborts a granted request."""
         driver, request_id, grant = granted("a")
         driver.advance(40.0, alive=("a",))
         assert not driver.actions_of(AbandonGrant)
         assert not driver.actions_of(EndRequest)
-        driver.feed(AnswerComplete(request_id, grant.attempt))
+        driver.feed(ResponseComplete(request_id, grant.attempt))
         assert driver.end().outcome is Outcome.COMPLETE
 
     def test_refusal_of_an_earlier_incarnation_does_not_count(self):
@@ -363,7 +363,7 @@
         """After a restart, waiting requests are placed again and streams continue."""
         driver = Driver("a", limit=1)
         running = driver.arrive()
-        driver.feed(AnswerStarted(running, 1))
+        driver.feed(ResponseStarted(running, 1))
         driver.fill("a")
         driver.arrive()
         driver.restart("a")
@@ -465,9 +465,9 @@
         assert not driver.actions_of(EndRequest)
         refused = Refused(request_id, attempts["b"], RefusalReason.QUEUE_FULL, 400)
         driver.deliver("b", refused)
-        answer = driver.end()
-        assert answer.outcome is Outcome.NOT_RUN
-        assert answer.refusal.retry_after_ms == 400
+        response = driver.end()
+        assert response.outcome is Outcome.NOT_RUN
+        assert response.refusal.retry_after_ms == 400
 
     def test_agent_with_an_expired_refusal_is_asked_again(self):
         """An expired refusal does not shed the request."""
@@ -490,9 +490,9 @@
         driver.fill("a")
         request_id = driver.arrive(deadline_s=0.2)
         driver.advance(0.25, alive=("a",))
-        answer = driver.end()
-        assert answer.refusal.reason is RefusalReason.DEADLINE
-        assert answer.refusal.retry_after_ms > 0
+        response = driver.end()
+        assert response.refusal.reason is RefusalReason.DEADLINE
+        assert response.refusal.retry_after_ms > 0
         assert driver.sent(Withdraw) == [("a", Withdraw(request_id, 1))]
 
     def test_exhausted_retry_budget_delays_but_does_not_shed(self):
@@ -507,7 +507,7 @@
         assert 0 < retried < 30
         assert not driver.actions_of(EndRequest)
         driver.advance(2.0, alive=("a",))
-        reasons = [end.answer.refusal.reason for end in driver.actions_of(EndRequest)]
+        reasons = [end.response.refusal.reason for end in driver.actions_of(EndRequest)]
         assert reasons == [RefusalReason.DEADLINE] * (30 - retried)
 
     @pytest.mark.parametrize("limit", ["max_waiting", "max_running"])
@@ -523,14 +523,14 @@
         assert refusal.reason is RefusalReason.ACCOUNT_LIMIT
         assert refusal.retry_after_ms > 0
 
-    def test_caller_gone_withdraws_or_abandons(self):
+    def test_caller_disconnected_withdraws_or_abandons(self):
         """On a disconnect, a waiting request is withdrawn and a grant abandoned."""
         driver, request_id = waiting_at_two()
-        driver.feed(CallerGone(request_id))
+        driver.feed(CallerDisconnected(request_id))
         assert driver.end().refusal.reason is RefusalReason.WITHDRAWN
         assert len(driver.sent(Withdraw)) == 2
         driver, request_id, grant = granted("a")
-        driver.feed(CallerGone(request_id))
+        driver.feed(CallerDisconnected(request_id))
         assert driver.actions_of(AbandonGrant) == [
             AbandonGrant(request_id, grant.attempt)
         ]
@@ -562,7 +562,7 @@
         """The key is released even if the claim succeeds after the request ended."""
         driver = Driver("a")
         request_id = driver.arrive(key="k")
-        driver.feed(CallerGone(request_id))
+        driver.feed(CallerDisconnected(request_id))
         driver.feed(DrainRequested())
         assert not driver.actions_of(DrainFinished)
         driver.feed(KeyClaimed(request_id))
@@ -588,7 +588,7 @@
         driver.arrive()
         assert driver.end().refusal.reason is RefusalReason.LEAVING
         assert not driver.actions_of(DrainFinished)
-        driver.feed(AnswerComplete(request_id, grant.attempt))
+        driver.feed(ResponseComplete(request_id, grant.attempt))
         driver.advance(1.0)
         assert len(driver.actions_of(DrainFinished)) == 1
 
--- a/libs/router/tests/test_router_machine_fuzz.py
+++ b/libs/router/tests/test_router_machine_fuzz.py
@@ -22,10 +22,7 @@
 from berylwalk.router._events import (
     AbandonGrant,
     AgentsListed,
-    AnswerComplete,
-    AnswerProgress,
-    AnswerStarted,
-    CallerGone,
+    CallerDisconnected,
     ClaimKey,
     DatagramArrived,
     DrainFinished,
@@ -39,6 +36,9 @@
     KeyRefused,
     ReleaseKey,
     RequestArrived,
+    ResponseComplete,
+    ResponseProgress,
+    ResponseStarted,
     SendToAgent,
     Tick,
 )
@@ -165,13 +165,13 @@
     def check_end(self, action):
         """Allow one end per request, and not-run only if nothing can have run."""
         model = self.model[action.request_id]
-        answer = action.answer
+        response = action.response
         assert not model.ended
         model.ended = True
-        if answer.outcome is Outcome.NOT_RUN:
+        if response.outcome is Outcome.NOT_RUN:
             assert model.unresolved is None
-            assert answer.refusal.retry_after_ms > 0
-        elif answer.outcome is Outcome.UNKNOWN:
+            assert response.refusal.retry_after_ms > 0
+        elif response.outcome is Outcome.UNKNOWN:
             assert model.unresolved is not None
         else:
             assert model.completed
@@ -290,8 +290,8 @@
         """The target's status and a chunk of the response arrive."""
         name = data.draw(st.sampled_from(sorted(self.open_grants)))
         self.model[name[0]].started = True
-        self.feed(AnswerStarted(*name))
-        self.feed(AnswerProgress(*name))
+        self.feed(ResponseStarted(*name))
+        self.feed(ResponseProgress(*name))
 
     @precondition(lambda self: self.open_grants)
     @rule(data=st.data(), kind=st.sampled_from(["refused", "complete", "lost"]))
@@ -302,7 +302,7 @@
         model = self.model[grant.request_id]
         if kind == "complete":
             model.completed = True
-            self.feed(AnswerComplete(*name))
+            self.feed(ResponseComplete(*name))
         elif kind == "lost" or model.started:
             self.lost_grants.append(grant)
             self.feed(GrantLost(*name, started=model.started))
@@ -345,7 +345,7 @@
     def disconnect_caller(self, data):
         """A caller disconnects."""
         request_id = data.draw(st.sampled_from(sorted(self.model)))
-        self.feed(CallerGone(request_id))
+        self.feed(CallerDisconnected(request_id))
 
     def teardown(self):
         """Every request ends exactly once, even if no agent responds."""
--- a/libs/router/tests/test_router_shell.py
+++ b/libs/router/tests/test_router_shell.py
@@ -21,9 +21,7 @@
 )
 from berylwalk.router import (
     AbandonGrant,
-    AnswerComplete,
-    AnswerStarted,
-    CallerGone,
+    CallerDisconnected,
     ClaimKey,
     DrainFinished,
     DrainRequested,
@@ -34,6 +32,8 @@
     IssueGrant,
     KeyRefused,
     RequestArrived,
+    ResponseComplete,
+    ResponseStarted,
     Tick,
 )
 from berylwalk.router._claim_results import Claimed, ClaimRefused
@@ -118,14 +118,14 @@
                 return [IssueGrant("agent-1", make_grant(request))]
             case KeyRefused(request_id, refusal):
                 return [self._end(request_id, Outcome.NOT_RUN, refusal)]
-            case AnswerComplete(request_id):
+            case ResponseComplete(request_id):
                 return [self._end(request_id, Outcome.COMPLETE)]
             case GrantNotSent(request_id) | GrantRefused(request_id):
                 refusal = Refusal(RefusalReason.NO_TARGET)
                 return [self._end(request_id, Outcome.NOT_RUN, refusal)]
             case GrantLost(request_id):
                 return [self._end(request_id, Outcome.UNKNOWN)]
-            case CallerGone(request_id):
+            case CallerDisconnected(request_id):
                 return [AbandonGrant(request_id, 1)]
             case DrainRequested():
                 return [DrainFinished()]
@@ -155,9 +155,9 @@
     async def delete_late_record(self, request) -> None:
         """Do nothing."""
 
-    def complete(self, request, status, answer) -> None:
+    def complete(self, request, status, response) -> None:
         """Record the status and response."""
-        self.completed.append((status, answer))
+        self.completed.append((status, response))
 
     def forget(self, request_id) -> None:
         """Do nothing."""
@@ -226,7 +226,7 @@
 
 
 class TestGrants:
-    async def test_whole_answer(self):
+    async def test_complete_response(self):
         """The grant contains the body's digest; the response is relayed unchanged."""
         seen = []
 
@@ -246,7 +246,7 @@
         assert (sink.status, sink.body) == (418, b"one two")
         assert sink.headers[b"x-kind"] == b"tea"
         assert DISPATCHED[0] not in sink.headers
-        assert machine.kinds() == [AnswerStarted, AnswerComplete]
+        assert machine.kinds() == [ResponseStarted, ResponseComplete]
 
     async def test_refusal(self):
         """The agent's refusal reaches the state machine with its retry-after time."""
@@ -320,7 +320,7 @@
         async with running_shell(dispatch) as (shell, machine):
             final = await shell.submit(make_request(), Sink(leaves=True))
             assert shell.active_requests == ()
-        assert machine.kinds() == [AnswerStarted, CallerGone]
+        assert machine.kinds() == [ResponseStarted, CallerDisconnected]
         assert final.outcome is Outcome.UNKNOWN
 
     async def test_cancelled_submit(self):
@@ -342,7 +342,7 @@
             size = len(sink.body)
             await anyio.sleep(0.05)
             assert len(sink.body) == size
-        assert machine.kinds()[-1] is CallerGone
+        assert machine.kinds()[-1] is CallerDisconnected
 
     async def test_fault_in_the_machine_ends_only_its_request(self):
         """An error while handling an event does not leave the caller waiting."""
--- a/libs/router/tests/test_router_subsets.py
+++ b/libs/router/tests/test_router_subsets.py
@@ -15,11 +15,11 @@
 from berylwalk.router import (
     AbandonGrant,
     AgentsListed,
-    AnswerStarted,
     DatagramArrived,
     EndRequest,
     IssueGrant,
     RequestArrived,
+    ResponseStarted,
     RouterConfig,
     RouterMachine,
     SendToAgent,
@@ -52,9 +52,9 @@
         for action in self.machine.handle(event, self.now):
             self.actions.append(action)
             if isinstance(action, SendToAgent):
-                self.answer(action)
+                self.reply(action)
 
-    def answer(self, action):
+    def reply(self, action):
         """Respond to a heartbeat, unless the agent is silent."""
         hellos = [m for m in action.messages if isinstance(m, Hello)]
         self.hellos += [(self.now, action.agent, hello) for hello in hellos]
@@ -143,7 +143,7 @@
         fleet.advance(10.0)
         action = fleet.arrive("m0")
         grant = action.grant
-        fleet.feed(AnswerStarted(grant.request_id, grant.attempt))
+        fleet.feed(ResponseStarted(grant.request_id, grant.attempt))
         fleet.model_by_agent[action.agent] = "model:other"
         fleet.digest(action.agent)
         fleet.advance(12.0)
--- a/tests/fuzz/exchanges.py
+++ b/tests/fuzz/exchanges.py
@@ -10,12 +10,12 @@
 from berylwalk.agent import GrantArrived as AgentGrantArrived
 from berylwalk.model import Refusal, RefusalReason
 from berylwalk.router import (
-    AnswerComplete,
-    AnswerProgress,
-    AnswerStarted,
     GrantLost,
     GrantNotSent,
     GrantRefused,
+    ResponseComplete,
+    ResponseProgress,
+    ResponseStarted,
 )
 
 RETRY_MS = 1000
@@ -76,7 +76,7 @@
     elif connection.unsent:
         _finish(fleet, node, connection, GrantNotSent(*name))
     elif connection.ended:
-        _finish(fleet, node, connection, AnswerComplete(*name))
+        _finish(fleet, node, connection, ResponseComplete(*name))
     else:
         return False
     return True
@@ -143,7 +143,7 @@
     piece = connection.sent[connection.read]
     connection.read += 1
     name = (connection.request_id, connection.grant.attempt)
-    event = AnswerStarted(*name) if piece.number == 0 else AnswerProgress(*name)
+    event = ResponseStarted(*name) if piece.number == 0 else ResponseProgress(*name)
     fleet.oracle.relayed(connection.request_id, piece)
     fleet.to_router(node, event)
 
--- a/tests/fuzz/faults.py
+++ b/tests/fuzz/faults.py
@@ -372,9 +372,9 @@
         (
             Edit(
                 "router/_ending",
-                "    answer = FinalResponse(Outcome.UNKNOWN,",
+                "    response = FinalResponse(Outcome.UNKNOWN,",
                 "    _release_key(core, state)\n"
-                "    answer = FinalResponse(Outcome.UNKNOWN,",
+                "    response = FinalResponse(Outcome.UNKNOWN,",
             ),
         ),
         REQUESTS,
--- a/tests/fuzz/world.py
+++ b/tests/fuzz/world.py
@@ -23,7 +23,7 @@
 from berylwalk.router import (
     AbandonGrant,
     AgentsListed,
-    CallerGone,
+    CallerDisconnected,
     ClaimKey,
     EndRequest,
     IssueGrant,
@@ -181,7 +181,7 @@
         """Let a caller go away."""
         node = self.routers_by_id[request_id.router]
         if node.acting and node.incarnation == request_id.incarnation:
-            self.to_router(node, CallerGone(request_id))
+            self.to_router(node, CallerDisconnected(request_id))
 
     # Network and keys
 
@@ -285,7 +285,7 @@
         elif isinstance(action, ReleaseKey):
             self.keys.releases.append(action.request)
         elif isinstance(action, EndRequest):
-            self.oracle.ended(action.request_id, action.answer, self._reachable(node))
+            self.oracle.ended(action.request_id, action.response, self._reachable(node))
         elif isinstance(action, RouterDrainFinished):
             own = [one for one in self.oracle.unanswered() if one[:2] == node.name]
             assert not own, "drained with requests left"
