--- a/tests/docs/test_docs_reference.py
+++ b/tests/docs/test_docs_reference.py
@@ -1,4 +1,4 @@
-"""The documentation agrees with the product and with itself."""
+"""Documentation: settings reference, INI examples and links."""
 
 import re
 from pathlib import Path
@@ -19,12 +19,12 @@
 
 
 def page_name(page):
-    """Name a page in the test report."""
+    """Return the identifier of a page in the test report."""
     return str(page.relative_to(ROOT))
 
 
 def ini_examples():
-    """Find the INI examples of all pages, as parameters."""
+    """Return the INI examples of all pages as test parameters."""
     return [
         pytest.param(text, id=f"{page_name(page)}-{number}")
         for page in PAGES
@@ -33,19 +33,19 @@
 
 
 def prose(page):
-    """Return a page without code."""
+    """Return the text of a page without code blocks and code spans."""
     return CODE_SPAN.sub("", CODE_BLOCK.sub("", page.read_text()))
 
 
 def anchors(page):
-    """Return the names under which headings of a page can be linked."""
+    """Return the link anchors of the headings of a page."""
     headings = HEADING.findall(CODE_BLOCK.sub("", page.read_text()))
-    kept = (re.sub(r"[^\w\- ]", "", heading.lower()) for heading in headings)
-    return {heading.replace(" ", "-") for heading in kept}
+    slugs = (re.sub(r"[^\w\- ]", "", heading.lower()) for heading in headings)
+    return {slug.replace(" ", "-") for slug in slugs}
 
 
 def is_broken(page, link):
-    """Tell whether a link leads nowhere; those to other sites are not followed."""
+    """Return whether a relative link has no target; other links are not checked."""
     if "://" in link:
         return False
     path, _, anchor = link.partition("#")
@@ -56,7 +56,7 @@
 
 
 def test_settings_reference_is_current():
-    """The committed reference is what ``make docs`` writes."""
+    """The committed reference equals the output of ``make docs``."""
     committed = (ROOT / "docs/operators/settings.md").read_text()
     assert committed == settings_reference().rstrip("\n") + "\n"
 
@@ -64,7 +64,7 @@
 class TestExamples:
     @pytest.mark.parametrize("text", ini_examples())
     def test_ini_example_is_valid(self, tmp_path, capsys, text):
-        """The settings library accepts each INI example as it stands."""
+        """``check-settings`` accepts each INI example unchanged."""
         key_file = tmp_path / KEY_FILE
         key_file.parent.mkdir()
         key_file.write_text("a key for the tests of the documentation\n")
@@ -74,13 +74,13 @@
         assert (exit_code, capsys.readouterr().err) == (0, "")
 
     def test_examples_are_found(self):
-        """The pages for operators show files of routers, agents and trees."""
+        """The parametrized test above has examples to check."""
         assert len(ini_examples()) >= 5
 
 
 class TestLinks:
     @pytest.mark.parametrize("page", PAGES, ids=page_name)
     def test_relative_links_resolve(self, page):
-        """Each page that is linked exists, and so does the heading."""
+        """The page and the heading of each relative link exist."""
         links = LINK.findall(prose(page))
         assert [link for link in links if is_broken(page, link)] == []
--- a/tests/layout/test_layout_days.py
+++ b/tests/layout/test_layout_days.py
@@ -1,4 +1,4 @@
-"""Days of our own are complete, fit any deployment, and stand in their list."""
+"""Day files are complete, independent of a deployment, and listed in their README."""
 
 import tomllib
 from pathlib import Path
@@ -7,19 +7,19 @@
 
 DAYS = Path(__file__).parents[2] / "deploy" / "days"
 FILES = sorted(DAYS.glob("*.toml"))
-PLACES = {"service": "@s", "class": "@c", "zone": "@z"}
+PLACEHOLDER_PREFIXES = {"service": "@s", "class": "@c", "zone": "@z"}
 
 
 class TestDays:
-    """Each file of the folder."""
+    """Rules for each day file."""
 
-    def test_are_there(self):
-        """The list is not empty, or the other tests would check nothing."""
+    def test_day_files_exist(self):
+        """The parametrized tests below have files to check."""
         assert len(FILES) >= 8
 
     @pytest.mark.parametrize("path", FILES, ids=lambda path: path.stem)
-    def test_is_of_no_one_deployment(self, path):
-        """Places are stand-ins; entries say when and what."""
+    def test_uses_placeholders_only(self, path):
+        """Services, classes and zones are placeholders; entries have a time and a kind."""
         day = tomllib.loads(path.read_text())
         entries = [*day.get("plan", []), *day.get("faults", [])]
         assert day["name"] == path.stem
@@ -28,11 +28,11 @@
         for entry in entries:
             assert entry["at"] > 0
             assert entry["kind"]
-            for field, start in PLACES.items():
-                assert entry.get(field, start).startswith(start)
+            for field, prefix in PLACEHOLDER_PREFIXES.items():
+                assert entry.get(field, prefix).startswith(prefix)
 
     @pytest.mark.parametrize("path", FILES, ids=lambda path: path.stem)
-    def test_says_what_it_is_for(self, path):
-        """In its first line and in the list of the folder."""
+    def test_has_a_description(self, path):
+        """The file starts with a comment and has a row in the README."""
         assert path.read_text().startswith("# ")
         assert f"| `{path.stem}` |" in (DAYS / "README.md").read_text()
--- a/tests/layout/test_layout_imports.py
+++ b/tests/layout/test_layout_imports.py
@@ -1,4 +1,4 @@
-"""What the libraries take from each other."""
+"""Imports between libraries."""
 
 import ast
 from pathlib import Path
@@ -6,17 +6,17 @@
 import pytest
 
 LIBS = Path(__file__).parents[2] / "libs"
-FOLDERS_BY_NAME = {
+FOLDERS_BY_LIBRARY = {
     path.name: path for path in (*LIBS.iterdir(), LIBS.parent / "platform")
 }
-NAMES = sorted(
-    name for name, path in FOLDERS_BY_NAME.items() if (path / "src").is_dir()
+LIBRARIES = sorted(
+    name for name, path in FOLDERS_BY_LIBRARY.items() if (path / "src").is_dir()
 )
 
 
 def private_imports(lib):
     """Yield the private modules of other libraries that a library imports."""
-    for file in sorted((FOLDERS_BY_NAME[lib] / "src").rglob("*.py")):
+    for file in sorted((FOLDERS_BY_LIBRARY[lib] / "src").rglob("*.py")):
         for node in ast.walk(ast.parse(file.read_text())):
             if not isinstance(node, ast.ImportFrom | ast.Import):
                 continue
@@ -31,7 +31,7 @@
 
 
 class TestImports:
-    @pytest.mark.parametrize("lib", NAMES)
+    @pytest.mark.parametrize("lib", LIBRARIES)
     def test_only_public_names_of_other_libraries(self, lib):
-        """Private modules may change without their users being looked at."""
+        """Private modules of a library are not imported by other libraries."""
         assert list(private_imports(lib)) == []
--- a/tests/layout/test_layout_known_red.py
+++ b/tests/layout/test_layout_known_red.py
@@ -1,4 +1,4 @@
-"""The list of tests that fail for a known fault can't hide anything else."""
+"""``KNOWN-RED.txt`` excuses exactly the tests that it lists."""
 
 import subprocess
 import sys
@@ -15,9 +15,9 @@
 
 @pytest.fixture
 def run(tmp_path):
-    """Return a function that runs two tests beside a list."""
+    """Return a function that runs a failing and a passing test with a given list."""
 
-    def run_beside(listed, *arguments):
+    def run_with_list(listed, *arguments):
         (tmp_path / "conftest.py").write_text((ROOT / "conftest.py").read_text())
         (tmp_path / "test_it.py").write_text(TESTS)
         (tmp_path / "pytest.ini").write_text("[pytest]\ntestpaths = .\n")
@@ -27,40 +27,40 @@
             [*command, *arguments], cwd=tmp_path, capture_output=True, text=True
         )
 
-    return run_beside
+    return run_with_list
 
 
 class TestKnownRed:
-    """What a run does with the list."""
+    """Effect of the list on a test run."""
 
-    def test_listed_failure_is_passed_over_and_printed(self, run):
-        """The run is green and says what it passed over."""
-        ended = run(RED)
-        assert ended.returncode == 0
-        assert "known red: test_it.py::test_red | cause" in ended.stdout
-        assert "1 passed, 1 xfailed" in ended.stdout
+    def test_listed_failure_is_excused_and_printed(self, run):
+        """The run passes and reports the excused failure."""
+        result = run(RED)
+        assert result.returncode == 0
+        assert "known red: test_it.py::test_red | cause" in result.stdout
+        assert "1 passed, 1 xfailed" in result.stdout
 
     def test_unlisted_failure_fails_the_run(self, run):
-        """Nothing is passed over without a line."""
+        """A failure without an entry is not excused."""
         assert run("").returncode == 1
 
     def test_listed_test_that_passes_fails_the_run(self, run):
-        """A mended fault is taken off the list."""
+        """The entry of a fixed fault has to be removed."""
         assert run(RED + GREEN).returncode == 1
 
     def test_listed_test_that_does_not_exist_fails_the_run(self, run):
-        """A renamed test does not stay on the list."""
-        ended = run(RED + MISSING)
-        assert ended.returncode != 0
-        assert "there is no test test_it.py::test_gone" in ended.stderr + ended.stdout
+        """The entry of a renamed test has to be updated."""
+        result = run(RED + MISSING)
+        assert result.returncode != 0
+        assert "there is no test test_it.py::test_gone" in result.stderr + result.stdout
 
-    def test_part_of_the_tests_can_be_run(self, run):
-        """Other tests needn't be there then."""
+    def test_subset_of_the_tests_can_be_run(self, run):
+        """Entries of tests outside the selection are not checked."""
         assert run(RED + MISSING, "test_it.py::test_green").returncode == 0
 
     @pytest.mark.parametrize("listed", [RED * 4, "test_it.py::test_red | cause\n"])
     def test_list_is_short_and_complete(self, run, listed):
-        """Each line has its five fields, and there are three at most."""
-        ended = run(listed)
-        assert ended.returncode != 0
-        assert "KNOWN-RED.txt" in ended.stderr + ended.stdout
+        """Each entry has five fields, and there are at most three entries."""
+        result = run(listed)
+        assert result.returncode != 0
+        assert "KNOWN-RED.txt" in result.stderr + result.stdout
--- a/tests/layout/test_layout_platform_names.py
+++ b/tests/layout/test_layout_platform_names.py
@@ -1,4 +1,4 @@
-"""The platform's names stay in its adapter."""
+"""Wire names of the platform occur only in its adapter."""
 
 import ast
 import re
@@ -27,7 +27,7 @@
     "berylwalk_boot",
 )
 STANDINS = "standins"
-"""Stand-ins of the platform speak its protocol by their nature."""
+"""Excluded: the stand-ins implement the platform's protocol."""
 
 FILES = [
     file
@@ -37,7 +37,7 @@
 
 
 def string_constants(file):
-    """Yield the strings of a module that aren't docstrings."""
+    """Yield the string and bytes constants of a module, without docstrings."""
     tree = ast.parse(file.read_text())
     docstrings = {
         id(node.value)
@@ -57,8 +57,8 @@
     @pytest.mark.parametrize(
         "file", FILES, ids=lambda file: str(file.relative_to(ROOT))
     )
-    def test_only_the_adapter_knows_them(self, file):
-        """Nothing outside ``platform/`` spells a name of the wire."""
+    def test_only_the_adapter_has_them(self, file):
+        """No library outside ``platform/`` contains a wire name of the platform."""
         found = [
             (name, text)
             for text in string_constants(file)
@@ -67,8 +67,8 @@
         ]
         assert found == []
 
-    def test_they_are_looked_for_under_their_present_spelling(self):
-        """The list above holds names that the adapter has."""
+    def test_listed_names_are_current(self):
+        """The adapter contains most of `PLATFORM_NAMES`."""
         adapter = " ".join(
             text
             for file in (ROOT / "platform").rglob("*.py")
