--- a/tests/layout/test_layout_days.py
+++ b/tests/layout/test_layout_days.py
@@ -19,7 +19,7 @@
 
     @pytest.mark.parametrize("path", FILES, ids=lambda path: path.stem)
     def test_uses_placeholders_only(self, path):
-        """Services, classes and zones are placeholders; entries have a time and a kind."""
+        """Places are placeholders, and each entry has a time and a kind."""
         day = tomllib.loads(path.read_text())
         entries = [*day.get("plan", []), *day.get("faults", [])]
         assert day["name"] == path.stem
--- a/tests/processes/conftest.py
+++ b/tests/processes/conftest.py
@@ -1,4 +1,4 @@
-"""One fleet of processes for all tests of this folder."""
+"""Fixtures: a fleet of real processes, shared by the tests of this folder."""
 
 import itertools
 import re
@@ -33,9 +33,9 @@
 ENGINES = ("engine-1", "engine-2", "engine-3")
 ROUTERS = ("entry-1", "entry-2")
 SERVICE = "signs-1"
-NEVER_SEEN = (AnswerEnd.NOT_RUN, AnswerEnd.INVALID)
+NOT_DISPATCHED = (AnswerEnd.NOT_RUN, AnswerEnd.INVALID)
 VERSION_METRIC = re.compile(r"^berylwalk_\w+_settings_version (\S+)$", re.MULTILINE)
-REPLAYED = "berylwalk-replayed"
+REPLAYED_HEADER = "berylwalk-replayed"
 TREE = """
 [tier urgent]
 rank = 0
@@ -93,24 +93,24 @@
 
 
 class FleetUnderTest:
-    """A fleet, callers of it, and what its stand-ins saw."""
+    """A running fleet, its caller, and the requests that its targets received."""
 
     def __init__(self, fleet: LocalFleet, caller: CheckedCaller) -> None:
         self.fleet = fleet
         self.caller = caller
         self.urls = fleet.caller_urls()
-        self.answers: list[CheckedAnswer] = []
+        self.responses: list[CheckedAnswer] = []
         self._numbers = itertools.count()
 
     def chat(self, router: int, tokens: int = 40, **options) -> Future[CheckedAnswer]:
-        """Start a chat completion with a text of its own."""
+        """Start a chat completion with a unique text."""
         fields = {"token": TOKENS["parkovisko"], "service": ""} | options
         text = f"Call {next(self._numbers)}"
         call = ChatCall(text=text, max_tokens=tokens, **fields)
         return self.caller.start_chat(self.urls[router], call)
 
     def chats(self, count: int, routers=(0, 1), **options) -> list:
-        """Start chat completions through routers in turn, half of them streamed."""
+        """Start chat completions through alternating routers, half of them streamed."""
         turns = itertools.cycle(routers)
         kinds = itertools.cycle((True, True, False, False))
         return [
@@ -119,7 +119,7 @@
         ]
 
     def post(self, router: int, path: str, *, key: str = "", content: bytes = b"x"):
-        """Start a call of the plain service that may run once only."""
+        """Start a non-idempotent request to the plain service."""
         headers = {"Idempotency-Key": key} if key else {}
         return self.caller.start_request(
             "POST",
@@ -130,12 +130,12 @@
         )
 
     def results(self, calls: list[Future[CheckedAnswer]]) -> list[CheckedAnswer]:
-        """Wait for answers; none may be wrong, and all are checked at the end."""
-        answers = [call.result(2 * WAIT_S) for call in calls]
-        self.answers += answers
-        wrong = [answer for answer in answers if answer.end is AnswerEnd.WRONG]
+        """Wait for the responses, assert that none is wrong, and record them."""
+        responses = [call.result(2 * WAIT_S) for call in calls]
+        self.responses += responses
+        wrong = [response for response in responses if response.end is AnswerEnd.WRONG]
         assert wrong == []
-        return answers
+        return responses
 
     def admin(self, method: str, path: str, *, router: int = 0, **options):
         """Send a request to a router's admin API."""
@@ -146,18 +146,18 @@
 
     def targets(self, router: int = 0) -> dict[str, dict]:
         """Return the targets by agent as a router sees them."""
-        answer = self.admin("GET", "targets", router=router)
-        rows = msgspec.json.decode(answer.content)["targets"]
+        response = self.admin("GET", "targets", router=router)
+        rows = msgspec.json.decode(response.content)["targets"]
         return {row["agent"]: row for row in rows}
 
     def versions(self, router: int = 0) -> dict[str, int]:
         """Return the settings version of each node as a router sees it."""
-        answer = self.admin("GET", "nodes", router=router)
-        rows = msgspec.json.decode(answer.content)["nodes"]
+        response = self.admin("GET", "nodes", router=router)
+        rows = msgspec.json.decode(response.content)["nodes"]
         return {row["node_id"]: row["settings_version"] for row in rows}
 
     def own_versions(self) -> dict[str, int]:
-        """Return the settings version of each node as the node itself tells it."""
+        """Return the settings version that each node reports in its metrics."""
         subnet = self.fleet.subnet
         addresses = {name: subnet.router(i) for i, name in enumerate(ROUTERS)}
         names = (*ENGINES, SERVICE)
@@ -166,44 +166,46 @@
 
     def seen_at(self, vm_id: str) -> Counter[str]:
         """Return how often a target received each request."""
-        answer = httpcore.request("GET", f"{self.fleet.target_url(vm_id)}/control/seen")
-        return Counter(msgspec.json.decode(answer.content)["requests"])
+        response = httpcore.request(
+            "GET", f"{self.fleet.target_url(vm_id)}/control/seen"
+        )
+        return Counter(msgspec.json.decode(response.content)["requests"])
 
     def seen(self) -> Counter[str]:
-        """Return how often each request was received by all targets together."""
+        """Return how often each request was received, summed over all targets."""
         return sum(map(self.seen_at, (*ENGINES, SERVICE)), Counter())
 
-    def seen_of_key(self, key: str) -> int:
+    def seen_with_key(self, key: str) -> int:
         """Return how often the service received an idempotency key."""
         url = f"{self.fleet.target_url(SERVICE)}/control/seen"
         seen = msgspec.json.decode(httpcore.request("GET", url).content)
         return seen["idempotency_keys"].get(key, 0)
 
     def platform(self, **faults) -> None:
-        """Set the platform's faults; those not named end."""
+        """Set the platform's faults; faults that are not named are cleared."""
         post_json(f"{self.fleet.platform_url()}/control/faults", faults)
 
     def set_vm_state(self, vm_id: str, state: str, *, lag_s: float = 0.0) -> None:
-        """Show a VM in another state, after the list's lag."""
+        """Change the listed state of a VM; the list shows it after the lag."""
         control = f"{self.fleet.platform_url()}/control/vms"
-        answer = httpcore.request("GET", f"{self.fleet.platform_url()}/v1/vms")
-        vms = msgspec.json.decode(answer.content)["vms"]
+        response = httpcore.request("GET", f"{self.fleet.platform_url()}/v1/vms")
+        vms = msgspec.json.decode(response.content)["vms"]
         for vm in vms:
             vm["state"] = state if vm["vm_id"] == vm_id else vm["state"]
         post_json(control, {"vms": vms, "vm_list_lag_s": lag_s})
 
     def process(self, name: str):
-        """Return a router by its VM, or an agent by its target's VM."""
+        """Return the process of a router's VM, or of the agent on a target's VM."""
         name = name if name in ROUTERS else agent_name(name)
         return self.fleet.processes_by_name[name]
 
     def restart(self, name: str) -> None:
-        """Start a router or agent again and wait until all are ready."""
+        """Start a stopped router or agent and wait until the fleet is idle."""
         self.process(name).start()
-        self.wait_calm()
+        self.wait_until_idle()
 
     def recover(self) -> None:
-        """End faults that a failed test has left behind."""
+        """Clear platform faults, and resume or restart stopped processes."""
         self.platform()
         for name in (*ROUTERS, *ENGINES, SERVICE):
             self.process(name).thaw()
@@ -211,43 +213,51 @@
                 self.process(name).start()
 
     def accepted(self, router: int) -> int:
-        """Return how many requests a router holds."""
-        answer = self.admin("GET", "tiers", router=router)
-        tiers = msgspec.json.decode(answer.content)["tiers"]
+        """Return the number of requests queued or running at a router."""
+        response = self.admin("GET", "tiers", router=router)
+        tiers = msgspec.json.decode(response.content)["tiers"]
         return sum(tier["waiting"] + tier["running"] for tier in tiers)
 
     def wait(self, condition: Callable[[], bool], what: str) -> None:
-        """Wait for a condition."""
+        """Poll until a condition holds."""
         end = time.monotonic() + WAIT_S
         while not condition():
-            assert time.monotonic() < end, f"not within {WAIT_S:g} s: {what}"
+            assert time.monotonic() < end, (
+                f"timed out after {WAIT_S:g} s waiting for {what}"
+            )
             time.sleep(POLL_S)
 
-    def is_calm(self) -> bool:
-        """Whether each router sees all targets, idle, and all settings agree."""
+    def is_idle(self) -> bool:
+        """Whether all targets are reachable and idle, and all settings versions equal."""
         for router in range(len(ROUTERS)):
             targets = self.targets(router)
             if set(targets) != {*ENGINES, SERVICE}:
                 return False
-            if not all(_is_idle(target) for target in targets.values()):
+            if not all(_is_target_idle(target) for target in targets.values()):
                 return False
         return len(set(self.own_versions().values())) == 1
 
-    def wait_calm(self) -> None:
-        """Wait until the fleet is whole and idle."""
+    def wait_until_idle(self) -> None:
+        """Wait until the fleet is complete and idle."""
         self.fleet.wait_ready()
-        self.wait(self.is_calm, "a whole and idle fleet")
+        self.wait(self.is_idle, "all targets to be reachable and idle")
 
     def check(self, before: Counter[str]) -> None:
-        """Compare the answers since a time with what the targets received."""
+        """Assert that no request was received twice and that responses match.
+
+        ``before`` holds the counts at the start of the test.
+        """
         seen = self.seen()
-        doubled = {each for each, count in seen.items() if count > 1}
-        assert {each for each in doubled if seen[each] > before[each]} == set()
-        for answer in self.answers:
-            if answer.end is AnswerEnd.WHOLE and REPLAYED not in answer.headers:
-                assert seen[answer.request_id] == 1
-            if answer.end in NEVER_SEEN or answer.code == "key-in-use":
-                assert seen[answer.request_id] == 0
+        duplicated = {each for each, count in seen.items() if count > 1}
+        assert {each for each in duplicated if seen[each] > before[each]} == set()
+        for response in self.responses:
+            if (
+                response.end is AnswerEnd.WHOLE
+                and REPLAYED_HEADER not in response.headers
+            ):
+                assert seen[response.request_id] == 1
+            if response.end in NOT_DISPATCHED or response.code == "key-in-use":
+                assert seen[response.request_id] == 0
 
 
 def _own_version(address: str) -> int:
@@ -255,14 +265,14 @@
     return int(float(VERSION_METRIC.search(metrics.content.decode())[1]))
 
 
-def _is_idle(target: dict) -> bool:
+def _is_target_idle(target: dict) -> bool:
     usable = target["reachable"] and not target["leaving"]
     return usable and not target["running"] and not target["waiting"]
 
 
 @pytest.fixture(scope="session")
 def started_fleet() -> Iterator[FleetUnderTest]:
-    """Start the fleet; at the end its routers and agents exit with 0."""
+    """Start the fleet; assert on teardown that routers and agents exit with 0."""
     fleet = LocalFleet.from_spec(fleet_spec())
     caller = CheckedCaller()
     try:
@@ -278,13 +288,13 @@
 
 @pytest.fixture
 def fleet(started_fleet) -> Iterator[FleetUnderTest]:
-    """Return the fleet, whole and idle; check what the targets saw at the end."""
-    started_fleet.wait_calm()
-    started_fleet.answers.clear()
+    """Return the idle fleet; check the received requests on teardown."""
+    started_fleet.wait_until_idle()
+    started_fleet.responses.clear()
     before = started_fleet.seen()
     yield started_fleet
     started_fleet.recover()
-    started_fleet.wait_calm()
+    started_fleet.wait_until_idle()
     started_fleet.check(before)
 
 
--- a/tests/processes/test_process_orders.py
+++ b/tests/processes/test_process_orders.py
@@ -1,4 +1,4 @@
-"""Orders to targets through the admin API of real processes."""
+"""Orders to targets through the admin API of running processes."""
 
 import json
 import time
@@ -23,8 +23,8 @@
     "name": "deeds-v2",
     "source": "weights/deeds-v2",
 }
-TRIES = 400
-PAUSE_S = 0.05
+MAX_ATTEMPTS = 400
+RETRY_INTERVAL_S = 0.05
 
 
 @pytest.fixture(scope="module")
@@ -47,14 +47,14 @@
     return post_json(url, order)
 
 
-def orders_seen(fleet):
+def orders_received(fleet):
     seen = admin_request("GET", fleet.target_url("engine-1") + "/control/seen")
     return json.loads(seen.content)["orders"]
 
 
 class TestOrders:
     def test_loaded_adapter_is_served(self, fleet):
-        """An adapter that an order loaded is routed to like a model."""
+        """Requests for an adapter that an order loaded reach its target."""
         assert send_order(fleet, ORDER).status == 200
         body = {"model": "deeds-v2", "prompt": "x", "max_tokens": 2}
         headers = {
@@ -63,18 +63,18 @@
         }
         url = fleet.caller_urls()[0] + "/v1/completions"
         statuses = []
-        for _ in range(TRIES):  # the agent polls what its target serves
+        for _ in range(MAX_ATTEMPTS):  # until the agent has polled the target's models
             content = msgspec.json.encode(body)
             reply = httpcore.request("POST", url, headers=headers, content=content)
             statuses.append(reply.status)
             if reply.status == 200:
                 break
-            time.sleep(PAUSE_S)
+            time.sleep(RETRY_INTERVAL_S)
         assert statuses[-1] == 200
 
-    def test_outage_refuses_and_target_sees_nothing(self, fleet):
-        """Without the key-value service an order is refused, truthfully."""
-        before = orders_seen(fleet)
+    def test_outage_refuses_orders(self, fleet):
+        """An order refused in a key-value outage does not reach the target."""
+        before = orders_received(fleet)
         faults = fleet.platform_url() + "/control/faults"
         post_json(faults, {"down": True})
         try:
@@ -82,4 +82,4 @@
         finally:
             post_json(faults, {"down": False})
         assert reply.status == 409
-        assert orders_seen(fleet) == before
+        assert orders_received(fleet) == before
--- a/tests/processes/test_processes_targets.py
+++ b/tests/processes/test_processes_targets.py
@@ -1,4 +1,4 @@
-"""Targets that cut connections, stop, or die."""
+"""Targets that break connections or hang."""
 
 import pytest
 
@@ -10,7 +10,7 @@
 
 @pytest.fixture
 def set_faults(fleet):
-    """Return a function that sets the faults of an engine; they end with the test."""
+    """Return a function that sets faults of an engine until the test ends."""
 
     def set_faults(vm_id, **faults):
         post_json(f"{fleet.fleet.target_url(vm_id)}/control/faults", faults)
@@ -20,23 +20,25 @@
         set_faults(vm_id)
 
 
-class TestCutConnections:
-    def test_no_cut_answer_looks_whole(self, fleet, set_faults):
-        """A cut stream ends with an error, a cut whole answer with unknown."""
+class TestBrokenConnections:
+    def test_truncated_response_is_not_reported_complete(self, fleet, set_faults):
+        """A broken stream ends with an error, an unstreamed response with a 502."""
         for vm_id in ENGINES:
             set_faults(vm_id, break_after_tokens=5)
         streams = fleet.results(fleet.chats(6, stream=True))
-        told = {(answer.end, answer.code) for answer in streams}
-        assert told == {(AnswerEnd.BROKEN, "unknown-outcome")}
-        wholes = fleet.results(fleet.chats(6, stream=False))
-        told = {(answer.end, answer.status) for answer in wholes}
-        assert told == {(AnswerEnd.UNKNOWN, 502)}
-        assert {fleet.seen()[answer.request_id] for answer in streams + wholes} == {1}
+        reported = {(response.end, response.code) for response in streams}
+        assert reported == {(AnswerEnd.BROKEN, "unknown-outcome")}
+        unstreamed = fleet.results(fleet.chats(6, stream=False))
+        reported = {(response.end, response.status) for response in unstreamed}
+        assert reported == {(AnswerEnd.UNKNOWN, 502)}
+        assert {
+            fleet.seen()[response.request_id] for response in streams + unstreamed
+        } == {1}
 
 
 class TestHangingEngine:
     def test_waiting_requests_finish_elsewhere(self, fleet, set_faults):
-        """Only what runs at the engine waits for it, and is whole in the end."""
+        """Only running requests wait for a hanging engine, and all complete."""
         calls = fleet.chats(LOAD)
         victim = ENGINES[0]
         fleet.wait(lambda: fleet.targets()[victim]["running"] >= 2, "load")
@@ -46,5 +48,5 @@
             "all calls but those that run at the engine",
         )
         set_faults(victim)
-        answers = fleet.results(calls)
-        assert {answer.end for answer in answers} == {AnswerEnd.WHOLE}
+        responses = fleet.results(calls)
+        assert {response.end for response in responses} == {AnswerEnd.WHOLE}
