--- a/tests/processes/conftest.py
+++ b/tests/processes/conftest.py
@@ -228,7 +228,7 @@
             time.sleep(POLL_S)
 
     def is_idle(self) -> bool:
-        """Whether all targets are reachable and idle, and all settings versions equal."""
+        """Whether all targets are idle and all nodes have the same settings version."""
         for router in range(len(ROUTERS)):
             targets = self.targets(router)
             if set(targets) != {*ENGINES, SERVICE}:
--- a/tests/processes/test_processes_agents.py
+++ b/tests/processes/test_processes_agents.py
@@ -58,7 +58,7 @@
 
 class TestFrozenAgent:
     def test_thawed_agent_dispatches_no_request_reported_not_run(self, fleet):
-        """Requests that were retried elsewhere during the freeze are not dispatched."""
+        """Requests that ended or ran elsewhere meanwhile are not dispatched again."""
         calls = fleet.chats(LOAD)
         victim = wait_saturated(fleet)
         process = fleet.process(victim)
@@ -104,7 +104,7 @@
 
 class TestTerminatedAgent:
     def test_no_response_is_truncated(self, fleet):
-        """Running requests finish, queued ones run elsewhere, and the exit code is 0."""
+        """Running requests finish, queued ones run elsewhere, and it exits with 0."""
         calls = fleet.chats(LOAD)
         victim = wait_saturated(fleet)
         process = fleet.process(victim)
