--- a/tests/fuzz/faults.py
+++ b/tests/fuzz/faults.py
@@ -1,4 +1,4 @@
-"""Deliberate faults, each with the promise that it breaks and who must notice."""
+"""Faults to inject, each with the violated guarantee and the test that detects it."""
 
 from dataclasses import dataclass
 
@@ -13,19 +13,19 @@
 
 ONCE = "1 dispatched at most once"
 TIERS = "2 tiers"
-WHOLE = "3 own whole answer"
-NOT_RUN = "4 not-run is true"
+COMPLETE = "3 own complete response"
+NOT_RUN = "4 not-run is accurate"
 KEY = "5 a key runs at most once"
-LEAVING = "6 a leaving target gets nothing new"
-SHUTDOWN = "7 shutdown finishes what runs"
-IN_FORCE = "8 accepted settings stay in force"
-FENCED = "9 a lapsed holder changes nothing"
+NOTHING_NEW = "6 a leaving target gets no new requests"
+SHUTDOWN = "7 shutdown finishes running requests"
+IN_FORCE = "8 accepted settings stay effective"
+FENCED = "9 an expired lease holder changes nothing"
 ENDS = "10 every request ends in time"
 
 
 @dataclass(frozen=True, slots=True)
 class Edit:
-    """A text in a source file, and what takes its place.
+    """Replacement of a text in a source file.
 
     Parameters
     ----------
@@ -42,27 +42,27 @@
 
 @dataclass(frozen=True, slots=True)
 class Fault:
-    """One deliberate fault.
+    """A fault to inject.
 
     Parameters
     ----------
     name : str
-        What is wrong.
-    promise : str
-        The promise that it breaks.
+        Description of the fault.
+    guarantee : str
+        The guarantee that it violates.
     edits : tuple of Edit
-        What plants it; all in one library.
+        Edits that inject it; all in one library.
     test : str
         Test that must fail.
-    rule : str
-        Text that the failure must show; empty where the test has one rule.
+    expected_message : str
+        Pattern that the output must match; empty if any failure will do.
     """
 
     name: str
-    promise: str
+    guarantee: str
     edits: tuple[Edit, ...]
     test: str
-    rule: str = ""
+    expected_message: str = ""
 
 
 FAULTS = (
@@ -104,7 +104,7 @@
         f"{AGENT_MACHINE}::TestAtMostOnce::test_doubled_grant",
     ),
     Fault(
-        "forgetting raises no floor",
+        "pruning a record raises no floor",
         NOT_RUN,
         (
             Edit(
@@ -131,7 +131,7 @@
         "dispatched twice",
     ),
     Fault(
-        "a lost grant is placed again without the agent's word",
+        "a lost grant is placed again without a revoke result",
         ONCE,
         (
             Edit(
@@ -147,7 +147,7 @@
         "dispatched twice",
     ),
     Fault(
-        "a revoke's result is trusted from another incarnation",
+        "a revoke result of another incarnation is accepted",
         NOT_RUN,
         (
             Edit(
@@ -169,7 +169,7 @@
             ),
         ),
         REQUESTS,
-        "not-run, yet dispatched|dispatched twice|dispatched after not-run",
+        "not-run, but dispatched|dispatched twice|dispatched after not-run",
     ),
     Fault(
         "a revoke leaves no tombstone",
@@ -186,7 +186,7 @@
         "dispatched",
     ),
     Fault(
-        "not-run is told after a lost grant",
+        "not-run is reported after a lost grant",
         NOT_RUN,
         (
             Edit(
@@ -221,7 +221,7 @@
         "shed while a lower tier waits",
     ),
     Fault(
-        "the newcomer is refused whatever its tier",
+        "a new request is refused whatever its tier",
         TIERS,
         (
             Edit(
@@ -236,7 +236,7 @@
         "shed while a lower tier waits",
     ),
     Fault(
-        "a refusal for room is repeated when there is room again",
+        "a queue-full refusal is repeated when there is space again",
         TIERS,
         (
             Edit(
@@ -259,10 +259,10 @@
             ),
         ),
         REQUESTS,
-        "a lower tier had its turn first",
+        "a lower tier was offered a slot first",
     ),
     Fault(
-        "a conditional grant overtakes those who wait",
+        "a conditional grant overtakes queued requests",
         TIERS,
         (
             Edit(
@@ -277,10 +277,10 @@
             ),
         ),
         REQUESTS,
-        "dispatched past a waiting request",
+        "dispatched ahead of a queued request",
     ),
     Fault(
-        "headroom is kept from the higher tiers",
+        "headroom is reserved for the lower tiers",
         TIERS,
         (Edit("admission/_headroom", "if tier.rank < rank)", "if tier.rank > rank)"),),
         f"{AGENT_MACHINE}::TestTarget::test_low_tier_leaves_headroom",
@@ -304,7 +304,7 @@
         "shed before every target refused",
     ),
     Fault(
-        "a refusal by an earlier incarnation counts for the present one",
+        "a refusal by an earlier incarnation counts for the current one",
         TIERS,
         (
             Edit(
@@ -317,8 +317,8 @@
         "::test_refusal_of_an_earlier_incarnation_does_not_count",
     ),
     Fault(
-        "a broken answer is told as complete",
-        WHOLE,
+        "a broken response is reported as complete",
+        COMPLETE,
         (
             Edit(
                 "router/_granting",
@@ -327,11 +327,11 @@
             ),
         ),
         REQUESTS,
-        "complete without its own whole answer",
+        "complete without its own full response",
     ),
     Fault(
-        "a truncated body is taken for whole",
-        WHOLE,
+        "a truncated body is treated as complete",
+        COMPLETE,
         (
             Edit(
                 "transport/_response_connection",
@@ -342,8 +342,8 @@
         f"{TRANSPORT_HTTP}::TestBrokenResponse::test_truncated_body_raises",
     ),
     Fault(
-        "an event stream without its end marker is taken for whole",
-        WHOLE,
+        "an event stream without its end marker is treated as complete",
+        COMPLETE,
         (Edit("agent/_dispatch", "if not meter.is_complete:", "if False:"),),
         f"{AGENT_DAEMON}::TestDispatch::test_broken_stream_is_aborted",
     ),
@@ -356,7 +356,7 @@
                 "return self.grant is None and self.key is not KeyState.PENDING",
                 "return self.grant is None",
             ),
-            # The machine's own guard, so that the oracle alone can notice.
+            # Disables the machine's own check, so that only the oracle detects it.
             Edit(
                 "router/_ending",
                 "if state.phase not in (Phase.UNPLACED, Phase.WAITING):",
@@ -367,7 +367,7 @@
         "an idempotency key ran twice|not-run",
     ),
     Fault(
-        "a key is released after an unknown end",
+        "a key is released after an unknown outcome",
         KEY,
         (
             Edit(
@@ -381,7 +381,7 @@
         "an idempotency key ran twice",
     ),
     Fault(
-        "another request's record is taken for one's own",
+        "another request's record is treated as its own",
         KEY,
         (
             Edit(
@@ -410,7 +410,7 @@
     ),
     Fault(
         "a draining agent dispatches",
-        LEAVING,
+        NOTHING_NEW,
         (
             Edit(
                 "agent/_grants",
@@ -458,10 +458,10 @@
             ),
         ),
         SETTINGS,
-        "a node went back",
+        "a version decreased",
     ),
     Fault(
-        "a node that starts serves below what it has heard of",
+        "a starting node serves less than the announced version",
         IN_FORCE,
         (
             Edit(
@@ -471,14 +471,14 @@
             ),
         ),
         SETTINGS,
-        "serves an old version",
+        "outdated version served",
     ),
     Fault(
-        "a clash of two patches is not noticed",
+        "a conflict of two patches is not detected",
         IN_FORCE,
         (Edit("settings/_merge", "    if conflicting:\n", "    if False:\n"),),
         SETTINGS,
-        "a change was overwritten unseen",
+        "an unseen change was overwritten",
     ),
     Fault(
         "a repeated patch is applied again",
@@ -493,14 +493,14 @@
         SETTINGS,
     ),
     Fault(
-        "the gate compares no fencing number",
+        "the gate does not compare fencing tokens",
         FENCED,
         (Edit("orders/_gate", "if current.mod_revision != fencing:", "if False:"),),
         ORDERS,
-        "an order of a lapsed holder",
+        "an order of an expired holder",
     ),
     Fault(
-        "an order is sent under a lease that nearly lapsed",
+        "an order is sent under a lease that is about to expire",
         FENCED,
         (
             Edit(
@@ -513,7 +513,7 @@
         "sent with",
     ),
     Fault(
-        "no request is given up at its deadline",
+        "no request ends at its deadline",
         ENDS,
         (
             Edit(
@@ -523,10 +523,10 @@
             ),
         ),
         REQUESTS,
-        "not given up at its deadline",
+        "not ended at its deadline",
     ),
     Fault(
-        "not-run is told without when to return",
+        "not-run is reported without a retry-after time",
         ENDS,
         (
             Edit(
@@ -536,10 +536,10 @@
             ),
         ),
         REQUESTS,
-        "not-run without when to return",
+        "not-run without a retry-after time",
     ),
     Fault(
-        "a revoke is sent once only",
+        "a revoke is not resent",
         ENDS,
         (
             Edit(
@@ -549,6 +549,6 @@
             ),
         ),
         REQUESTS,
-        "requests without a final answer",
+        "requests without a final response",
     ),
 )
--- a/tests/fuzz/key_service.py
+++ b/tests/fuzz/key_service.py
@@ -1,4 +1,4 @@
-"""The key-value service as routers see it: late, lossy, sometimes down."""
+"""Simulated key-value service: delayed, lossy and sometimes down."""
 
 from dataclasses import dataclass, field
 from enum import Enum, auto
@@ -9,42 +9,42 @@
 RETRY_MS = 1000
 
 
-class ClaimFate(Enum):
-    """What becomes of a claim."""
+class ClaimOutcome(Enum):
+    """Outcome of a claim."""
 
-    ANSWERED = auto()
+    SUCCEEDS = auto()
     DOWN = auto()
-    LOST = auto()
-    """It takes effect, but the router is told that the service is down."""
+    RESPONSE_LOST = auto()
+    """The claim takes effect, but is reported to the router as an outage."""
 
 
 @dataclass(slots=True)
 class KeyService:
-    """Owners of keys, and calls that have not arrived yet."""
+    """Owners of keys, and claims and releases in transit."""
 
     owner_by_key: dict[str, RequestId] = field(default_factory=dict)
     claims: list[Request] = field(default_factory=list)
     releases: list[Request] = field(default_factory=list)
 
     def settle_claim(
-        self, request: Request, fate: ClaimFate
+        self, request: Request, outcome: ClaimOutcome
     ) -> KeyClaimed | KeyRefused:
-        """Let a claim arrive and return what its router is told."""
+        """Process a claim and return its result for the router."""
         self.claims.remove(request)
         request_id = request.request_id
-        if fate is ClaimFate.DOWN:
+        if outcome is ClaimOutcome.DOWN:
             return _refused(request_id, RefusalReason.PLATFORM_DOWN)
         owner = self.owner_by_key.setdefault(request.idempotency_key, request_id)
         if owner != request_id:
             return _refused(request_id, RefusalReason.KEY_IN_USE)
-        if fate is ClaimFate.LOST:
+        if outcome is ClaimOutcome.RESPONSE_LOST:
             # The router deletes such a record once it can read it.
             self.releases.append(request)
             return _refused(request_id, RefusalReason.PLATFORM_DOWN)
         return KeyClaimed(request_id)
 
     def settle_release(self) -> None:
-        """Let the oldest release arrive; it deletes a record of its own only."""
+        """Process the oldest release; it deletes only a record of its own request."""
         if not self.releases:
             return
         request = self.releases.pop(0)
--- a/tests/fuzz/machines.py
+++ b/tests/fuzz/machines.py
@@ -1,4 +1,4 @@
-"""The state machines under test, made small so that limits are reached."""
+"""State machines under test, with limits low enough to be reached."""
 
 from random import Random
 
@@ -12,10 +12,10 @@
 MAX_WAITING = 4
 READY_TIMEOUT_S = 0.2
 
-# The first agent forgets early, so that its floors are reached.
-FORGETFUL_AGENT = "a1"
-FORGETFUL_RECORDS = 4
-FORGETFUL_S = 1.0
+# The first agent prunes attempt records early, so that floors are used.
+PRUNING_AGENT = "a1"
+PRUNING_MAX_RECORDS = 4
+PRUNING_RETENTION_S = 1.0
 
 TIERS = (
     TierPolicy("urgent", 0, deadline_s=10.0, headroom=0.3),
@@ -25,8 +25,8 @@
 
 
 def new_agent_machine(agent: str, incarnation: int) -> AgentMachine:
-    """Return an agent with few slots and a short queue."""
-    forgets = agent == FORGETFUL_AGENT
+    """Return an agent machine with few slots and a short queue."""
+    prunes = agent == PRUNING_AGENT
     config = AgentConfig(
         agent_id=agent,
         incarnation=incarnation,
@@ -35,8 +35,8 @@
         max_limit=SLOTS,
         max_waiting=MAX_WAITING,
         ready_timeout_s=READY_TIMEOUT_S,
-        max_attempt_records=FORGETFUL_RECORDS if forgets else 1000,
-        retention_s=FORGETFUL_S if forgets else 600.0,
+        max_attempt_records=PRUNING_MAX_RECORDS if prunes else 1000,
+        retention_s=PRUNING_RETENTION_S if prunes else 600.0,
     )
     machine = AgentMachine.from_config(config)
     machine.handle(TiersChanged(1, TIERS), 0.0)
@@ -45,6 +45,6 @@
 
 
 def new_router_machine(router: str, incarnation: int) -> RouterMachine:
-    """Return a router with the default settings."""
+    """Return a router machine with the default settings."""
     config = RouterConfig(router, incarnation)
     return RouterMachine(config, rng=Random(SEED))
--- a/tests/fuzz/nodes.py
+++ b/tests/fuzz/nodes.py
@@ -1,8 +1,8 @@
-"""Processes of the simulated fleet."""
+"""Simulated processes."""
 
 from dataclasses import dataclass, field
 
-from oracle import Waiting, WaitingById
+from oracle import EntriesById, QueuedEntry
 
 from berylwalk.agent import AgentMachine
 from berylwalk.model import RequestId
@@ -11,14 +11,14 @@
 
 @dataclass(slots=True)
 class Node:
-    """One process: a state machine and what became of it.
+    """One process: a state machine, its clock and its state.
 
     Parameters
     ----------
     clock_offset : float
-        Its monotonic clock is ahead of the simulation's by so many seconds.
+        Seconds by which its monotonic clock is ahead of the simulation's.
     running : set of RequestId
-        Requests whose call at the target goes on.
+        Requests that run at the target.
     """
 
     node_id: str
@@ -30,16 +30,16 @@
     running: set[RequestId] = field(default_factory=set)
 
     @property
-    def acting(self) -> bool:
-        """Whether the process handles events now."""
+    def is_active(self) -> bool:
+        """Whether the process handles events."""
         return self.alive and not self.frozen
 
     @property
-    def name(self) -> tuple[str, int]:
+    def identity(self) -> tuple[str, int]:
         """Identifier and incarnation."""
         return self.node_id, self.incarnation
 
-    def waiting(self) -> WaitingById:
+    def waiting(self) -> EntriesById:
         """Return the entries of an agent's queue, including their states."""
         entries = self.machine._reservations.waiting
-        return {entry.key: Waiting(entry.rank, entry.state) for entry in entries}
+        return {entry.key: QueuedEntry(entry.rank, entry.state) for entry in entries}
--- a/tests/fuzz/prove_oracle.py
+++ b/tests/fuzz/prove_oracle.py
@@ -1,8 +1,8 @@
-"""Plant deliberate faults in copies of the libraries; every one must be caught.
+"""Inject faults into copies of the libraries, and check that tests detect them.
 
-Run by ``make prove-oracle``. Nothing in the repository is changed: a fault is
-planted in a copy of its library, which comes before the installed ones on the
-path. Exits with 1 when a fault is missed or its text is not found.
+Run by ``make prove-oracle``. A fault is injected into a copy of its library,
+which precedes the installed one on the path; the repository is not changed.
+Exits with 1 if a fault is not detected or its text is not found.
 """
 
 import os
@@ -17,15 +17,15 @@
 from faults import FAULTS, Fault
 
 ROOT = Path(__file__).resolve().parents[2]
-AT_ONCE = 4
+MAX_WORKERS = 4
 RUN_TIMEOUT_S = 300
-ERRORS_OF_PLANTING = re.compile(r"^E\s+(ImportError|NameError|SyntaxError)", re.M)
+INJECTION_ERRORS = re.compile(r"^E\s+(ImportError|NameError|SyntaxError)", re.M)
 RULE_OR_TEST = re.compile(r"^(FAILED|E  )", re.M)
 RULE = re.compile(r"AssertionError: (.*)")
 
 
 def run_tests(test: str, sources: list[Path]) -> tuple[bool, str]:
-    """Run a test file against source trees; return whether it passed, and output."""
+    """Run tests against source trees; return whether they passed, and the output."""
     environment = dict(os.environ)
     environment["PYTHONPATH"] = os.pathsep.join(map(str, sources))
     environment["PYTHONDONTWRITEBYTECODE"] = "1"
@@ -41,12 +41,12 @@
             check=False,
         )
     except subprocess.TimeoutExpired:
-        return False, "the test does not end"
+        return False, "the test timed out"
     return done.returncode == 0, done.stdout + done.stderr
 
 
-def plant(fault: Fault, pristine: Path, copy: Path) -> Path | None:
-    """Copy the fault's library and plant it; None when a text is not found."""
+def inject(fault: Fault, pristine: Path, copy: Path) -> Path | None:
+    """Inject a fault into a copy of its library; None if a text is not found."""
     for edit in fault.edits:
         library, module = edit.path.split("/")
         source = copy / library
@@ -60,33 +60,33 @@
     return copy
 
 
-def judge(fault: Fault, pristine: Path) -> str:
-    """Return what became of a fault, in one line."""
+def evaluate(fault: Fault, pristine: Path) -> str:
+    """Return the result of testing a fault, in one line."""
     with TemporaryDirectory() as scratch:
-        copy = plant(fault, pristine, Path(scratch))
+        copy = inject(fault, pristine, Path(scratch))
         if copy is None:
             return "TEXT NOT FOUND"
         sources = [*sorted(copy.iterdir()), *sorted(pristine.iterdir())]
         passed, output = run_tests(fault.test, sources)
     if passed:
         return "MISSED"
-    if ERRORS_OF_PLANTING.search(output):
-        return "MISSED: the planted code does not run"
-    if not RULE_OR_TEST.search(output) or not re.search(fault.rule, output):
+    if INJECTION_ERRORS.search(output):
+        return "MISSED: the injected code does not run"
+    if not RULE_OR_TEST.search(output) or not re.search(fault.expected_message, output):
         return f"MISSED: {fault.test} failed otherwise: {_first_rule(output)}"
     return f"caught by {Path(fault.test).name.split('.py')[0]}: {_first_rule(output)}"
 
 
 def _first_rule(output: str) -> str:
     found = RULE.search(output)
-    return found.group(1).strip() if found else "see the test"
+    return found.group(1).strip() if found else "no assertion message"
 
 
 def check_unchanged(faults: list[Fault], pristine: Path) -> list[str]:
-    """Return the tests that fail without any fault."""
+    """Return the tests that fail without an injected fault."""
     sources = sorted(pristine.iterdir())
     tests = sorted({fault.test for fault in faults})
-    with ThreadPoolExecutor(AT_ONCE) as pool:
+    with ThreadPoolExecutor(MAX_WORKERS) as pool:
         results = pool.map(lambda test: run_tests(test, sources), tests)
     return [
         test for test, (passed, _) in zip(tests, results, strict=True) if not passed
@@ -94,7 +94,7 @@
 
 
 def main(names: list[str]) -> int:
-    """Judge the faults whose names contain any of the given texts, or all."""
+    """Test the faults whose names contain any of the given texts, or all faults."""
     chosen = [f for f in FAULTS if not names or any(n in f.name for n in names)]
     with TemporaryDirectory() as scratch:
         pristine = Path(scratch)
@@ -103,13 +103,13 @@
             copytree(source, pristine / source.parent.name, ignore=unwanted)
         failing = check_unchanged(chosen, pristine)
         if failing:
-            print("fails without a fault:", *failing)
+            print("tests that fail without an injected fault:", *failing)
             return 1
         missed = 0
-        with ThreadPoolExecutor(AT_ONCE) as pool:
-            verdicts = pool.map(lambda fault: judge(fault, pristine), chosen)
+        with ThreadPoolExecutor(MAX_WORKERS) as pool:
+            verdicts = pool.map(lambda fault: evaluate(fault, pristine), chosen)
             for fault, verdict in zip(chosen, verdicts, strict=True):
-                print(f"{fault.promise}: {fault.name}: {verdict}", flush=True)
+                print(f"{fault.guarantee}: {fault.name}: {verdict}", flush=True)
                 missed += not verdict.startswith("caught")
     print(f"{len(chosen)} faults, {missed} not caught")
     return 1 if missed else 0
--- a/tests/fuzz/step_counts.py
+++ b/tests/fuzz/step_counts.py
@@ -1,4 +1,4 @@
-"""How many steps each fuzz test has run, for the summary."""
+"""Number of steps that each fuzz test has run."""
 
 from collections import Counter
 
--- a/tests/fuzz/test_fuzz_idempotency.py
+++ b/tests/fuzz/test_fuzz_idempotency.py
@@ -1,4 +1,4 @@
-"""Fuzzing of idempotency records: two routers, lost answers, outages."""
+"""Fuzz test of idempotency records: two routers, lost responses, outages."""
 
 import os
 from collections import Counter
@@ -25,7 +25,7 @@
 LONG = os.environ.get("BERYLWALK_FUZZ") == "long"
 ROUTERS = ("r1", "r2")
 KEYS = ("k1", "k2")
-TURNS = 40
+EVENT_LOOP_TURNS = 40
 PICK = st.integers(0, 20)
 OPERATIONS = st.lists(
     st.one_of(
@@ -45,51 +45,51 @@
 )
 
 
-class LateStore(InMemoryKeyValue):
-    """Loses the answers of writes that take effect much later."""
+class DelayedWriteStore(InMemoryKeyValue):
+    """Store that can delay writes and report their outcome as unknown."""
 
     def __init__(self, clock) -> None:
         super().__init__(clock=clock)
         self.delay_writes = 0
-        self.late = []
+        self.late_writes = []
 
     async def compare_and_swap(self, *args, **kwargs):
         if self.delay_writes and not self.down:
             self.delay_writes -= 1
-            self.late.append((args, kwargs))
-            return OutcomeUnknown("the write is under way")
+            self.late_writes.append((args, kwargs))
+            return OutcomeUnknown("the write is delayed")
         return await super().compare_and_swap(*args, **kwargs)
 
-    async def land_late(self) -> None:
-        """Let every late write arrive."""
-        writes, self.late = self.late, []
+    async def apply_late_writes(self) -> None:
+        """Apply all delayed writes."""
+        writes, self.late_writes = self.late_writes, []
         for args, kwargs in writes:
             await super().compare_and_swap(*args, **kwargs)
 
 
 @dataclass(slots=True)
 class Router:
-    """One router's records, and its requests that may run now."""
+    """A router's records, and its requests that hold their keys."""
 
     records: IdempotencyRecords
     claimed: list[Request] = field(default_factory=list)
 
 
 class KeyWorld:
-    """Routers that claim keys, run requests, or give them up."""
+    """Routers that claim keys, and run or release the requests."""
 
     def __init__(self, tasks: anyio.abc.TaskGroup) -> None:
         self.now = 1000.0
         self.tasks = tasks
         self.serial = 0
-        self.store = LateStore(lambda: self.now)
+        self.store = DelayedWriteStore(lambda: self.now)
         self.runs_by_key: Counter[str] = Counter()
         self.routers_by_id: dict[str, Router] = {}
         for router in ROUTERS:
             self.start(router)
 
     def start(self, router: str) -> None:
-        """Start a router anew; it knows none of its earlier claims."""
+        """Start a router without its earlier claims."""
         leases = RecordLeases(self.store, lifetime_s=3600.0, clock=lambda: self.now)
         records = IdempotencyRecords(
             self.store, leases, clock=lambda: self.now, pause=_no_pause
@@ -98,7 +98,7 @@
         self.tasks.start_soon(records.run_writer)
 
     async def claim(self, name: str, key: str) -> None:
-        """Claim a key; who is told `Claimed` may run."""
+        """Claim a key; a request whose result is `Claimed` may run."""
         router = self.routers_by_id[name]
         request = self.new_request(name, key)
         result = await router.records.claim(request)
@@ -123,13 +123,13 @@
             router.records.forget(request.request_id)
 
     def not_run(self, pick: int) -> None:
-        """Give a request up that did not run."""
+        """Release the key of a request that did not run."""
         router, request = self.take(pick)
         if request is not None:
             router.records.release(request)
 
     def take(self, pick: int) -> tuple[Router | None, Request | None]:
-        """Return some request that may run."""
+        """Remove and return a request that may run, and its router."""
         found = [(r, q) for r in self.routers_by_id.values() for q in r.claimed]
         if not found:
             return None, None
@@ -166,7 +166,7 @@
         elif kind == "delay_writes":
             self.store.delay_writes = value
         elif kind == "land_late":
-            await self.store.land_late()
+            await self.store.apply_late_writes()
         elif kind == "restart":
             self.start(value)
         elif kind == "wait":
@@ -183,9 +183,9 @@
     deadline=None,
     database=None,
 )
-@given(OPERATIONS, st.integers(1, TURNS))
+@given(OPERATIONS, st.integers(1, EVENT_LOOP_TURNS))
 def test_key_runs_at_most_once(operations, turns):
-    """Of all requests with a key one runs at most, whatever is lost."""
+    """At most one of the requests with a key runs, despite lost responses."""
 
     async def scenario():
         async with anyio.create_task_group() as tasks:
--- a/tests/fuzz/test_fuzz_orders.py
+++ b/tests/fuzz/test_fuzz_orders.py
@@ -1,4 +1,4 @@
-"""Fuzzing of fenced orders: leases that lapse under paused holders."""
+"""Fuzz test of fenced orders: leases that expire while their holders pause."""
 
 import os
 from dataclasses import dataclass, field
@@ -26,7 +26,7 @@
 LONG = os.environ.get("BERYLWALK_FUZZ") == "long"
 ROUTERS = ("r1", "r2")
 TARGET = "engine-1"
-TURNS = 30
+EVENT_LOOP_TURNS = 30
 PICK = st.integers(0, 20)
 OPERATIONS = st.lists(
     st.one_of(
@@ -44,7 +44,7 @@
 
 
 class PausingStore(InMemoryKeyValue):
-    """Pauses its caller after a write."""
+    """Store that can pause its caller after a write."""
 
     def __init__(self, world: "OrderWorld") -> None:
         super().__init__(clock=lambda: world.now)
@@ -60,47 +60,47 @@
 
 @dataclass(slots=True)
 class Transmission:
-    """An order under way; its router may be paused meanwhile."""
+    """An order in transit; its router may pause meanwhile."""
 
     order: Order
     arrived: anyio.Event = field(default_factory=anyio.Event)
 
 
 class OrderWorld:
-    """Two routers, one agent, and a target that ignores fencing numbers."""
+    """Two routers, an agent, and a target that ignores fencing tokens."""
 
     def __init__(self) -> None:
         self.now = 100.0
         self.store = PausingStore(self)
-        self.sending: list[Transmission] = []
-        self.carried_out: list[Order] = []
+        self.transmissions: list[Transmission] = []
+        self.executed: list[Order] = []
         self.restart_agent()
 
     def restart_agent(self) -> None:
-        """Start the agent anew: it has seen no number."""
-        self.gate = FencingGate(TARGET, self.store, self.carry_out)
+        """Restart the agent, which has then seen no fencing token."""
+        self.gate = FencingGate(TARGET, self.store, self.execute)
 
-    def holder(self) -> int:
-        """Return the number of the lease in force; 0 when nobody holds it."""
+    def holder_token(self) -> int:
+        """Return the fencing token of the current lease; 0 if there is none."""
         self.store._store.expire(self.now)
         entry = self.store._store.get(lock_key(TARGET))
         return 0 if entry is None else entry.mod_revision
 
-    async def carry_out(self, order: Order) -> OrderResult:
-        """Change the target, whatever number the order has."""
-        assert order.fencing == self.holder(), "an order of a lapsed holder"
-        self.carried_out.append(order)
+    async def execute(self, order: Order) -> OrderResult:
+        """Execute an order at the target, whatever its fencing token."""
+        assert order.fencing == self.holder_token(), "an order of an expired holder"
+        self.executed.append(order)
         return OrderResult(OrderOutcome.DONE)
 
     async def transmit(self, order: Order) -> OrderResult:
-        """Hold the order until it arrives."""
-        # As the holder knows it, with its allowance for clocks.
-        assert order.fencing == self.holder(), "sent without the lease"
+        """Keep the order in transit until it is delivered."""
+        # The sender checks both before it sends, with a margin for clocks.
+        assert order.fencing == self.holder_token(), "sent without the lease"
         lease = self.store._store.get(lock_key(TARGET)).lease_id
         left_s = self.store._store.leases_by_id[lease].expires_at - self.now
         assert left_s >= MIN_REMAINING_S, "sent with too little time left"
         transmission = Transmission(order)
-        self.sending.append(transmission)
+        self.transmissions.append(transmission)
         await transmission.arrived.wait()
         return await self.gate.handle(order)
 
@@ -109,15 +109,15 @@
         order = Order(TARGET, OrderKind.LOAD_ADAPTER, f"adapter-{serial}")
         sender = OrderSender(router, self.store, self.transmit, clock=lambda: self.now)
         result = await sender.send(order)
-        was_seen = any(one.name == order.name for one in self.carried_out)
-        assert (result.outcome is OrderOutcome.DONE) == was_seen, "untrue result"
+        was_seen = any(one.name == order.name for one in self.executed)
+        assert (result.outcome is OrderOutcome.DONE) == was_seen, "incorrect result"
 
     def act(self, tasks: anyio.abc.TaskGroup, serial: int, kind: str, value) -> None:
         """Carry out one operation."""
         if kind == "send":
             tasks.start_soon(self.send, value, serial)
-        elif kind == "arrive" and self.sending:
-            self.sending.pop(value % len(self.sending)).arrived.set()
+        elif kind == "arrive" and self.transmissions:
+            self.transmissions.pop(value % len(self.transmissions)).arrived.set()
         elif kind == "pause":
             self.now += value
         elif kind == "pause_in_write":
@@ -134,7 +134,7 @@
     await anyio.sleep(0)
 
 
-# Waiting between reads of a lost write would take real time.
+# Retries after a lost write would wait in real time.
 @patch(
     "berylwalk.platform._leased_lock.resolve_swap",
     partial(resolve_swap, pause=_no_pause),
@@ -146,24 +146,24 @@
     database=None,
 )
 @given(OPERATIONS)
-def test_paused_holder_changes_nothing(operations):
-    """Only the order of the lease's present holder reaches the target."""
+def test_order_of_a_paused_holder_is_not_executed(operations):
+    """Only orders of the current lease holder reach the target."""
 
     async def scenario():
         world = OrderWorld()
         async with anyio.create_task_group() as tasks:
             for serial, (kind, value) in enumerate(operations):
                 world.act(tasks, serial, kind, value)
-                for _ in range(TURNS):
+                for _ in range(EVENT_LOOP_TURNS):
                     await anyio.sleep(0)
                 STEPS_BY_TEST["orders"] += 1
             world.store.down = False
             for _ in range(len(operations)):
-                for transmission in world.sending:
+                for transmission in world.transmissions:
                     transmission.arrived.set()
-                for _ in range(TURNS):
+                for _ in range(EVENT_LOOP_TURNS):
                     await anyio.sleep(0)
-        numbers = [order.fencing for order in world.carried_out]
-        assert numbers == sorted(set(numbers)), "numbers went back"
+        tokens = [order.fencing for order in world.executed]
+        assert tokens == sorted(set(tokens)), "fencing tokens decreased"
 
     anyio.run(scenario)
--- a/tests/fuzz/world.py
+++ b/tests/fuzz/world.py
@@ -1,16 +1,16 @@
-"""A fleet of real state machines over the simulated network.
+"""Simulated fleet: the real state machines over a simulated network.
 
-Only the shells are replaced: datagrams, connections, the key-value service and
-the targets. Processes can be killed, restarted, frozen and drained.
+Datagrams, connections, the key-value service and the targets are simulated.
+Processes can be killed, restarted, frozen and drained.
 """
 
 from dataclasses import dataclass, field
 
 from exchanges import step
-from key_service import ClaimFate, KeyService
+from key_service import ClaimOutcome, KeyService
 from machines import RESOURCE, TIERS, new_agent_machine, new_router_machine
 from nodes import Node
-from oracle import Oracle, WaitingById
+from oracle import EntriesById, Oracle
 from simulated_network import GrantConnection, PendingDatagram, SimulatedNetwork
 
 from berylwalk.admission import EntryState
@@ -46,7 +46,7 @@
 
 @dataclass(slots=True)
 class World:
-    """Routers, agents, network, keys and the oracle."""
+    """Simulated routers, agents, network and key service, and the oracle."""
 
     agent_ids: tuple[str, ...]
     router_ids: tuple[str, ...]
@@ -60,7 +60,7 @@
     lost_routers: set[tuple[str, int]] = field(default_factory=set)
     serial: int = 0
     steps: int = 0
-    handling: bool = False
+    is_handling: bool = False
 
     def __post_init__(self) -> None:
         for agent in self.agent_ids:
@@ -87,35 +87,35 @@
         self.list_agents(router, self.agent_ids)
 
     def kill_agent(self, agent: str) -> None:
-        """End an agent at once; what it has read is cut, what it has not may wait."""
+        """Kill an agent; its connections break, but grants in transit stay."""
         node = self.agents_by_id[agent]
         node.alive = False
         for connection in self.network.connections:
             named = (connection.grant.agent, connection.grant.agent_incarnation)
-            if named == node.name and not connection.arrives:
-                connection.runs = False
-                connection.broken = True
+            if named == node.identity and not connection.in_transit:
+                connection.is_running = False
+                connection.is_broken = True
 
     def kill_router(self, router: str) -> None:
-        """End a router at once; its connections break."""
+        """Kill a router; its connections break."""
         node = self.routers_by_id[router]
         node.alive = False
-        self.lost_routers.add(node.name)
+        self.lost_routers.add(node.identity)
         for connection in self.network.connections:
-            if connection.request_id[:2] == node.name:
-                connection.router_open = False
+            if connection.request_id[:2] == node.identity:
+                connection.is_router_open = False
 
     def drain_agent(self, agent: str) -> None:
-        """Ask an agent to take no new work."""
+        """Ask an agent to drain."""
         node = self.agents_by_id[agent]
-        if node.acting:
-            self.oracle.draining.add(node.name)
+        if node.is_active:
+            self.oracle.draining.add(node.identity)
             self.to_agent(node, AgentDrainRequested())
 
     def drain_router(self, router: str) -> None:
-        """Ask a router to accept nothing more."""
+        """Ask a router to drain."""
         node = self.routers_by_id[router]
-        if node.acting:
+        if node.is_active:
             self.to_router(node, RouterDrainRequested())
 
     def list_agents(
@@ -124,43 +124,43 @@
         agents: tuple[str, ...],
         leaving: frozenset[str] = frozenset(),
     ) -> None:
-        """Let a router read the VM list, which may be out of date."""
+        """Let a router read a VM list, which may be outdated."""
         node = self.routers_by_id[router]
-        if node.acting:
+        if node.is_active:
             self.to_router(node, AgentsListed(agents, leaving))
 
     # Time
 
     def advance(self, seconds: float) -> None:
-        """Let time pass; every process that acts gets its ticks."""
+        """Advance the time in steps, with a tick after each."""
         end = self.now + seconds
         while self.now < end:
             self.now = min(end, self.now + TICK_S)
             self.tick()
 
     def tick(self) -> None:
-        """Tell every process that acts that time has passed."""
+        """Send a tick to every active process."""
         for node in list(self.agents_by_id.values()):
-            if node.acting:
+            if node.is_active:
                 self.to_agent(node, AgentTick())
         for node in list(self.routers_by_id.values()):
-            if node.acting:
+            if node.is_active:
                 self.to_router(node, RouterTick())
                 self._check_deadlines(node)
 
     def _check_deadlines(self, node: Node) -> None:
         for view in node.machine.requests_view(self.now + node.clock_offset):
             is_late = view.phase in UNGRANTED and view.time_left_s < 0
-            assert not is_late, "not given up at its deadline"
+            assert not is_late, "not ended at its deadline"
 
     # Requests
 
     def arrive(
         self, router: str, rank: int, account: str, key: str, deadline_s: float
     ) -> None:
-        """Let a caller's request arrive at a router."""
+        """Let a request arrive at a router."""
         node = self.routers_by_id[router]
-        if not node.acting:
+        if not node.is_active:
             return
         self.serial += 1
         arrived_at = self.now + node.clock_offset
@@ -177,16 +177,16 @@
         self.oracle.accepted(request)
         self.to_router(node, RequestArrived(request))
 
-    def caller_gone(self, request_id: RequestId) -> None:
-        """Let a caller go away."""
+    def disconnect_caller(self, request_id: RequestId) -> None:
+        """Disconnect the caller of a request."""
         node = self.routers_by_id[request_id.router]
-        if node.acting and node.incarnation == request_id.incarnation:
+        if node.is_active and node.incarnation == request_id.incarnation:
             self.to_router(node, CallerDisconnected(request_id))
 
     # Network and keys
 
     def deliver(self, pending: PendingDatagram, *, keep: bool = False) -> None:
-        """Deliver a datagram; `keep` leaves a copy under way."""
+        """Deliver a datagram; `keep` leaves a copy in transit."""
         nodes = self.agents_by_id | self.routers_by_id
         node = nodes[pending.receiver]
         if node.frozen:
@@ -201,76 +201,76 @@
             self.to_router(node, RouterDatagramArrived(pending.datagram()))
 
     def progress(self, connection: GrantConnection) -> None:
-        """Let a connection make one step, whichever is next."""
+        """Make the next step of a connection."""
         step(self, connection)
 
-    def settle_claim(self, request: Request, fate: ClaimFate) -> None:
-        """Let a claim arrive at the key-value service and be answered."""
+    def settle_claim(self, request: Request, outcome: ClaimOutcome) -> None:
+        """Let the key-value service process a claim, and its router get the result."""
         node = self.routers_by_id[request.request_id.router]
         if node.frozen:
             return
-        answer = self.keys.settle_claim(request, fate)
+        result = self.keys.settle_claim(request, outcome)
         if node.alive and node.incarnation == request.request_id.incarnation:
-            self.to_router(node, answer)
+            self.to_router(node, result)
 
     # Events and actions
 
     def to_agent(self, node: Node, event: object) -> list:
-        """Hand an event to an agent and carry out its actions."""
+        """Pass an event to an agent and execute its actions."""
         self.steps += 1
-        self.handling = True
+        self.is_handling = True
         before = node.waiting()
         actions = node.machine.handle(event, self.now + node.clock_offset)
-        stayed = self._check_turns(node, before)
+        unchanged = self._check_slot_offers(node, before)
         for action in actions:
-            self._act_for_agent(node, action, before, stayed)
-        self.handling = False
+            self._act_for_agent(node, action, before, unchanged)
+        self.is_handling = False
         return actions
 
-    def _check_turns(self, node: Node, before: WaitingById) -> WaitingById:
-        """Check who was offered slots; return who waited before and still does."""
+    def _check_slot_offers(self, node: Node, before: EntriesById) -> EntriesById:
+        """Check the order of slot offers; return the unchanged queue entries."""
         after = node.waiting()
-        stayed = {one: after[one] for one in after if before.get(one) == after[one]}
+        unchanged = {one: after[one] for one in after if before.get(one) == after[one]}
         taken = [
             entry
             for one, entry in after.items()
             if entry.state is EntryState.TAKEN and before.get(one) != entry
         ]
-        self.oracle.given_turns(taken, stayed)
-        return stayed
+        self.oracle.offered_slots(taken, unchanged)
+        return unchanged
 
     def _act_for_agent(
-        self, node: Node, action: object, before: WaitingById, stayed: WaitingById
+        self, node: Node, action: object, before: EntriesById, unchanged: EntriesById
     ) -> None:
         if isinstance(action, SendToRouter):
             for message in action.messages:
                 if isinstance(message, Refused):
                     self.oracle.refused(
-                        node.name, message.request_id, message.reason, stayed
+                        node.identity, message.request_id, message.reason, unchanged
                     )
             self._send(node, action.router, action.messages)
         elif isinstance(action, RefuseGrant):
             grant = action.grant
             self.oracle.refused(
-                node.name, grant.request_id, action.refusal.reason, stayed
+                node.identity, grant.request_id, action.refusal.reason, unchanged
             )
         elif isinstance(action, StartDispatch):
             grant = action.grant
             node.running.add(grant.request_id)
             if grant.conditional or grant.request_id not in before:
-                self.oracle.dispatched_past(grant, stayed)
-            self.oracle.dispatched(node.name, grant.request_id)
+                self.oracle.dispatched_without_offer(grant, unchanged)
+            self.oracle.dispatched(node.identity, grant.request_id)
         elif isinstance(action, AgentDrainFinished):
             assert not node.running, "drained while a request runs"
 
     def to_router(self, node: Node, event: object) -> list:
-        """Hand an event to a router and carry out its actions."""
+        """Pass an event to a router and execute its actions."""
         self.steps += 1
-        self.handling = True
+        self.is_handling = True
         actions = node.machine.handle(event, self.now + node.clock_offset)
         for action in actions:
             self._act_for_router(node, action)
-        self.handling = False
+        self.is_handling = False
         return actions
 
     def _act_for_router(self, node: Node, action: object) -> None:
@@ -287,7 +287,9 @@
         elif isinstance(action, EndRequest):
             self.oracle.ended(action.request_id, action.response, self._reachable(node))
         elif isinstance(action, RouterDrainFinished):
-            own = [one for one in self.oracle.unanswered() if one[:2] == node.name]
+            own = [
+                one for one in self.oracle.open_requests() if one[:2] == node.identity
+            ]
             assert not own, "drained with requests left"
 
     def _send(self, node: Node, receiver: str, messages: tuple) -> None:
@@ -298,9 +300,9 @@
         for connection in self.network.connections:
             named = (connection.request_id, connection.grant.attempt)
             if named == (action.request_id, action.attempt):
-                connection.router_open = False
+                connection.is_router_open = False
 
     def _reachable(self, node: Node) -> set[tuple[str, int]]:
-        """Agents that the router itself believes it can reach."""
+        """Return the agents that the router considers available."""
         views = node.machine.agents_view(self.now + node.clock_offset)
         return {(view.agent, view.incarnation) for view in views if view.takes_work}
