--- a/bench/slopes/routers.py
+++ b/bench/slopes/routers.py
@@ -14,12 +14,12 @@
 )
 from berylwalk.router import (
     AgentsListed,
-    AnswerComplete,
-    AnswerStarted,
     DatagramArrived,
     GrantRefused,
     IssueGrant,
     RequestArrived,
+    ResponseComplete,
+    ResponseStarted,
     RouterAction,
     RouterConfig,
     RouterMachine,
@@ -216,8 +216,8 @@
 
     def _complete(self, action: IssueGrant) -> None:
         grant = action.grant
-        self.handle_event(AnswerStarted(grant.request_id, grant.attempt))
-        self.handle_event(AnswerComplete(grant.request_id, grant.attempt))
+        self.handle_event(ResponseStarted(grant.request_id, grant.attempt))
+        self.handle_event(ResponseComplete(grant.request_id, grant.attempt))
 
 
 def _reserves(actions: list[RouterAction]) -> list[tuple[str, Reserve]]:
