--- a/bench/loadbench/measures.py
+++ b/bench/loadbench/measures.py
@@ -222,12 +222,12 @@
 def _account_goodput(
     shape: Shape, pairs: list[tuple[ScheduledCall, Result]], account: str
 ) -> float:
-    is_good = [
+    good_flags = [
         _is_good(shape, call, result)
         for call, result in pairs
         if call.account == account
     ]
-    return round(sum(is_good) / max(len(is_good), 1), 4)
+    return round(sum(good_flags) / max(len(good_flags), 1), 4)
 
 
 def _jain_index(values: Iterable[float]) -> float:
--- a/bench/slopes/routers.py
+++ b/bench/slopes/routers.py
@@ -39,7 +39,7 @@
 
 
 def model_name(index: int, models: int = MODELS) -> str:
-    """Return the resource that the agent with an index serves."""
+    """Return the resource that the agent at `index` serves."""
     return f"model:model-{index % models:02}"
 
 
@@ -108,7 +108,7 @@
                 action.messages[0], Hello
             ):
                 self.hellos += 1
-                self._answer_hello(action.agent)
+                self._reply_to_hello(action.agent)
             else:
                 others.append(action)
         return others
@@ -120,7 +120,7 @@
             self.handle_event(Tick())
 
     def request(self, index: int) -> Request:
-        """Return a new request for the model of the agent with an index."""
+        """Return a new request for the model of the agent at `index`."""
         self._serial += 1
         service_policy = ServicePolicy(
             f"/account-{self._serial % 690}",
@@ -182,14 +182,14 @@
 
     def deliver_digest(self, agent: str) -> None:
         """Deliver an unsolicited load digest from an agent."""
-        self._answer_hello(agent)
+        self._reply_to_hello(agent)
 
     @property
     def agents(self) -> tuple[str, ...]:
         """Identifiers of the listed agents."""
         return tuple(self._index_by_agent)
 
-    def _answer_hello(self, agent: str) -> None:
+    def _reply_to_hello(self, agent: str) -> None:
         self._sequence += 1
         running = SLOTS if self._full else 0
         digest = digest_of(
--- a/bench/tests/test_bench_figures.py
+++ b/bench/tests/test_bench_figures.py
@@ -77,7 +77,7 @@
         run_info = RunInfo("policy", "half-load", 1.0, 1, 10.0, 5.0, 0.0, {})
         figures = compute_figures(PARKOVISKO, calls, results, EngineWork(), run_info)
         urgent = figures.tiers["urgent"]
-        ends = (urgent.good, urgent.late, urgent.not_run, urgent.given_up)
-        assert ends == (1, 1, 1, 1)
+        counts = (urgent.good, urgent.late, urgent.not_run, urgent.given_up)
+        assert counts == (1, 1, 1, 1)
         assert figures.wasted_tokens == 18
         assert figures.idle_share == 0.5
