--- a/tests/fuzz/faults.py
+++ b/tests/fuzz/faults.py
@@ -16,9 +16,9 @@
 COMPLETE = "3 own complete response"
 NOT_RUN = "4 not-run is accurate"
 KEY = "5 a key runs at most once"
-NOTHING_NEW = "6 a leaving target gets no new requests"
+LEAVING = "6 a leaving target gets no new requests"
 SHUTDOWN = "7 shutdown finishes running requests"
-IN_FORCE = "8 accepted settings stay effective"
+SETTINGS_EFFECTIVE = "8 accepted settings stay effective"
 FENCED = "9 an expired lease holder changes nothing"
 ENDS = "10 every request ends in time"
 
@@ -410,7 +410,7 @@
     ),
     Fault(
         "a draining agent dispatches",
-        NOTHING_NEW,
+        LEAVING,
         (
             Edit(
                 "agent/_grants",
@@ -449,7 +449,7 @@
     ),
     Fault(
         "a replica accepts a lower version",
-        IN_FORCE,
+        SETTINGS_EFFECTIVE,
         (
             Edit(
                 "settings/_replica",
@@ -462,7 +462,7 @@
     ),
     Fault(
         "a starting node serves less than the announced version",
-        IN_FORCE,
+        SETTINGS_EFFECTIVE,
         (
             Edit(
                 "settings/_replica",
@@ -475,14 +475,14 @@
     ),
     Fault(
         "a conflict of two patches is not detected",
-        IN_FORCE,
+        SETTINGS_EFFECTIVE,
         (Edit("settings/_merge", "    if conflicting:\n", "    if False:\n"),),
         SETTINGS,
         "an unseen change was overwritten",
     ),
     Fault(
         "a repeated patch is applied again",
-        IN_FORCE,
+        SETTINGS_EFFECTIVE,
         (
             Edit(
                 "settings/_merge",
--- a/tests/fuzz/prove_oracle.py
+++ b/tests/fuzz/prove_oracle.py
@@ -20,8 +20,8 @@
 MAX_WORKERS = 4
 RUN_TIMEOUT_S = 300
 INJECTION_ERRORS = re.compile(r"^E\s+(ImportError|NameError|SyntaxError)", re.M)
-RULE_OR_TEST = re.compile(r"^(FAILED|E  )", re.M)
-RULE = re.compile(r"AssertionError: (.*)")
+FAILURE_LINE = re.compile(r"^(FAILED|E  )", re.M)
+ASSERTION_MESSAGE = re.compile(r"AssertionError: (.*)")
 
 
 def run_tests(test: str, sources: list[Path]) -> tuple[bool, str]:
@@ -72,13 +72,15 @@
         return "MISSED"
     if INJECTION_ERRORS.search(output):
         return "MISSED: the injected code does not run"
-    if not RULE_OR_TEST.search(output) or not re.search(fault.expected_message, output):
-        return f"MISSED: {fault.test} failed otherwise: {_first_rule(output)}"
-    return f"caught by {Path(fault.test).name.split('.py')[0]}: {_first_rule(output)}"
+    if not FAILURE_LINE.search(output) or not re.search(fault.expected_message, output):
+        return f"MISSED: {fault.test} failed otherwise: {_first_message(output)}"
+    return (
+        f"caught by {Path(fault.test).name.split('.py')[0]}: {_first_message(output)}"
+    )
 
 
-def _first_rule(output: str) -> str:
-    found = RULE.search(output)
+def _first_message(output: str) -> str:
+    found = ASSERTION_MESSAGE.search(output)
     return found.group(1).strip() if found else "no assertion message"
 
 
