--- a/libs/direct/tests/test_direct_statements.py
+++ b/libs/direct/tests/test_direct_statements.py
@@ -153,7 +153,7 @@
         """An outdated response withdraws a limit that is then advertised again."""
 
         def forget(limit, per_s, *, sent_at, now):
-            limit._believe(None, now)
+            limit._set_limit(None, now)
             return False
 
         monkeypatch.setattr(AdvertisedRateLimit, "note_answer", forget)
--- a/tests/platform/test_platform_clients.py
+++ b/tests/platform/test_platform_clients.py
@@ -184,7 +184,7 @@
         """A 500 may follow a write that took effect; a rejected call has no effect."""
 
         async def handle(exchange):
-            await exchange.answer_json(status, {"message": "request timed out"})
+            await exchange.respond_json(status, {"message": "request timed out"})
 
         store = KeyValueClient.from_config([BASE])
         await store.start()
